--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -9,7 +9,7 @@
 pub mod crashes;
 pub mod directory;
 pub mod entries;
-pub mod naming;
+pub mod paxos;
 pub mod raft;
 pub mod replica;
 pub mod state;
--- a/src/control/founding.rs
+++ b/src/control/founding.rs
@@ -15,7 +15,7 @@
 use futures::future;
 use sha2::{Digest, Sha256};
 
-use crate::consensus::naming::{NamingAnswer, NamingAsk};
+use crate::consensus::paxos::{NamingAnswer, NamingAsk};
 use crate::consensus::raft::{DiskImage, DiskRecord};
 use crate::consensus::replica::LogReplica;
 use crate::control::journal::{self, DiskJournal, JournalError};
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -18,7 +18,7 @@
 use crate::consensus::claims::{ClaimKey, ClaimRecord};
 use crate::consensus::crashes::CrashBook;
 use crate::consensus::directory::{BeatNews, ReplicaRecord};
-use crate::consensus::naming::{self, NamingAnswer, NamingAsk, NamingBook};
+use crate::consensus::paxos::{self, NamingAnswer, NamingAsk, NamingBook};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
 use crate::control::founding;
@@ -266,7 +266,7 @@
         let book = self.book.as_ref()?;
         let ask = peers::lock(book).begin();
         let promises = self.ask_all(link, book, &ask).await?;
-        let founder = naming::name_after(&promises, host);
+        let founder = paxos::name_after(&promises, host);
         let ask = ask.record(founder.clone());
         self.ask_all(link, book, &ask).await.map(|_| founder)
     }
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -16,7 +16,7 @@
 use crate::consensus::claims::{ClaimKey, ClaimRecord};
 use crate::consensus::crashes::CrashBook;
 use crate::consensus::directory::{BeatNews, ReplicaRecord};
-use crate::consensus::naming::{NamingAnswer, NamingAsk};
+use crate::consensus::paxos::{NamingAnswer, NamingAsk};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
 use crate::control::event::{ControlEvent, ControlHandle};
--- a/src/process/wire.rs
+++ b/src/process/wire.rs
@@ -8,7 +8,7 @@
 use crate::consensus::claims::ClaimRecord;
 use crate::consensus::crashes::CrashBook;
 use crate::consensus::directory::{BeatNews, ReplicaRecord};
-use crate::consensus::naming::{NamingAnswer, NamingAsk};
+use crate::consensus::paxos::{NamingAnswer, NamingAsk};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply, SiteState};
 use crate::ids::{
--- a/tests/fuzz/founding.rs
+++ b/tests/fuzz/founding.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunlinspring::consensus::naming::{self, NamingAnswer, NamingAsk, NamingBook};
+use dunlinspring::consensus::paxos::{self, NamingAnswer, NamingAsk, NamingBook};
 use dunlinspring::ids::{HostName, Incarnation};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -175,7 +175,7 @@
         let begun = self.tries.remove(&number).unwrap();
         match begun.ask.name.clone() {
             None => {
-                let name = naming::name_after(&answers, &begun.asker);
+                let name = paxos::name_after(&answers, &begun.asker);
                 self.ask_all(begun.relay, begun.asker, begun.ask.record(name));
             }
             Some(name) => {
