--- a/benches/core.rs
+++ b/benches/core.rs
@@ -14,9 +14,9 @@
 use dunlinspring::placement::moves::{self, DemandBook, PlacePolicy};
 use dunlinspring::routing::route::{self, LoadBook, RouteAsk, RouteChoice, RoutePolicy};
 use dunlinspring::routing::view;
-use dunlinspring::table::accounts::{AccountBook, AccountSpec, QuotaSpec, QuotaUnit};
+use dunlinspring::table::accounts::{AccountList, AccountSpec, QuotaSpec, QuotaUnit};
 use dunlinspring::table::limits::{LimitClaim, LimitPolicy, ShareGrantor};
-use dunlinspring::table::quota::{EntryLife, QuotaAsk, QuotaClaim, QuotaGrantor};
+use dunlinspring::table::quota::{EntryIncarnation, QuotaClaim, QuotaGrantor, QuotaRequest};
 use dunlinspring::table::rows::{RowChange, RowEdit, RowFields, Urgency};
 use dunlinspring::table::site::{ModelKind, ModelSpec, SiteSpec, TargetSpec};
 use rand::SeedableRng;
@@ -287,7 +287,7 @@
 /// Accounts that one entry has demand for.
 const ASKED_ACCOUNTS: usize = 8;
 
-fn quota_book(accounts: usize) -> AccountBook {
+fn quota_book(accounts: usize) -> AccountList {
     let account = |number: usize| AccountSpec {
         name: AccountName(format!("account-{number}")),
         keys: Vec::new(),
@@ -300,26 +300,26 @@
         }),
         regions: Default::default(),
     };
-    AccountBook {
+    AccountList {
         accounts: (0..accounts).map(account).collect(),
     }
 }
 
 /// An ask for the large accounts, which all entries ask for.
-fn quota_ask(entry: usize, number: u64) -> QuotaAsk {
+fn quota_ask(entry: usize, number: u64) -> QuotaRequest {
     let claim = QuotaClaim {
         balance: 1_000,
-        least: 100,
+        cheapest: 100,
         needed: 200,
-        ahead: 1_000,
+        prefetch: 1_000,
         demand: 1_000,
         ..QuotaClaim::default()
     };
     let claims = (0..ASKED_ACCOUNTS).map(|place| (AccountName(format!("account-{place}")), claim));
-    QuotaAsk {
-        entry: EntryLife {
+    QuotaRequest {
+        entry: EntryIncarnation {
             host: HostName(format!("entry-{entry}")),
-            life: 1,
+            incarnation: 1,
         },
         number,
         claims: claims.collect(),
@@ -333,7 +333,7 @@
     let mut group = c.benchmark_group("grant_quota");
     for (entries, accounts) in [(10, 10), (100, 100), (960, 1_000)] {
         let mut grantor = QuotaGrantor::new(0);
-        grantor.follow(1, Some(&quota_book(accounts)));
+        grantor.set_limits(1, Some(&quota_book(accounts)));
         for entry in 0..entries {
             grantor.grant(10_000, &quota_ask(entry, 1));
         }
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -359,7 +359,7 @@
                 HomePhase::Unloading => HomeReport::Absent,
                 HomePhase::Ready => continue,
             };
-            let life = state.keeper(&target).unwrap().incarnation;
+            let life = state.agent_of(&target).unwrap().incarnation;
             run(&mut state, Command::Home(target, life, model, report));
         }
         if round == 30 {
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -21,7 +21,7 @@
 use crate::clock;
 use crate::consensus::crashes::CrashReport;
 use crate::consensus::state::MemberRole;
-use crate::ids::{AttemptId, Incarnation, ModelName, Position, ReplicaId, ReplicaLife};
+use crate::ids::{AttemptId, Incarnation, ModelName, Position, ReplicaId, ReplicaIncarnation};
 use crate::placement::duties::AgentBeat;
 use crate::process::crash_report;
 use crate::process::daemon::{self, DaemonError};
@@ -305,9 +305,9 @@
 /// Tells the log of an end of the engine, until it holds it.
 async fn tell_crash(agent: Arc<AgentShared>, ended: EndedLife) {
     let report = CrashReport {
-        replica: ReplicaLife {
+        replica: ReplicaIncarnation {
             id: ReplicaId::from(agent.settings.common.host.as_str()),
-            born_ms: ended.boot,
+            started_ms: ended.boot,
         },
         contents: ended.contents,
     };
--- a/src/cli/contents.rs
+++ b/src/cli/contents.rs
@@ -1,9 +1,9 @@
 //! The `contents` command: contents under which replicas ended, and the lifting of a bar.
 
 use crate::cli::{commands, control};
-use crate::consensus::crashes::{ContentRecord, ContentStanding, CrashBook};
+use crate::consensus::crashes::{ContentRecord, ContentStanding, CrashStore};
 use crate::consensus::state::{Command, Reply};
-use crate::ids::{ContentDigest, ReplicaLife};
+use crate::ids::{ContentDigest, ReplicaIncarnation};
 use crate::process::peers::ControlLink;
 use crate::process::wire::ControlWireClient;
 
@@ -63,14 +63,18 @@
                 ContentStanding::Barred => "barred",
                 _ => "suspect",
             },
-            crashes: record.crashes.iter().map(ReplicaLife::to_string).collect(),
+            crashes: record
+                .crashes
+                .iter()
+                .map(ReplicaIncarnation::to_string)
+                .collect(),
             last_ms: record.last_ms,
         }
     }
 }
 
 /// The contents, those with the most crashes first.
-fn rows(book: &CrashBook) -> Vec<ContentRow> {
+fn rows(book: &CrashStore) -> Vec<ContentRow> {
     let records = book.records().iter();
     let mut rows: Vec<ContentRow> = records
         .map(|(id, record)| ContentRow::new(id, record))
@@ -80,7 +84,7 @@
 }
 
 /// A line a content.
-pub fn table(book: &CrashBook) -> String {
+pub fn table(book: &CrashStore) -> String {
     let mut text = format!(
         "{:<32} {:<8} {:>14} replicas that ended under it\n",
         "content", "state", "last, ms"
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -28,13 +28,13 @@
 
 /// Lets time pass as on a suspended machine, for tests of it: the clocks here go on by so
 /// much, and the steady clock behind timers stands still.
-pub fn suspend(time: Duration) {
+pub fn simulate_suspension(time: Duration) {
     let millis = time.as_millis() as u64;
     SUSPENDED_MS.fetch_add(millis, Ordering::SeqCst);
 }
 
 /// Longest time for which a wait goes on after a suspension that lasted past its end.
-const WAIT_LOOK: Duration = Duration::from_millis(200);
+const MAX_WAIT_STEP: Duration = Duration::from_millis(200);
 
 /// Waits for a future until a moment of [`monotonic_ms`]; none where that comes first.
 /// Timers stand still while the machine is suspended: this looks at the clock meanwhile.
@@ -42,10 +42,10 @@
     let mut future = pin!(future);
     loop {
         let left = Duration::from_millis(until_ms.saturating_sub(monotonic_ms()));
-        let waited = tokio::time::timeout(left.min(WAIT_LOOK), &mut future).await;
+        let waited = tokio::time::timeout(left.min(MAX_WAIT_STEP), &mut future).await;
         match waited {
             Ok(value) => return Some(value),
-            Err(_) if left <= WAIT_LOOK => return None,
+            Err(_) if left <= MAX_WAIT_STEP => return None,
             Err(_) => {}
         }
     }
--- a/src/consensus/claims.rs
+++ b/src/consensus/claims.rs
@@ -17,7 +17,7 @@
 
 /// Asks that one attempt may run the call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The call.
     pub key: ClaimKey,
     /// Digest of the request: the same key with another body is refused.
@@ -30,7 +30,7 @@
     pub incarnation: Incarnation,
     /// Where a caller's key carries the time of its making: refused once it is
     /// older than the retention, in milliseconds since the epoch.
-    pub made_ms: Option<u64>,
+    pub key_created_ms: Option<u64>,
 }
 
 /// How a claimed attempt ended.
@@ -64,9 +64,9 @@
     pub settled: Option<Settlement>,
 }
 
-/// The answer to a [`ClaimAsk`].
+/// The answer to a [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimAnswer {
+pub enum ClaimReply {
     /// The attempt holds the claim; the position rises with each claim.
     Granted(Position),
     /// Another attempt holds it, or the call has ended.
@@ -79,35 +79,35 @@
 
 /// All claims within the retention.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ClaimBook {
+pub struct ClaimStore {
     records: BTreeMap<ClaimKey, ClaimRecord>,
     pruned_before_ms: u64,
 }
 
-impl ClaimBook {
+impl ClaimStore {
     /// Applies a claim at a log position.
-    pub fn claim(&mut self, position: Position, at_ms: u64, ask: &ClaimAsk) -> ClaimAnswer {
-        match (self.records.get(&ask.key), ask.made_ms) {
-            (Some(record), _) if record.digest != ask.digest => return ClaimAnswer::OtherBody,
-            (Some(record), _) if record.attempt == ask.attempt => {
-                return ClaimAnswer::Granted(position);
+    pub fn claim(&mut self, position: Position, at_ms: u64, request: &ClaimRequest) -> ClaimReply {
+        match (self.records.get(&request.key), request.key_created_ms) {
+            (Some(record), _) if record.digest != request.digest => return ClaimReply::OtherBody,
+            (Some(record), _) if record.attempt == request.attempt => {
+                return ClaimReply::Granted(position);
             }
             (Some(record), _) if record.settled != Some(Settlement::NotRun) => {
-                return ClaimAnswer::Taken(record.clone());
+                return ClaimReply::Taken(record.clone());
             }
-            (None, Some(made)) if made < self.pruned_before_ms => return ClaimAnswer::TooOld,
+            (None, Some(created)) if created < self.pruned_before_ms => return ClaimReply::TooOld,
             _ => {}
         }
         let record = ClaimRecord {
-            digest: ask.digest,
-            attempt: ask.attempt,
-            target: ask.target.clone(),
-            incarnation: ask.incarnation,
+            digest: request.digest,
+            attempt: request.attempt,
+            target: request.target.clone(),
+            incarnation: request.incarnation,
             at_ms,
             settled: None,
         };
-        self.records.insert(ask.key.clone(), record);
-        ClaimAnswer::Granted(position)
+        self.records.insert(request.key.clone(), record);
+        ClaimReply::Granted(position)
     }
 
     /// Records how an attempt ended. An attempt that lost its claim, or one
--- a/src/consensus/crashes.rs
+++ b/src/consensus/crashes.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{ContentDigest, ReplicaLife};
+use crate::ids::{ContentDigest, ReplicaIncarnation};
 
 /// Replicas that may end under a content before it is sent no more.
 pub const MAX_CRASHES: u8 = 3;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The replica, in the life that ended.
-    pub replica: ReplicaLife,
+    pub replica: ReplicaIncarnation,
     /// What ran there.
     pub contents: BTreeSet<ContentDigest>,
 }
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContentRecord {
     /// Replicas that ended under it, oldest first; [`MAX_CRASHES`] at most.
-    pub crashes: Vec<ReplicaLife>,
+    pub crashes: Vec<ReplicaIncarnation>,
     /// When the last of them ended, in the state's clock.
     pub last_ms: u64,
 }
@@ -67,14 +67,14 @@
 
 /// All contents that are suspect or barred.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashBook {
+pub struct CrashStore {
     records: BTreeMap<ContentDigest, ContentRecord>,
 }
 
 /// How often replicas have ended under contents; 0 for one that is forgotten.
 pub type CrashCounts = BTreeMap<ContentDigest, u8>;
 
-impl CrashBook {
+impl CrashStore {
     /// The contents by digest.
     pub fn records(&self) -> &BTreeMap<ContentDigest, ContentRecord> {
         &self.records
@@ -95,7 +95,7 @@
 
     /// Notes the end of a replica. One end counts once for a content, however many entries
     /// tell of it, and however often. Returns what has changed.
-    pub fn note(&mut self, report: &CrashReport, clock_ms: u64) -> CrashCounts {
+    pub fn record(&mut self, report: &CrashReport, clock_ms: u64) -> CrashCounts {
         let mut changed = CrashCounts::new();
         for content in &report.contents {
             let record = self.records.entry(*content).or_insert(ContentRecord {
@@ -109,18 +109,18 @@
             }
         }
         while self.records.len() > MAX_CONTENTS {
-            self.forget_least(&mut changed);
+            self.evict_least(&mut changed);
         }
         changed
     }
 
     /// Forgets the content with the fewest crashes, of those the oldest: a barred one goes
     /// only where all are barred.
-    fn forget_least(&mut self, changed: &mut CrashCounts) {
+    fn evict_least(&mut self, changed: &mut CrashCounts) {
         let rank =
             |(_, record): &(&ContentDigest, &ContentRecord)| (record.count(), record.last_ms);
-        let least = self.records.iter().min_by_key(rank);
-        if let Some(content) = least.map(|(content, _)| *content) {
+        let victim = self.records.iter().min_by_key(rank);
+        if let Some(content) = victim.map(|(content, _)| *content) {
             self.records.remove(&content);
             changed.insert(content, 0);
         }
--- a/src/consensus/entries.rs
+++ b/src/consensus/entries.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
     /// Nothing: opens a term.
-    Blank,
+    Noop,
     /// The voters from this entry on.
     Voters(BTreeSet<NodeId>),
     /// A command to the state machine, encoded.
--- a/src/consensus/paxos.rs
+++ b/src/consensus/paxos.rs
@@ -14,113 +14,113 @@
 
 /// A try to have a founder agreed on. No two are alike: each has the life of its maker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct NamingBallot {
+pub struct PaxosBallot {
     /// Counts up; first, as it decides which ballot goes before.
     pub round: u64,
     /// The process that tries.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// What one named host asks of all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamingAsk {
+pub struct PaxosRequest {
     /// The named hosts, as the asker was told.
-    pub named: BTreeSet<HostName>,
+    pub hosts: BTreeSet<HostName>,
     /// The try.
-    pub ballot: NamingBallot,
+    pub ballot: PaxosBallot,
     /// Record this name; without one, promise to record nothing for lower ballots.
-    pub name: Option<HostName>,
+    pub value: Option<HostName>,
 }
 
-impl NamingAsk {
+impl PaxosRequest {
     /// The second half of the same try.
-    pub fn record(mut self, name: HostName) -> Self {
-        self.name = Some(name);
+    pub fn accept(mut self, value: HostName) -> Self {
+        self.value = Some(value);
         self
     }
 }
 
 /// What a named host answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NamingAnswer {
+pub enum PaxosReply {
     /// Promised or recorded; with what stands recorded.
-    Granted(Option<(NamingBallot, HostName)>),
+    Granted(Option<(PaxosBallot, HostName)>),
     /// A higher ballot was promised.
-    Outbid(NamingBallot),
+    Preempted(PaxosBallot),
     /// This host does not know what it recorded, or was told of other hosts.
-    Abstains,
+    Abstained,
 }
 
 /// One named host's part, from the site's first start until its process ends.
 #[derive(Clone, Debug)]
-pub struct NamingBook {
-    named: BTreeSet<HostName>,
-    life: Incarnation,
-    promised: NamingBallot,
-    recorded: Option<(NamingBallot, HostName)>,
+pub struct PaxosAcceptor {
+    hosts: BTreeSet<HostName>,
+    incarnation: Incarnation,
+    promised: PaxosBallot,
+    accepted: Option<(PaxosBallot, HostName)>,
     /// The highest round that was tried or heard of.
     round: u64,
 }
 
-impl NamingBook {
-    /// A book with nothing in it; `life` must be new with each process.
-    pub fn new(named: BTreeSet<HostName>, life: Incarnation) -> Self {
+impl PaxosAcceptor {
+    /// A book with nothing in it; `incarnation` must be new with each process.
+    pub fn new(hosts: BTreeSet<HostName>, incarnation: Incarnation) -> Self {
         Self {
-            named,
-            life,
-            promised: NamingBallot::default(),
-            recorded: None,
+            hosts,
+            incarnation,
+            promised: PaxosBallot::default(),
+            accepted: None,
             round: 0,
         }
     }
 
     /// Answers a named host, this one among them.
-    pub fn answer(&mut self, ask: &NamingAsk) -> NamingAnswer {
-        if ask.named != self.named {
-            return NamingAnswer::Abstains;
+    pub fn respond(&mut self, request: &PaxosRequest) -> PaxosReply {
+        if request.hosts != self.hosts {
+            return PaxosReply::Abstained;
         }
-        if ask.ballot < self.promised {
-            return NamingAnswer::Outbid(self.promised);
+        if request.ballot < self.promised {
+            return PaxosReply::Preempted(self.promised);
         }
-        self.promised = ask.ballot;
-        if let Some(name) = &ask.name {
-            self.recorded = Some((ask.ballot, name.clone()));
+        self.promised = request.ballot;
+        if let Some(value) = &request.value {
+            self.accepted = Some((request.ballot, value.clone()));
         }
-        NamingAnswer::Granted(self.recorded.clone())
+        PaxosReply::Granted(self.accepted.clone())
     }
 
     /// Begins a try, above all that this host has heard of.
-    pub fn begin(&mut self) -> NamingAsk {
+    pub fn prepare(&mut self) -> PaxosRequest {
         self.round = self.round.max(self.promised.round) + 1;
-        NamingAsk {
-            named: self.named.clone(),
-            ballot: NamingBallot {
+        PaxosRequest {
+            hosts: self.hosts.clone(),
+            ballot: PaxosBallot {
                 round: self.round,
-                life: self.life,
+                incarnation: self.incarnation,
             },
-            name: None,
+            value: None,
         }
     }
 
     /// Whether a majority granted what was asked; one answer a host.
-    pub fn is_granted(&mut self, answers: &[NamingAnswer]) -> bool {
-        for answer in answers {
-            if let NamingAnswer::Outbid(ballot) = answer {
+    pub fn has_majority(&mut self, replies: &[PaxosReply]) -> bool {
+        for reply in replies {
+            if let PaxosReply::Preempted(ballot) = reply {
                 self.round = self.round.max(ballot.round);
             }
         }
-        let granted = |answer: &&NamingAnswer| matches!(answer, NamingAnswer::Granted(_));
-        answers.iter().filter(granted).count() * 2 > self.named.len()
+        let granted = |reply: &&PaxosReply| matches!(reply, PaxosReply::Granted(_));
+        replies.iter().filter(granted).count() * 2 > self.hosts.len()
     }
 }
 
 /// The name that must be recorded after these promises: the newest that may be agreed on
 /// already, else `fresh`.
-pub fn name_after(answers: &[NamingAnswer], fresh: &HostName) -> HostName {
-    let recorded = answers.iter().filter_map(|answer| match answer {
-        NamingAnswer::Granted(recorded) => recorded.as_ref(),
+pub fn value_to_accept(replies: &[PaxosReply], fresh: &HostName) -> HostName {
+    let accepted = replies.iter().filter_map(|reply| match reply {
+        PaxosReply::Granted(accepted) => accepted.as_ref(),
         _ => None,
     });
-    let newest = recorded.max_by_key(|(ballot, _)| *ballot);
-    newest.map_or(fresh, |(_, name)| name).clone()
+    let newest = accepted.max_by_key(|(ballot, _)| *ballot);
+    newest.map_or(fresh, |(_, value)| value).clone()
 }
--- a/src/consensus/raft.rs
+++ b/src/consensus/raft.rs
@@ -19,17 +19,17 @@
 use crate::ids::{NodeId, Position, Term};
 
 /// Most entries in one append message.
-const MAX_BATCH: usize = 512;
+const MAX_APPEND_ENTRIES: usize = 512;
 /// Entries kept in memory beyond the snapshot, for followers that lag by less. Each
 /// compaction finds all followers a round trip behind; without these, each of them was sent
 /// the whole state: 5 MB a second a voter at 3,000 replicas, instead of the entries alone.
-const KEPT_PAST: usize = 1024;
+const MAX_RETAINED_ENTRIES: usize = 1024;
 /// Time that a snapshot is given to arrive before it is sent again, in milliseconds. Sent
 /// with each heartbeat, copies of several megabytes filled a leader's memory.
-const INSTALL_MS: u64 = 1_000;
+const SNAPSHOT_RESEND_MS: u64 = 1_000;
 /// A leader's lease is this many thousandths of the least election timeout, so
 /// it ends before a follower whose clock runs up to 10% fast may vote.
-const LEASE_THOUSANDTHS: u64 = 850;
+const LEASE_PER_MILLE: u64 = 850;
 
 /// Timing of elections, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -80,7 +80,7 @@
     /// The latest own clock that this follower has echoed.
     echoed_ms: Option<u64>,
     /// A snapshot is on its way until then.
-    installing_ms: u64,
+    install_until_ms: u64,
 }
 
 /// One voter, or one learner that is not a voter yet.
@@ -94,28 +94,28 @@
     snapshot: LogSnapshot,
     entries: Vec<LogEntry>,
     /// The last entries that the snapshot holds: sent to followers, not looked at otherwise.
-    past: Vec<LogEntry>,
+    retained: Vec<LogEntry>,
     commit: Position,
     delivered: Position,
     /// The commit index on disk.
-    saved_commit: Position,
+    persisted_commit: Position,
     /// When the commit index was last saved.
-    saved_ms: u64,
+    persisted_ms: u64,
     role: Role,
     leader: Option<NodeId>,
-    heard_ms: Option<u64>,
+    leader_seen_ms: Option<u64>,
     election_due_ms: u64,
     heartbeat_due_ms: u64,
     /// When this voter last became leader.
-    led_since_ms: u64,
+    leader_since_ms: u64,
     /// A voter that restarts may have promised a lease just before, and one that leads no
     /// more is a part of the quorum that its own lease rested on.
-    silent_until_ms: u64,
+    no_vote_until_ms: u64,
     granted: BTreeSet<NodeId>,
     progress: BTreeMap<NodeId, Progress>,
     learners: BTreeSet<NodeId>,
     /// Last index and commit index that were sent to all.
-    told: (Position, Position),
+    broadcast: (Position, Position),
     output: Output,
 }
 
@@ -131,27 +131,27 @@
             vote: image.vote.1,
             snapshot: image.snapshot,
             entries: image.entries,
-            past: Vec::new(),
+            retained: Vec::new(),
             commit: start,
             delivered: start,
-            saved_commit: image.commit,
-            saved_ms: now_ms,
+            persisted_commit: image.commit,
+            persisted_ms: now_ms,
             role: Role::Follower,
             leader: None,
-            heard_ms: None,
+            leader_seen_ms: None,
             election_due_ms: 0,
             heartbeat_due_ms: 0,
-            led_since_ms: 0,
-            silent_until_ms: now_ms + timing.election_ms,
+            leader_since_ms: 0,
+            no_vote_until_ms: now_ms + timing.election_ms,
             granted: BTreeSet::new(),
             progress: BTreeMap::new(),
             learners: BTreeSet::new(),
-            told: (Position(0), Position(0)),
+            broadcast: (Position(0), Position(0)),
             output: Output::default(),
         };
         core.schedule_election(now_ms);
         let known = image.commit.min(core.last().index);
-        core.deliver_up_to(known);
+        core.commit_up_to(known);
         core
     }
 
@@ -212,14 +212,14 @@
     /// Takes what is to be done; see the module's rule.
     pub fn take_output(&mut self) -> Output {
         if !self.output.records.is_empty() {
-            self.save_commit();
+            self.persist_commit();
         }
         std::mem::take(&mut self.output)
     }
 
-    fn save_commit(&mut self) {
-        if self.commit > self.saved_commit {
-            self.saved_commit = self.commit;
+    fn persist_commit(&mut self) {
+        if self.commit > self.persisted_commit {
+            self.persisted_commit = self.commit;
             self.output.records.push(DiskRecord::Commit(self.commit));
         }
     }
@@ -235,7 +235,7 @@
 
     /// When the current lease ends, in this voter's clock; zero without one.
     pub fn lease_until_ms(&self, now_ms: u64) -> u64 {
-        let span = self.timing.election_ms * LEASE_THOUSANDTHS / 1000;
+        let lease_ms = self.timing.election_ms * LEASE_PER_MILLE / 1000;
         let mut echoes: Vec<u64> = self
             .voters()
             .iter()
@@ -246,7 +246,7 @@
             .collect();
         echoes.sort_unstable_by(|a, b| b.cmp(a));
         match echoes.get(self.quorum() - 1) {
-            Some(echoed) => echoed + span,
+            Some(echoed) => echoed + lease_ms,
             None => 0,
         }
     }
@@ -262,10 +262,10 @@
     /// Sends what was proposed or committed since the last call. Apart from
     /// `propose`, so that many proposals share one sync and one message.
     pub fn flush(&mut self, now_ms: u64) {
-        let told = (self.last().index, self.commit);
+        let broadcast = (self.last().index, self.commit);
         // With nothing new, an append would only draw an answer, which would
         // draw the next append.
-        if self.role == Role::Leader && self.told != told {
+        if self.role == Role::Leader && self.broadcast != broadcast {
             self.replicate(now_ms);
         }
     }
@@ -312,7 +312,7 @@
     }
 
     /// Whether a voter has answered within one election timeout.
-    pub fn heard_from(&self, node: NodeId, now_ms: u64) -> bool {
+    pub fn replied_recently(&self, node: NodeId, now_ms: u64) -> bool {
         let echoed = self.progress.get(&node).and_then(|p| p.echoed_ms);
         echoed.is_some_and(|at| at + self.timing.election_ms > now_ms)
     }
@@ -320,7 +320,7 @@
     /// How long a leader has not heard from a voter, in milliseconds.
     pub fn silence_ms(&self, node: NodeId, now_ms: u64) -> u64 {
         let echoed = self.progress.get(&node).and_then(|p| p.echoed_ms);
-        let since_ms = echoed.unwrap_or(0).max(self.led_since_ms);
+        let since_ms = echoed.unwrap_or(0).max(self.leader_since_ms);
         match node == self.id {
             true => 0,
             false => now_ms.saturating_sub(since_ms),
@@ -331,7 +331,7 @@
     pub fn leaderless_ms(&self, now_ms: u64) -> u64 {
         match self.role {
             Role::Leader => 0,
-            _ => now_ms.saturating_sub(self.heard_ms.unwrap_or(0)),
+            _ => now_ms.saturating_sub(self.leader_seen_ms.unwrap_or(0)),
         }
     }
 
@@ -342,17 +342,17 @@
             return false;
         }
         let voters = self.voters().clone();
-        let heir = self
+        let successor = self
             .progress
             .iter()
             .filter(|(node, _)| **node != self.id && voters.contains(node))
-            .filter(|(node, _)| self.heard_from(**node, now_ms))
+            .filter(|(node, _)| self.replied_recently(**node, now_ms))
             .max_by_key(|(_, progress)| progress.matched)
             .map(|(node, _)| *node);
-        match heir {
-            Some(heir) => {
+        match successor {
+            Some(successor) => {
                 let term = self.term;
-                self.send(heir, RaftMessage::Handover { term });
+                self.send(successor, RaftMessage::Handover { term });
                 self.become_follower(now_ms);
                 self.leader = None;
                 true
@@ -374,9 +374,9 @@
             state,
         };
         let kept = self.entries.partition_point(|e| e.mark.index <= index);
-        self.past.extend(self.entries.drain(..kept));
-        let old = self.past.len().saturating_sub(KEPT_PAST);
-        self.past.drain(..old);
+        self.retained.extend(self.entries.drain(..kept));
+        let old = self.retained.len().saturating_sub(MAX_RETAINED_ENTRIES);
+        self.retained.drain(..old);
         let record = DiskRecord::Install(self.snapshot.clone());
         self.output.records.push(record);
     }
@@ -384,16 +384,16 @@
     /// Lets time pass: elections, heartbeats and stepping down.
     pub fn tick(&mut self, now_ms: u64) {
         // With other records it costs no sync of its own; alone it waits a while.
-        if now_ms >= self.saved_ms + self.timing.heartbeat_ms {
-            self.saved_ms = now_ms;
-            self.save_commit();
+        if now_ms >= self.persisted_ms + self.timing.heartbeat_ms {
+            self.persisted_ms = now_ms;
+            self.persist_commit();
         }
         match self.role {
             Role::Leader => {
                 if now_ms >= self.heartbeat_due_ms {
                     self.replicate(now_ms);
                 }
-                self.step_down_if_alone(now_ms);
+                self.step_down_without_quorum(now_ms);
             }
             _ if now_ms >= self.election_due_ms => self.start_pre_vote(now_ms),
             _ => {}
@@ -407,7 +407,7 @@
             RaftMessage::PreVote { .. } | RaftMessage::PreVoteReply { granted: true, .. }
         );
         let ignored = match &message {
-            RaftMessage::Vote { handover, .. } => !handover && self.bound_to_leader(now_ms),
+            RaftMessage::Vote { handover, .. } => !handover && self.is_bound_to_leader(now_ms),
             _ => false,
         };
         if ignored {
@@ -509,10 +509,12 @@
 
     /// A voter that heard a leader lately, or may have before it restarted,
     /// helps no other to power: the leader's lease rests on this.
-    fn bound_to_leader(&self, now_ms: u64) -> bool {
-        let heard = self.heard_ms.map_or(0, |at| at + self.timing.election_ms);
+    fn is_bound_to_leader(&self, now_ms: u64) -> bool {
+        let leader_valid_ms = self
+            .leader_seen_ms
+            .map_or(0, |at| at + self.timing.election_ms);
         let leading = self.role == Role::Leader && now_ms < self.lease_until_ms(now_ms);
-        now_ms < heard || now_ms < self.silent_until_ms || leading
+        now_ms < leader_valid_ms || now_ms < self.no_vote_until_ms || leading
     }
 
     fn enter_term(&mut self, now_ms: u64, term: Term) {
@@ -527,7 +529,7 @@
         // What was allowed under the lease holds until its end: no help to others before.
         if self.role == Role::Leader {
             let lease_ms = self.lease_until_ms(now_ms);
-            self.silent_until_ms = self.silent_until_ms.max(lease_ms);
+            self.no_vote_until_ms = self.no_vote_until_ms.max(lease_ms);
         }
         self.role = Role::Follower;
         self.progress.clear();
@@ -542,7 +544,7 @@
 
     fn start_pre_vote(&mut self, now_ms: u64) {
         self.schedule_election(now_ms);
-        if !self.is_voter() || now_ms < self.silent_until_ms {
+        if !self.is_voter() || now_ms < self.no_vote_until_ms {
             return;
         }
         self.role = Role::PreCandidate;
@@ -584,7 +586,7 @@
     }
 
     fn on_pre_vote(&mut self, now_ms: u64, from: NodeId, term: Term, last: LogMark) {
-        let granted = term > self.term && last >= self.last() && !self.bound_to_leader(now_ms);
+        let granted = term > self.term && last >= self.last() && !self.is_bound_to_leader(now_ms);
         let term = if granted { term } else { self.term };
         self.send(from, RaftMessage::PreVoteReply { term, granted });
     }
@@ -623,7 +625,7 @@
 
     fn become_leader(&mut self, now_ms: u64) {
         self.role = Role::Leader;
-        self.led_since_ms = now_ms;
+        self.leader_since_ms = now_ms;
         self.leader = Some(self.id);
         let next = Position(self.last().index.0 + 1);
         let fresh = Progress {
@@ -635,7 +637,7 @@
             .into_iter()
             .map(|p| (p, fresh))
             .collect();
-        self.append_own(Payload::Blank);
+        self.append_own(Payload::Noop);
         self.replicate(now_ms);
     }
 
@@ -654,7 +656,7 @@
     /// the leader is its own quorum.
     fn replicate(&mut self, now_ms: u64) {
         self.heartbeat_due_ms = now_ms + self.timing.heartbeat_ms;
-        self.told = (self.last().index, self.commit);
+        self.broadcast = (self.last().index, self.commit);
         let voters = self.voters().clone();
         self.learners.retain(|node| !voters.contains(node));
         let mut peers: BTreeSet<NodeId> = self.other_voters().into_iter().collect();
@@ -676,9 +678,9 @@
             return;
         };
         let index = Position(progress.next.0.saturating_sub(1));
-        let (prev, entries) = match self.sent_term_at(index) {
+        let (prev, entries) = match self.sendable_term_at(index) {
             Some(term) => (LogMark { term, index }, self.entries_after(index)),
-            None if progress.installing_ms <= now_ms => return self.send_install(now_ms, peer),
+            None if progress.install_until_ms <= now_ms => return self.send_install(now_ms, peer),
             // A heartbeat, while a snapshot is on its way.
             None => return self.send_entries(now_ms, peer, self.snapshot.last, Vec::new()),
         };
@@ -701,7 +703,7 @@
 
     fn send_install(&mut self, now_ms: u64, peer: NodeId) {
         if let Some(progress) = self.progress.get_mut(&peer) {
-            progress.installing_ms = now_ms + INSTALL_MS;
+            progress.install_until_ms = now_ms + SNAPSHOT_RESEND_MS;
         }
         let message = RaftMessage::Install {
             term: self.term,
@@ -712,21 +714,21 @@
     }
 
     /// The term of an entry that followers may be sent what comes after.
-    fn sent_term_at(&self, index: Position) -> Option<Term> {
-        let past = || self.past.binary_search_by_key(&index, |e| e.mark.index);
+    fn sendable_term_at(&self, index: Position) -> Option<Term> {
+        let retained = || self.retained.binary_search_by_key(&index, |e| e.mark.index);
         let known = self.term_at(index);
-        known.or_else(|| past().ok().map(|at| self.past[at].mark.term))
+        known.or_else(|| retained().ok().map(|at| self.retained[at].mark.term))
     }
 
-    /// The next entries after one that [`Self::sent_term_at`] knows.
+    /// The next entries after one that [`Self::sendable_term_at`] knows.
     fn entries_after(&self, index: Position) -> Vec<LogEntry> {
-        let from = self.past.partition_point(|e| e.mark.index <= index);
-        let all = self.past[from..].iter().chain(&self.entries);
+        let from = self.retained.partition_point(|e| e.mark.index <= index);
+        let all = self.retained[from..].iter().chain(&self.entries);
         let later = all.filter(|entry| entry.mark.index > index);
-        later.take(MAX_BATCH).cloned().collect()
+        later.take(MAX_APPEND_ENTRIES).cloned().collect()
     }
 
-    fn step_down_if_alone(&mut self, now_ms: u64) {
+    fn step_down_without_quorum(&mut self, now_ms: u64) {
         let lost = self.lease_until_ms(now_ms) + 2 * self.timing.election_ms < now_ms;
         let settled = self.term_at(self.commit) == Some(self.term);
         if lost && (settled || now_ms >= self.election_due_ms) {
@@ -751,7 +753,7 @@
             self.become_follower(now_ms);
         }
         self.leader = Some(from);
-        self.heard_ms = Some(now_ms);
+        self.leader_seen_ms = Some(now_ms);
         self.schedule_election(now_ms);
         true
     }
@@ -769,10 +771,10 @@
         let at = if matched {
             let last = Position(prev.index.0 + entries.len() as u64);
             self.merge(entries);
-            self.deliver_up_to(commit.min(last));
+            self.commit_up_to(commit.min(last));
             last
         } else {
-            self.hint_before(prev.index)
+            self.conflict_hint(prev.index)
         };
         let message = RaftMessage::AppendReply {
             term: self.term,
@@ -784,13 +786,13 @@
     }
 
     /// Where the leader should try next: before the whole term that clashed.
-    fn hint_before(&self, index: Position) -> Position {
+    fn conflict_hint(&self, index: Position) -> Position {
         let last = self.last().index;
         if index > last {
             return last;
         }
-        let clash = self.term_at(index);
-        let first = self.entries.iter().find(|e| Some(e.mark.term) == clash);
+        let conflict = self.term_at(index);
+        let first = self.entries.iter().find(|e| Some(e.mark.term) == conflict);
         let before = first.map_or(index.0, |entry| entry.mark.index.0);
         Position(before.saturating_sub(1).max(self.commit.0))
     }
@@ -824,7 +826,7 @@
                     self.output.records.push(DiskRecord::Truncate(first));
                 }
             }
-            self.past.clear();
+            self.retained.clear();
             self.snapshot = snapshot.clone();
             self.commit = at;
             self.delivered = at;
@@ -856,11 +858,11 @@
             return;
         };
         progress.echoed_ms = progress.echoed_ms.max(Some(sent_ms));
-        let installing = progress.installing_ms > now_ms;
+        let installing = progress.install_until_ms > now_ms;
         match matched {
             true => {
                 if installed {
-                    progress.installing_ms = 0;
+                    progress.install_until_ms = 0;
                 }
                 progress.matched = progress.matched.max(at);
                 progress.next = progress.next.max(Position(at.0 + 1));
@@ -889,7 +891,7 @@
         let agreed = matched[self.quorum() - 1];
         // Only entries of the own term commit by count (Raft, section 5.4.2).
         if agreed > self.commit && self.term_at(agreed) == Some(self.term) {
-            self.deliver_up_to(agreed);
+            self.commit_up_to(agreed);
             let removed = !self.voters_at(self.commit).contains(&self.id);
             if removed {
                 self.role = Role::Follower;
@@ -898,7 +900,7 @@
         }
     }
 
-    fn deliver_up_to(&mut self, commit: Position) {
+    fn commit_up_to(&mut self, commit: Position) {
         self.commit = self.commit.max(commit);
         while self.delivered < self.commit {
             let next = Position(self.delivered.0 + 1);
--- a/src/consensus/replica.rs
+++ b/src/consensus/replica.rs
@@ -54,7 +54,7 @@
     }
 
     /// The image of a new site: its founding voters.
-    pub fn founding_image(voters: BTreeSet<NodeId>) -> DiskImage {
+    pub fn bootstrap_image(voters: BTreeSet<NodeId>) -> DiskImage {
         let mut image = DiskImage::default();
         image.snapshot.voters = voters;
         image.snapshot.state = encode_state(&SiteState::default());
@@ -98,7 +98,7 @@
 
     /// Whether entries are committed that the state does not hold yet: until the end
     /// of this batch of steps, a read would miss what a leader before acknowledged.
-    pub fn lags(&self) -> bool {
+    pub fn is_behind(&self) -> bool {
         self.state.position < self.raft.commit()
     }
 
@@ -131,8 +131,8 @@
             None => voters.insert(learner),
         };
         let raft = &self.raft;
-        let heard = |node: &&NodeId| **node == raft.id() || raft.heard_from(**node, now_ms);
-        let alive = voters.iter().filter(heard).count();
+        let replied = |node: &&NodeId| **node == raft.id() || raft.replied_recently(**node, now_ms);
+        let alive = voters.iter().filter(replied).count();
         alive * 2 > voters.len() && self.raft.propose_voters(voters).is_ok()
     }
 
@@ -158,12 +158,12 @@
             others.find(|node| host.is_some() && host_of(*node) == host)
         });
         let raft = &self.raft;
-        let longest = voters
+        let most_silent = voters
             .iter()
             .copied()
             .map(|node| (raft.silence_ms(node, now_ms), node))
             .max();
-        let silent = longest.filter(|(span_ms, _)| *span_ms >= silent_ms);
+        let silent = most_silent.filter(|(silence_ms, _)| *silence_ms >= silent_ms);
         match (same_host, learner, silent) {
             (Some(old), _, _) => voters.remove(&old),
             (None, Some(learner), _) if voters.len() < MAX_VOTERS => voters.insert(learner),
@@ -172,8 +172,8 @@
             }
             _ => return false,
         };
-        let heard = |node: &&NodeId| **node == raft.id() || raft.heard_from(**node, now_ms);
-        let alive = voters.iter().filter(heard).count();
+        let replied = |node: &&NodeId| **node == raft.id() || raft.replied_recently(**node, now_ms);
+        let alive = voters.iter().filter(replied).count();
         alive * 2 > voters.len() && self.raft.propose_voters(voters).is_ok()
     }
 
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -5,19 +5,21 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::consensus::claims::{ClaimAnswer, ClaimAsk, ClaimBook, ClaimKey, Settlement};
-use crate::consensus::crashes::{CrashBook, CrashCounts, CrashReport};
-use crate::consensus::directory::{AdapterEffect, BeatNews, ReplicaDirectory, ReplicaRecord};
+use crate::consensus::claims::{ClaimKey, ClaimReply, ClaimRequest, ClaimStore, Settlement};
+use crate::consensus::crashes::{CrashCounts, CrashReport, CrashStore};
+use crate::consensus::directory::{
+    AdapterEffect, HeartbeatStatus, ReplicaDirectory, ReplicaRecord,
+};
 use crate::ids::{
     AttemptId, ContentDigest, HallName, HostName, Incarnation, ModelName, NodeId, Position,
-    ReplicaId, ReplicaLife, ServiceName, TargetName,
+    ReplicaId, ReplicaIncarnation, ServiceName, TargetName,
 };
 use crate::table::configuration::{Configuration, ConfigurationRecord, WarmupSpec};
-use crate::table::rows::{EditAnswer, RowEdit, TableStore};
+use crate::table::rows::{EditResult, RowEdit, TableStore};
 use crate::table::site::SiteSpec;
 
 /// Changes remembered for members that fall behind; further back, they get a snapshot.
-pub const JOURNAL_LEN: usize = 4096;
+pub const MAX_JOURNAL_LEN: usize = 4096;
 
 /// What a process does for the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -90,7 +92,7 @@
     /// An operator's edit.
     Edit(RowEdit),
     /// Claims a call that may run at most once.
-    Claim(ClaimAsk),
+    Claim(ClaimRequest),
     /// Ends a claim.
     Settle(ClaimKey, AttemptId, Settlement),
     /// A process starts a life. Its old life, if any, ends.
@@ -113,7 +115,7 @@
     /// A replica has not been heard from for too long.
     ReplicaSilent(ReplicaId),
     /// A replica's life has ended; a later one goes on.
-    ReplicaEnded(ReplicaLife),
+    ReplicaEnded(ReplicaIncarnation),
     /// An order has brought an adapter to a replica, or taken it away.
     ReplicaAdapter(ReplicaId, ModelName, String, AdapterEffect),
     /// An order is to bring an adapter to a replica.
@@ -144,7 +146,7 @@
 
 /// The answer to [`Command::Configure`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ConfigureAnswer {
+pub enum ConfigureResult {
     /// In force now, or already.
     Held,
     /// A higher version is in force: nothing changed.
@@ -169,9 +171,9 @@
     /// Nothing to say.
     None,
     /// To [`Command::Edit`].
-    Edit(EditAnswer),
+    Edit(EditResult),
     /// To [`Command::Claim`].
-    Claim(ClaimAnswer),
+    Claim(ClaimReply),
     /// To [`Command::Settle`]: whether this is the recorded end.
     Settled(bool),
     /// To [`Command::Join`] and [`Command::Rejoin`].
@@ -179,7 +181,7 @@
     /// To [`Command::Rejoin`]: another process has taken the name.
     Replaced,
     /// To [`Command::Configure`].
-    Configured(ConfigureAnswer),
+    Configured(ConfigureResult),
     /// To [`Command::ContentLifted`]: whether the content was barred.
     Lifted(bool),
 }
@@ -218,7 +220,7 @@
 pub const RETENTION_MS: u64 = 24 * 3600 * 1000;
 
 /// Pruning scans all records, so it runs once a minute of the state's clock.
-const PRUNE_EVERY_MS: u64 = 60_000;
+const PRUNE_INTERVAL_MS: u64 = 60_000;
 
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -232,11 +234,11 @@
     /// Rows and answered edits.
     pub table: TableStore,
     /// Claims.
-    pub claims: ClaimBook,
+    pub claims: ClaimStore,
     /// Members in their current lives.
     pub members: BTreeMap<HostName, MemberInfo>,
     /// The newest life of each host that ever joined.
-    pub lives: BTreeMap<HostName, Incarnation>,
+    pub incarnations: BTreeMap<HostName, Incarnation>,
     /// Homes by target.
     pub homes: BTreeMap<TargetName, BTreeMap<ModelName, HomeInfo>>,
     /// Loads and unloads ordered so far.
@@ -248,7 +250,7 @@
     /// The replicas that registered.
     pub replicas: ReplicaDirectory,
     /// Contents under which replicas ended.
-    pub crashes: CrashBook,
+    pub crashes: CrashStore,
     /// Data halls whose replicas are to get nothing more.
     pub evacuated: BTreeSet<HallName>,
     /// Where voters' disks are reached.
@@ -268,37 +270,38 @@
         match &stamped.command {
             Command::Site(site) => self.apply_site(site),
             Command::Edit(edit) => self.apply_edit(edit),
-            Command::Claim(ask) => Reply::Claim(self.claims.claim(position, self.clock_ms, ask)),
+            Command::Claim(call) => Reply::Claim(self.claims.claim(position, self.clock_ms, call)),
             Command::Settle(key, attempt, end) => {
                 Reply::Settled(self.claims.settle(key, *attempt, end))
             }
             Command::Join(host, role, address, hall) => {
-                let life = Incarnation(position.0);
-                self.apply_join(host, *role, address, hall, life)
+                let incarnation = Incarnation(position.0);
+                self.apply_join(host, *role, address, hall, incarnation)
             }
-            Command::Rejoin(host, role, address, hall, life) => match self.lives.get(host) {
-                Some(newest) if newest == life => {
-                    self.apply_join(host, *role, address, hall, *life)
+            Command::Rejoin(host, role, address, hall, joined) => match self.incarnations.get(host)
+            {
+                Some(newest) if newest == joined => {
+                    self.apply_join(host, *role, address, hall, *joined)
                 }
                 _ => Reply::Replaced,
             },
-            Command::Leave(host, life) => self.apply_leave(host, *life),
-            Command::Lost(host, life) => self.apply_lost(host, *life),
+            Command::Leave(host, incarnation) => self.apply_leave(host, *incarnation),
+            Command::Lost(host, incarnation) => self.apply_lost(host, *incarnation),
             Command::Move(target, model, kind) => self.apply_move(target, model, *kind),
-            Command::Home(target, life, model, report) => {
-                self.apply_home(target, *life, model, *report)
+            Command::Home(target, incarnation, model, report) => {
+                self.apply_home(target, *incarnation, model, *report)
             }
             Command::Configure(record) => Reply::Configured(self.apply_configuration(record)),
             Command::Replica(record) => self.apply_replica(record),
             Command::ReplicaSilent(id) => {
-                if self.replicas.silence(id) {
-                    self.note_replica(id);
+                if self.replicas.mark_silent(id) {
+                    self.record_replica_change(id);
                 }
                 Reply::None
             }
-            Command::ReplicaEnded(life) => {
-                if self.replicas.end_life(life) {
-                    self.note_replica(&life.id);
+            Command::ReplicaEnded(incarnation) => {
+                if self.replicas.end_incarnation(incarnation) {
+                    self.record_replica_change(&incarnation.id);
                 }
                 Reply::None
             }
@@ -308,12 +311,12 @@
                     .replicas
                     .set_adapter(id, model, adapter, *effect, clock_ms)
                 {
-                    self.note_replica(id);
+                    self.record_replica_change(id);
                 }
                 Reply::None
             }
             Command::ReplicaAdapterOrdered(id, model, adapter) => {
-                self.replicas.order_adapter(id, model, adapter);
+                self.replicas.record_adapter_order(id, model, adapter);
                 Reply::None
             }
             Command::ReplicaAdapterSettled(id, model, adapter) => {
@@ -321,24 +324,24 @@
                 Reply::None
             }
             Command::ReplicaUnload(id, model) => {
-                if self.replicas.unload(id, model) {
-                    self.note_replica(id);
+                if self.replicas.record_unload(id, model) {
+                    self.record_replica_change(id);
                 }
                 Reply::None
             }
             Command::ReplicaLoad(id, model) => {
-                self.replicas.load(id, model);
+                self.replicas.record_load(id, model);
                 Reply::None
             }
             Command::ReplicaSettled(id, model) => {
                 if self.replicas.settle(id, model) {
-                    self.note_replica(id);
+                    self.record_replica_change(id);
                 }
                 Reply::None
             }
             Command::ReplicaDrains(id) => {
-                if self.replicas.drain(id) {
-                    self.note_replica(id);
+                if self.replicas.mark_draining(id) {
+                    self.record_replica_change(id);
                 }
                 Reply::None
             }
@@ -348,13 +351,13 @@
                 Reply::None
             }
             Command::Crashed(report) => {
-                let changed = self.crashes.note(report, self.clock_ms);
-                self.note_contents(changed);
+                let changed = self.crashes.record(report, self.clock_ms);
+                self.record_content_changes(changed);
                 Reply::None
             }
             Command::ContentCleared(content) => {
                 if self.crashes.clear(content) {
-                    self.note_contents(CrashCounts::from([(*content, 0)]));
+                    self.record_content_changes(CrashCounts::from([(*content, 0)]));
                 }
                 Reply::None
             }
@@ -362,20 +365,20 @@
                 let lifted = self.crashes.lift(content);
                 if lifted {
                     let count = self.crashes.count(content);
-                    self.note_contents(CrashCounts::from([(*content, count)]));
+                    self.record_content_changes(CrashCounts::from([(*content, count)]));
                 }
                 Reply::Lifted(lifted)
             }
             Command::Evacuate(hall) => {
                 if self.evacuated.insert(hall.clone()) {
-                    self.note(Change::Hall(hall.clone(), HallStanding::Evacuated));
+                    self.record_change(Change::Hall(hall.clone(), HallStanding::Evacuated));
                 }
                 Reply::None
             }
             Command::Restore(hall) => {
                 if self.evacuated.remove(hall) {
-                    self.cool_hall(hall);
-                    self.note(Change::Hall(hall.clone(), HallStanding::Open));
+                    self.mark_hall_cold(hall);
+                    self.record_change(Change::Hall(hall.clone(), HallStanding::Open));
                 }
                 Reply::None
             }
@@ -442,7 +445,7 @@
     }
 
     /// The agent that keeps `target`, by the host of the same name.
-    pub fn keeper(&self, target: &TargetName) -> Option<&MemberInfo> {
+    pub fn agent_of(&self, target: &TargetName) -> Option<&MemberInfo> {
         let host = HostName(target.0.clone());
         let member = self.members.get(&host)?;
         (member.role == MemberRole::Agent).then_some(member)
@@ -451,26 +454,26 @@
     fn advance_clock(&mut self, at_ms: u64) {
         let last_ms = self.clock_ms;
         self.clock_ms = self.clock_ms.max(at_ms);
-        if self.clock_ms / PRUNE_EVERY_MS == last_ms / PRUNE_EVERY_MS {
+        if self.clock_ms / PRUNE_INTERVAL_MS == last_ms / PRUNE_INTERVAL_MS {
             return;
         }
         let before_ms = self.clock_ms.saturating_sub(RETENTION_MS);
         self.table.prune(before_ms);
         self.claims.prune(before_ms);
         let forgotten = self.crashes.prune(before_ms);
-        self.note_contents(forgotten);
+        self.record_content_changes(forgotten);
     }
 
-    fn note_contents(&mut self, changed: CrashCounts) {
+    fn record_content_changes(&mut self, changed: CrashCounts) {
         if !changed.is_empty() {
-            self.note(Change::Contents(changed));
+            self.record_change(Change::Contents(changed));
         }
     }
 
-    fn note(&mut self, change: Change) {
+    fn record_change(&mut self, change: Change) {
         self.changed = self.position;
         self.journal.push_back((self.position, change));
-        while self.journal.len() > JOURNAL_LEN {
+        while self.journal.len() > MAX_JOURNAL_LEN {
             if let Some((dropped, _)) = self.journal.pop_front() {
                 self.journal_from = dropped;
             }
@@ -480,37 +483,37 @@
     fn apply_site(&mut self, site: &SiteSpec) -> Reply {
         if site.generation > self.site.generation {
             self.site = site.clone();
-            self.note(Change::Site(site.clone()));
+            self.record_change(Change::Site(site.clone()));
         }
         Reply::None
     }
 
-    fn apply_configuration(&mut self, record: &ConfigurationRecord) -> ConfigureAnswer {
+    fn apply_configuration(&mut self, record: &ConfigurationRecord) -> ConfigureResult {
         let version = record.configuration.version;
         match &self.configuration {
-            Some(held) if held.configuration.version > version => ConfigureAnswer::Superseded,
+            Some(held) if held.configuration.version > version => ConfigureResult::Superseded,
             Some(held) if held.configuration.version < version => self.configure(record),
-            Some(held) if **held == *record => ConfigureAnswer::Held,
-            Some(_) => ConfigureAnswer::Conflict,
+            Some(held) if **held == *record => ConfigureResult::Held,
+            Some(_) => ConfigureResult::Conflict,
             None => self.configure(record),
         }
     }
 
-    fn configure(&mut self, record: &ConfigurationRecord) -> ConfigureAnswer {
+    fn configure(&mut self, record: &ConfigurationRecord) -> ConfigureResult {
         self.configuration = Some(Box::new(record.clone()));
         // Only the newest one counts, and each is large.
         let is_other = |change: &Change| !matches!(change, Change::Configuration(_));
         self.journal.retain(|(_, change)| is_other(change));
         let configuration = Box::new(record.configuration.clone());
-        self.note(Change::Configuration(configuration));
-        ConfigureAnswer::Held
+        self.record_change(Change::Configuration(configuration));
+        ConfigureResult::Held
     }
 
     /// What a heartbeat changes. One for a service that the configuration doesn't name comes
     /// from another writer, and could end the replica whose address it tells. A replica that
     /// is known keeps being heard where its service is dropped, as it must learn that it may
     /// leave.
-    pub fn replica_news(&self, record: &ReplicaRecord) -> BeatNews {
+    pub fn compare_heartbeat(&self, record: &ReplicaRecord) -> HeartbeatStatus {
         let configured = self.configuration.as_ref().map(|held| &held.configuration);
         let named = configured.is_none_or(|c| c.services.contains_key(&record.service));
         let known = self.replicas.records().get(&record.id);
@@ -518,9 +521,9 @@
         match named || same {
             true => {
                 let record = self.with_warm_up(record);
-                self.replicas.news(&record, self.clock_ms)
+                self.replicas.compare_heartbeat(&record, self.clock_ms)
             }
-            false => BeatNews::Foreign,
+            false => HeartbeatStatus::Foreign,
         }
     }
 
@@ -534,10 +537,10 @@
     /// is committed, and for no longer than it can last.
     fn with_warm_up<'a>(&self, record: &'a ReplicaRecord) -> Cow<'a, ReplicaRecord> {
         let spec = self.warm_up(&record.service);
-        let most_ms = spec.map_or(0, |spec| spec.lasts_ms);
-        match record.cold_ms > most_ms {
+        let max_ms = spec.map_or(0, |spec| spec.lasts_ms);
+        match record.cold_ms > max_ms {
             true => Cow::Owned(ReplicaRecord {
-                cold_ms: most_ms,
+                cold_ms: max_ms,
                 ..record.clone()
             }),
             false => Cow::Borrowed(record),
@@ -546,7 +549,7 @@
 
     /// Takes the replicas of a data hall for cold: nobody has sent them anything for a while,
     /// and those that turned cold shortly before may not have told yet.
-    fn cool_hall(&mut self, hall: &HallName) {
+    fn mark_hall_cold(&mut self, hall: &HallName) {
         let records = self.replicas.records().values();
         let there = records.filter(|record| record.hall == *hall);
         let cold = there.filter_map(|record| {
@@ -555,25 +558,25 @@
         });
         let cold: Vec<(ReplicaId, u64)> = cold.collect();
         for (id, cold_ms) in cold {
-            if self.replicas.cool(&id, cold_ms, self.clock_ms) {
-                self.note_replica(&id);
+            if self.replicas.mark_cold(&id, cold_ms, self.clock_ms) {
+                self.record_replica_change(&id);
             }
         }
     }
 
     fn apply_replica(&mut self, record: &ReplicaRecord) -> Reply {
         let record = self.with_warm_up(record);
-        if self.replica_news(&record) == BeatNews::Foreign {
+        if self.compare_heartbeat(&record) == HeartbeatStatus::Foreign {
             return Reply::None;
         }
         let before = self.member_record(&record.id);
         if let Some(replaced) = self.replicas.put(&record, self.clock_ms) {
             for id in &replaced {
-                self.note_replica(id);
+                self.record_replica_change(id);
             }
             let after = self.member_record(&record.id);
             if before != after {
-                self.note(Change::Replica(record.id.clone(), after));
+                self.record_change(Change::Replica(record.id.clone(), after));
             }
         }
         Reply::None
@@ -584,9 +587,9 @@
         record.map(ReplicaRecord::for_members)
     }
 
-    fn note_replica(&mut self, id: &ReplicaId) {
+    fn record_replica_change(&mut self, id: &ReplicaId) {
         let record = self.member_record(id);
-        self.note(Change::Replica(id.clone(), record));
+        self.record_change(Change::Replica(id.clone(), record));
     }
 
     fn apply_edit(&mut self, edit: &RowEdit) -> Reply {
@@ -596,7 +599,7 @@
             .apply(&self.site, self.position, self.clock_ms, edit);
         let after = self.table.rows().get(&edit.row).cloned();
         if before != after {
-            self.note(Change::Row(edit.row.clone(), after));
+            self.record_change(Change::Row(edit.row.clone(), after));
         }
         Reply::Edit(answer)
     }
@@ -609,7 +612,7 @@
         hall: &HallName,
         incarnation: Incarnation,
     ) -> Reply {
-        self.lives.insert(host.clone(), incarnation);
+        self.incarnations.insert(host.clone(), incarnation);
         let member = MemberInfo {
             role,
             incarnation,
@@ -618,27 +621,27 @@
             leaving: false,
         };
         self.members.insert(host.clone(), member.clone());
-        self.note(Change::Member(host.clone(), Some(member)));
+        self.record_change(Change::Member(host.clone(), Some(member)));
         Reply::Joined(incarnation)
     }
 
-    fn apply_leave(&mut self, host: &HostName, life: Incarnation) -> Reply {
+    fn apply_leave(&mut self, host: &HostName, incarnation: Incarnation) -> Reply {
         if let Some(member) = self.members.get_mut(host)
-            && member.incarnation == life
+            && member.incarnation == incarnation
             && !member.leaving
         {
             member.leaving = true;
             let change = Change::Member(host.clone(), Some(member.clone()));
-            self.note(change);
+            self.record_change(change);
         }
         Reply::None
     }
 
-    fn apply_lost(&mut self, host: &HostName, life: Incarnation) -> Reply {
+    fn apply_lost(&mut self, host: &HostName, incarnation: Incarnation) -> Reply {
         let current = self.members.get(host).map(|member| member.incarnation);
-        if current == Some(life) {
+        if current == Some(incarnation) {
             self.members.remove(host);
-            self.note(Change::Member(host.clone(), None));
+            self.record_change(Change::Member(host.clone(), None));
             self.drop_homes(&TargetName(host.0.clone()));
         }
         Reply::None
@@ -648,7 +651,7 @@
     fn drop_homes(&mut self, target: &TargetName) {
         let homes = self.homes.remove(target).unwrap_or_default();
         for model in homes.into_keys() {
-            self.note(Change::Home(target.clone(), model, None));
+            self.record_change(Change::Home(target.clone(), model, None));
         }
     }
 
@@ -671,12 +674,12 @@
     fn apply_home(
         &mut self,
         target: &TargetName,
-        life: Incarnation,
+        incarnation: Incarnation,
         model: &ModelName,
         report: HomeReport,
     ) -> Reply {
-        let keeper = self.keeper(target).map(|member| member.incarnation);
-        if keeper != Some(life) {
+        let agent_of = self.agent_of(target).map(|member| member.incarnation);
+        if agent_of != Some(incarnation) {
             return Reply::None;
         }
         let current = self.homes.get(target).and_then(|h| h.get(model)).copied();
@@ -701,6 +704,6 @@
             Some(info) => homes.insert(model.clone(), info),
             None => homes.remove(model),
         };
-        self.note(Change::Home(target.clone(), model.clone(), home));
+        self.record_change(Change::Home(target.clone(), model.clone(), home));
     }
 }
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -6,8 +6,8 @@
 use tokio::sync::oneshot;
 
 use crate::consensus::claims::{ClaimKey, ClaimRecord};
-use crate::consensus::crashes::CrashBook;
-use crate::consensus::directory::{BeatNews, ReplicaRecord};
+use crate::consensus::crashes::CrashStore;
+use crate::consensus::directory::{HeartbeatStatus, ReplicaRecord};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
 use crate::ids::{HostName, NodeId, Position, ReplicaId, Term};
@@ -23,7 +23,7 @@
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
-use crate::table::quota::{QuotaAsk, QuotaGrants};
+use crate::table::quota::{QuotaGrants, QuotaRequest};
 
 /// Where the answer to an event goes.
 pub type Answer<T> = oneshot::Sender<Result<T, ControlRefusal>>;
@@ -80,7 +80,7 @@
         asked_ms: u64,
     },
     /// An entry draws from quotas; for the leader.
-    Quota(QuotaAsk, Answer<QuotaGrants>),
+    Quota(QuotaRequest, Answer<QuotaGrants>),
     /// All client accounts, for operators; for the leader.
     Accounts(Answer<Vec<AccountStatus>>),
     /// Replicas that a control host has heard; for the leader.
@@ -100,13 +100,13 @@
     /// What an entry heard of replicas' limits; for the leader.
     Limits(LimitReport, Answer<LimitPage>),
     /// The contents under which replicas ended, from a state that is surely the newest.
-    Contents(Answer<CrashBook>),
+    Contents(Answer<CrashStore>),
     /// Whether an order of that term may leave now, and for how long.
     MayOrder(Term, Answer<SendPermit>),
     /// An engine's answer to an order of this leader.
     Ordered(EngineOrder, OrderOutcome),
     /// Compares a replica's heartbeat with what is committed here.
-    Compare(Box<ReplicaRecord>, Answer<BeatNews>),
+    Compare(Box<ReplicaRecord>, Answer<HeartbeatStatus>),
     /// Stop: hand over first.
     Stop(oneshot::Sender<()>),
 }
--- a/src/control/founding.rs
+++ b/src/control/founding.rs
@@ -15,7 +15,7 @@
 use futures::future;
 use sha2::{Digest, Sha256};
 
-use crate::consensus::paxos::{NamingAnswer, NamingAsk};
+use crate::consensus::paxos::{PaxosReply, PaxosRequest};
 use crate::consensus::raft::{DiskImage, DiskRecord};
 use crate::consensus::replica::LogReplica;
 use crate::control::journal::{self, DiskJournal, JournalError};
@@ -61,7 +61,7 @@
         return Ok(());
     }
     let voters = founders.map(founder_id).collect();
-    let image = LogReplica::founding_image(voters);
+    let image = LogReplica::bootstrap_image(voters);
     journal.save(&[DiskRecord::Install(image.snapshot)])
 }
 
@@ -154,8 +154,8 @@
 pub async fn ask_named(
     link: &ControlLink,
     others: &[String],
-    ask: &NamingAsk,
-) -> Vec<NamingAnswer> {
+    ask: &PaxosRequest,
+) -> Vec<PaxosReply> {
     let asked = others.iter().map(|address| {
         let (context, ask) = (peers::within(ASK_TIME), ask.clone());
         let call =
@@ -163,7 +163,7 @@
         link.call_at(address, "naming", call)
     });
     let told = future::join_all(asked).await.into_iter();
-    told.map(|told| told.unwrap_or(NamingAnswer::Abstains))
+    told.map(|told| told.unwrap_or(PaxosReply::Abstained))
         .collect()
 }
 
--- a/src/control/orderer.rs
+++ b/src/control/orderer.rs
@@ -23,7 +23,7 @@
 use crate::control::event::{ControlEvent, ControlHandle, SendPermit};
 use crate::forward::head;
 use crate::forward::upstream::{Connection, Exchange, ExchangeError, Outgoing};
-use crate::ids::{ModelName, ReplicaId, ReplicaLife};
+use crate::ids::{ModelName, ReplicaId, ReplicaIncarnation};
 use crate::placement::order::{EngineOrder, OrderKind, OrderOutcome};
 use crate::process::daemon;
 
@@ -101,7 +101,7 @@
     handle: ControlHandle,
     dialect: EngineDialect,
 ) {
-    let counts: RefCell<BTreeMap<ReplicaLife, OrderCount>> = RefCell::default();
+    let counts: RefCell<BTreeMap<ReplicaIncarnation, OrderCount>> = RefCell::default();
     while let Some(order) = orders.recv().await {
         let count = count_of(&mut counts.borrow_mut(), order.life());
         let handle = handle.clone();
@@ -124,7 +124,10 @@
 
 /// The count of one life: the next one counts from the start, and that of the life before
 /// would be taken for it where both have the same id.
-fn count_of(counts: &mut BTreeMap<ReplicaLife, OrderCount>, life: ReplicaLife) -> OrderCount {
+fn count_of(
+    counts: &mut BTreeMap<ReplicaIncarnation, OrderCount>,
+    life: ReplicaIncarnation,
+) -> OrderCount {
     counts.retain(|other, _| other.id != life.id || *other == life);
     counts.entry(life).or_default().clone()
 }
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -12,8 +12,8 @@
 use tarpc::client::RpcError;
 use tokio::sync::oneshot;
 
-use crate::consensus::directory::{BeatNews, ReplicaPhase, ReplicaRecord};
-use crate::consensus::state::{Command, ConfigureAnswer, HallStanding, Reply};
+use crate::consensus::directory::{HeartbeatStatus, ReplicaPhase, ReplicaRecord};
+use crate::consensus::state::{Command, ConfigureResult, HallStanding, Reply};
 use crate::control::event::{ControlEvent, ControlHandle};
 use crate::ids::{HallName, ReplicaId, ServiceName};
 use crate::process::peers::{self, ControlLink, PeerError};
@@ -101,12 +101,12 @@
         let id = record.id.clone();
         self.heard().insert(id.clone());
         match self.compare(&record).await? {
-            BeatNews::Known => Ok(()),
-            BeatNews::Ended => Err(RegistryError::Ended),
-            BeatNews::Foreign => Err(RegistryError::Foreign {
+            HeartbeatStatus::Known => Ok(()),
+            HeartbeatStatus::Ended => Err(RegistryError::Ended),
+            HeartbeatStatus::Foreign => Err(RegistryError::Foreign {
                 service: record.service,
             }),
-            BeatNews::New => {
+            HeartbeatStatus::New => {
                 let phase = record.phase;
                 let models = record.models.len();
                 tracing::info!(replica = %id, service = %record.service, ?phase, models, "replica tells news");
@@ -134,7 +134,7 @@
         &self,
         configuration: Configuration,
         source: Vec<u8>,
-    ) -> Result<ConfigureAnswer, RegistryError> {
+    ) -> Result<ConfigureResult, RegistryError> {
         configuration.check()?;
         let version = configuration.version;
         let record = ConfigurationRecord {
@@ -145,7 +145,7 @@
         let reply = self.commit(command, CONFIGURE_TIME).await;
         tracing::info!(version, ?reply, "configuration");
         match reply? {
-            Reply::Configured(ConfigureAnswer::Conflict) => {
+            Reply::Configured(ConfigureResult::Conflict) => {
                 Err(RegistryError::Conflict { version })
             }
             Reply::Configured(answer) => Ok(answer),
@@ -253,7 +253,7 @@
         self.link.note_answer(leader, told(called))
     }
 
-    async fn compare(&self, record: &ReplicaRecord) -> Result<BeatNews, RegistryError> {
+    async fn compare(&self, record: &ReplicaRecord) -> Result<HeartbeatStatus, RegistryError> {
         match &self.access {
             LogAccess::Own(handle) => {
                 let record = Box::new(record.clone());
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -16,9 +16,9 @@
 
 use crate::clock;
 use crate::consensus::claims::{ClaimKey, ClaimRecord};
-use crate::consensus::crashes::CrashBook;
-use crate::consensus::directory::{BeatNews, ReplicaRecord};
-use crate::consensus::paxos::{self, NamingAnswer, NamingAsk, NamingBook};
+use crate::consensus::crashes::CrashStore;
+use crate::consensus::directory::{HeartbeatStatus, ReplicaRecord};
+use crate::consensus::paxos::{self, PaxosAcceptor, PaxosReply, PaxosRequest};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
 use crate::control::founding;
@@ -40,7 +40,7 @@
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
-use crate::table::quota::{QuotaAsk, QuotaGrants};
+use crate::table::quota::{QuotaGrants, QuotaRequest};
 
 /// Pause before an asker that knows nothing yet is answered: it asks again at once.
 const NOTICE_PAUSE: Duration = Duration::from_millis(100);
@@ -99,7 +99,7 @@
         let named = settings.control.iter().map(|voter| voter.host.clone());
         let named: BTreeSet<HostName> = named.collect();
         let is_named = named.contains(&settings.host);
-        let book = is_named.then(|| NamingBook::new(named, Incarnation(rand::random())));
+        let book = is_named.then(|| PaxosAcceptor::new(named, Incarnation(rand::random())));
         Self::open(listener, settings, secret, book).await
     }
 
@@ -107,7 +107,7 @@
         listener: TcpListener,
         settings: CommonSettings,
         secret: SiteSecret,
-        book: Option<NamingBook>,
+        book: Option<PaxosAcceptor>,
     ) -> Result<Self, DaemonError> {
         let address = daemon::address_of("listen", &listener)?;
         let named = settings.control.iter();
@@ -254,7 +254,7 @@
     /// The other named hosts.
     others: Vec<String>,
     /// This relay's part in naming; none where it may have forgotten what it did.
-    book: Option<Mutex<NamingBook>>,
+    book: Option<Mutex<PaxosAcceptor>>,
     /// The host that was named. Held while it is agreed on, so that one host that asks
     /// waits for the other's try.
     founder: tokio::sync::Mutex<Option<HostName>>,
@@ -264,10 +264,10 @@
     /// One try to have `host` named; whoever was named before stays so.
     async fn agree(&self, link: &ControlLink, host: &HostName) -> Option<HostName> {
         let book = self.book.as_ref()?;
-        let ask = peers::lock(book).begin();
+        let ask = peers::lock(book).prepare();
         let promises = self.ask_all(link, book, &ask).await?;
-        let founder = paxos::name_after(&promises, host);
-        let ask = ask.record(founder.clone());
+        let founder = paxos::value_to_accept(&promises, host);
+        let ask = ask.accept(founder.clone());
         self.ask_all(link, book, &ask).await.map(|_| founder)
     }
 
@@ -275,13 +275,13 @@
     async fn ask_all(
         &self,
         link: &ControlLink,
-        book: &Mutex<NamingBook>,
-        ask: &NamingAsk,
-    ) -> Option<Vec<NamingAnswer>> {
+        book: &Mutex<PaxosAcceptor>,
+        ask: &PaxosRequest,
+    ) -> Option<Vec<PaxosReply>> {
         let mut answers = founding::ask_named(link, &self.others, ask).await;
         let mut book = peers::lock(book);
-        answers.push(book.answer(ask));
-        book.is_granted(&answers).then_some(answers)
+        answers.push(book.respond(ask));
+        book.has_majority(&answers).then_some(answers)
     }
 }
 
@@ -376,7 +376,7 @@
         Err(self.elsewhere())
     }
 
-    async fn quota(self, _: Context, _: QuotaAsk) -> Result<QuotaGrants, ControlRefusal> {
+    async fn quota(self, _: Context, _: QuotaRequest) -> Result<QuotaGrants, ControlRefusal> {
         Err(self.elsewhere())
     }
 
@@ -416,11 +416,15 @@
         Err(self.elsewhere())
     }
 
-    async fn contents(self, _: Context) -> Result<CrashBook, ControlRefusal> {
+    async fn contents(self, _: Context) -> Result<CrashStore, ControlRefusal> {
         Err(self.elsewhere())
     }
 
-    async fn compare(self, _: Context, _: ReplicaRecord) -> Result<BeatNews, ControlRefusal> {
+    async fn compare(
+        self,
+        _: Context,
+        _: ReplicaRecord,
+    ) -> Result<HeartbeatStatus, ControlRefusal> {
         Err(self.elsewhere())
     }
 
@@ -448,10 +452,10 @@
         Ok(founder)
     }
 
-    async fn naming(self, _: Context, ask: NamingAsk) -> NamingAnswer {
+    async fn naming(self, _: Context, ask: PaxosRequest) -> PaxosReply {
         let book = self.naming.book.as_ref();
-        book.map_or(NamingAnswer::Abstains, |book| {
-            peers::lock(book).answer(&ask)
+        book.map_or(PaxosReply::Abstained, |book| {
+            peers::lock(book).respond(&ask)
         })
     }
 
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -14,9 +14,9 @@
 
 use crate::clock;
 use crate::consensus::claims::{ClaimKey, ClaimRecord};
-use crate::consensus::crashes::CrashBook;
-use crate::consensus::directory::{BeatNews, ReplicaRecord};
-use crate::consensus::paxos::{NamingAnswer, NamingAsk};
+use crate::consensus::crashes::CrashStore;
+use crate::consensus::directory::{HeartbeatStatus, ReplicaRecord};
+use crate::consensus::paxos::{PaxosReply, PaxosRequest};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
 use crate::control::event::{ControlEvent, ControlHandle};
@@ -42,7 +42,7 @@
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
-use crate::table::quota::{QuotaAsk, QuotaGrants};
+use crate::table::quota::{QuotaGrants, QuotaRequest};
 
 /// Messages that wait for one peer.
 const OUTBOX: usize = 64;
@@ -462,7 +462,7 @@
         self.handle.ask(ControlEvent::Confirm).await
     }
 
-    async fn quota(self, _: Context, ask: QuotaAsk) -> Result<QuotaGrants, ControlRefusal> {
+    async fn quota(self, _: Context, ask: QuotaRequest) -> Result<QuotaGrants, ControlRefusal> {
         self.handle
             .ask(|answer| ControlEvent::Quota(ask, answer))
             .await
@@ -524,11 +524,15 @@
             .await
     }
 
-    async fn contents(self, _: Context) -> Result<CrashBook, ControlRefusal> {
+    async fn contents(self, _: Context) -> Result<CrashStore, ControlRefusal> {
         self.handle.ask(ControlEvent::Contents).await
     }
 
-    async fn compare(self, _: Context, record: ReplicaRecord) -> Result<BeatNews, ControlRefusal> {
+    async fn compare(
+        self,
+        _: Context,
+        record: ReplicaRecord,
+    ) -> Result<HeartbeatStatus, ControlRefusal> {
         self.handle
             .ask(|answer| ControlEvent::Compare(Box::new(record), answer))
             .await
@@ -548,8 +552,8 @@
         Err(ControlRefusal::NotLeader(None))
     }
 
-    async fn naming(self, _: Context, _: NamingAsk) -> NamingAnswer {
-        NamingAnswer::Abstains
+    async fn naming(self, _: Context, _: PaxosRequest) -> PaxosReply {
+        PaxosReply::Abstained
     }
 
     async fn status(self, _: Context) -> ControlStatus {
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -16,7 +16,7 @@
 use crate::control::founding;
 use crate::control::journal::{DiskJournal, JournalError, WriteCheck};
 use crate::control::outbox::PeerOutbox;
-use crate::ids::{HostName, NodeId, Position, ReplicaLife, TargetName, Term};
+use crate::ids::{HostName, NodeId, Position, ReplicaIncarnation, TargetName, Term};
 use crate::placement::duties::{AgentBeat, EntryBeat, LeaderDuties};
 use crate::placement::fleet::FleetDuties;
 use crate::placement::named_limits::{LifeState, LimitPage, LimitReport};
@@ -31,7 +31,7 @@
 };
 use crate::routing::authority::FreshnessProof;
 use crate::routing::view::{self, SyncPage};
-use crate::table::accounts::{AccountBook, AccountSpec};
+use crate::table::accounts::{AccountList, AccountSpec};
 use crate::table::quota::QuotaGrantor;
 
 /// Longest pause between two looks at the clock.
@@ -220,7 +220,7 @@
     fn handle(&mut self, event: ControlEvent) {
         let now_ms = clock::monotonic_ms();
         match event {
-            event if event.reads_newest() && self.replica.lags() => self.deferred.push(event),
+            event if event.reads_newest() && self.replica.is_behind() => self.deferred.push(event),
             ControlEvent::Raft(from, host, message) => {
                 self.hosts.insert(from, host);
                 self.replica.receive(now_ms, from, message);
@@ -318,7 +318,7 @@
             }
             ControlEvent::Ordered(order, outcome) => self.on_ordered(now_ms, &order, outcome),
             ControlEvent::Compare(record, answer) => {
-                let _ = answer.send(Ok(self.replica.state().replica_news(&record)));
+                let _ = answer.send(Ok(self.replica.state().compare_heartbeat(&record)));
             }
             ControlEvent::Stop(answer) => {
                 self.stopping = Some(VoterStop {
@@ -433,14 +433,14 @@
     fn use_quotas<T>(
         &mut self,
         now_ms: u64,
-        make: impl FnOnce(&mut QuotaGrantor, Option<&AccountBook>) -> T,
+        make: impl FnOnce(&mut QuotaGrantor, Option<&AccountList>) -> T,
     ) -> Result<T, ControlRefusal> {
         let (Some(state), Some(quotas)) = (self.replica.newest(now_ms), &mut self.quotas) else {
             return Err(self.not_leader());
         };
         let record = state.configuration.as_ref();
         let book = record.and_then(|record| record.configuration.accounts.as_ref());
-        quotas.follow(configured_version(state), book);
+        quotas.set_limits(configured_version(state), book);
         Ok(make(quotas, book))
     }
 
@@ -828,7 +828,7 @@
     /// Which configuration surely was the newest, and how long ago.
     fn proof(&self, now_ms: u64) -> Option<FreshnessProof> {
         match (self.replica.newest(now_ms), self.confirmed) {
-            (Some(state), _) if !self.replica.lags() => Some(FreshnessProof {
+            (Some(state), _) if !self.replica.is_behind() => Some(FreshnessProof {
                 version: configured_version(state),
                 age_ms: 0,
             }),
@@ -862,9 +862,9 @@
 
 /// An entry's report, without figures where one cannot be true: the entry still counts
 /// among those that report.
-fn life_state(state: &SiteState, life: &ReplicaLife) -> LifeState {
+fn life_state(state: &SiteState, life: &ReplicaIncarnation) -> LifeState {
     match state.replicas.records().get(&life.id) {
-        Some(record) if record.born_ms > life.born_ms => LifeState::Over,
+        Some(record) if record.started_ms > life.started_ms => LifeState::Over,
         Some(_) => LifeState::Known,
         None => LifeState::Unknown,
     }
--- a/src/entry/flight_steps.rs
+++ b/src/entry/flight_steps.rs
@@ -9,7 +9,7 @@
 
 use crate::admission::gate::{AttemptWord, EngineCall, NotRun, RefuseCause, RunAsk, RunEnd};
 use crate::clock;
-use crate::consensus::claims::{ClaimAsk, ClaimKey, Settlement};
+use crate::consensus::claims::{ClaimKey, ClaimRequest, Settlement};
 use crate::consensus::crashes::ContentStanding;
 use crate::consensus::state::{Command, MemberInfo, Reply};
 use crate::entry::shell::{EntryShared, InFlight, outcome_names};
@@ -395,8 +395,8 @@
         let Some(key) = self.claim_key() else {
             return FlightEvent::Lost;
         };
-        let ask = ClaimAsk {
-            made_ms: key_time_ms(key.key.as_str()),
+        let ask = ClaimRequest {
+            key_created_ms: key_time_ms(key.key.as_str()),
             key,
             digest: self.request.digest,
             attempt: trial.attempt,
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -249,7 +249,9 @@
     let position = entry.follower.position();
     let mut state = entry.state();
     let now_ms = clock::monotonic_ms();
-    let (asked, claims) = state.shares.ask(now_ms, |row| limits.get(row).copied());
+    let (asked, claims) = state
+        .shares
+        .next_request(now_ms, |row| limits.get(row).copied());
     let beat = EntryBeat {
         host: entry.settings.common.host.clone(),
         life: entry.life,
@@ -284,7 +286,7 @@
                 entry
                     .state()
                     .shares
-                    .granted(asked, asked_ms, &orders.grants);
+                    .apply_grants(asked, asked_ms, &orders.grants);
                 open = open.or(Some((asked_ms, orders.position)));
                 if orders.rejoin {
                     rejoin(entry).await;
--- a/src/forward/book.rs
+++ b/src/forward/book.rs
@@ -188,11 +188,11 @@
             if known == Some(record) {
                 continue;
             }
-            if known.is_none_or(|known| known.warm_up_word() != record.warm_up_word()) {
+            if known.is_none_or(|known| known.warm_up_report() != record.warm_up_report()) {
                 self.warm_ups.tell(now_ms, id, record.cold_ms);
             }
             match note {
-                Some(note) if note.record.born_ms != record.born_ms => note.begin_life(record),
+                Some(old) if old.record.started_ms != record.started_ms => old.begin_life(record),
                 Some(note) => note.record = record.clone(),
                 None => {
                     let note = ReplicaNote::new(record.clone());
--- a/src/forward/book/bars.rs
+++ b/src/forward/book/bars.rs
@@ -6,7 +6,7 @@
 use crate::consensus::directory::{ReplicaPhase, ReplicaRecord};
 use crate::forward::permits::RatePermit;
 use crate::forward::replica_note::ReplicaNote;
-use crate::ids::{HallName, ReplicaId, ReplicaLife, ServiceName};
+use crate::ids::{HallName, ReplicaId, ReplicaIncarnation, ServiceName};
 use crate::routing::backoff::{AskedPause, ClaimEnd, SendBar, SendClaim};
 use crate::routing::limited_peers::LimitedPeers;
 use crate::routing::permit_pace::PermitPace;
@@ -35,15 +35,15 @@
     }
 
     /// A replica says that it leaves. Returns whether that is news.
-    pub fn leave(&mut self, now_ms: u64, life: &ReplicaLife) -> bool {
+    pub fn leave(&mut self, now_ms: u64, life: &ReplicaIncarnation) -> bool {
         let known = self.leaves(life);
-        self.backoffs.leave(now_ms, &life.id, life.born_ms);
+        self.backoffs.leave(now_ms, &life.id, life.started_ms);
         !known
     }
 
     /// Whether a replica has said that it leaves.
-    pub fn leaves(&self, life: &ReplicaLife) -> bool {
-        self.backoffs.leaves(&life.id, life.born_ms)
+    pub fn leaves(&self, life: &ReplicaIncarnation) -> bool {
+        self.backoffs.leaves(&life.id, life.started_ms)
     }
 
     /// The last look, right before a request leaves for a replica; `permit` is the leader's,
@@ -51,7 +51,7 @@
     pub fn claim(
         &mut self,
         now_ms: u64,
-        life: &ReplicaLife,
+        life: &ReplicaIncarnation,
         permit: Option<RatePermit>,
     ) -> Result<SendClaim, ReplicaBar> {
         let permit = permit.filter(|permit| permit.holds(now_ms, life));
@@ -63,7 +63,7 @@
         if permit.is_none() && (cold || self.limits.is_limited(life)) {
             return Err(ReplicaBar::RateLimited { left_ms: 0 });
         }
-        let claimed = self.backoffs.claim(now_ms, &life.id, life.born_ms);
+        let claimed = self.backoffs.claim(now_ms, &life.id, life.started_ms);
         claimed.map_err(ReplicaBar::Asked)
     }
 
@@ -74,7 +74,7 @@
     }
 
     fn takes_few(&self, now_ms: u64, record: &ReplicaRecord) -> bool {
-        self.warms_up(now_ms, record) || self.limits.is_limited(&record.life())
+        self.warms_up(now_ms, record) || self.limits.is_limited(&record.incarnation())
     }
 
     /// Which replicas name a limit.
@@ -129,9 +129,9 @@
         self.warm_ups.prune(now_ms);
         self.permit_pace.prune(now_ms);
         let notes = &self.notes;
-        let is_over = |life: &ReplicaLife| {
+        let is_over = |life: &ReplicaIncarnation| {
             let known = notes.get(&life.id);
-            known.is_some_and(|note| note.record.born_ms > life.born_ms)
+            known.is_some_and(|note| note.record.started_ms > life.started_ms)
         };
         self.limits.prune(is_over);
     }
@@ -139,7 +139,7 @@
     /// Why nothing may be sent to a replica now.
     pub(super) fn bar(&self, note: &ReplicaNote, now_ms: u64) -> Option<ReplicaBar> {
         let record = &note.record;
-        match self.backoffs.bar(now_ms, &record.id, record.born_ms) {
+        match self.backoffs.bar(now_ms, &record.id, record.started_ms) {
             _ if self.is_evacuated(record) => Some(ReplicaBar::Evacuated),
             Some(bar) => Some(ReplicaBar::Asked(bar)),
             None if self.takes_few(now_ms, record) => {
--- a/src/forward/crashes.rs
+++ b/src/forward/crashes.rs
@@ -18,7 +18,7 @@
 use crate::consensus::directory::{ReplicaPhase, ReplicaRecord};
 use crate::forward::daemon::EntryCore;
 use crate::forward::upstream::Connection;
-use crate::ids::{ContentDigest, ReplicaLife};
+use crate::ids::{ContentDigest, ReplicaIncarnation};
 use crate::process::{crash_report, daemon};
 use crate::routing::suspects::SuspectBook;
 use crate::routing::view::SiteView;
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SentTo {
     /// The replica, in the life that was meant.
-    pub life: ReplicaLife,
+    pub life: ReplicaIncarnation,
     /// Its address.
     pub address: SocketAddr,
 }
@@ -60,7 +60,7 @@
     /// A replica as it is known now.
     pub fn new(record: &ReplicaRecord) -> Self {
         Self {
-            life: record.life(),
+            life: record.incarnation(),
             address: record.address,
         }
     }
@@ -99,7 +99,7 @@
 #[derive(Default)]
 pub struct CrashWatch {
     suspects: RefCell<SuspectBook>,
-    open: RefCell<BTreeMap<ReplicaLife, Rc<CrashCase>>>,
+    open: RefCell<BTreeMap<ReplicaIncarnation, Rc<CrashCase>>>,
     watched: RefCell<VecDeque<WatchedLife>>,
 }
 
@@ -122,7 +122,7 @@
     }
 
     /// What else may have run in a life that has ended.
-    fn take_watched(&self, life: &ReplicaLife) -> BTreeSet<ContentDigest> {
+    fn take_watched(&self, life: &ReplicaIncarnation) -> BTreeSet<ContentDigest> {
         let now_ms = clock::monotonic_ms();
         let mut watched = self.watched.borrow_mut();
         let same = |other: &WatchedLife| other.at.life == *life && other.until_ms > now_ms;
@@ -188,7 +188,8 @@
         watched.retain(|watched| watched.until_ms > now_ms);
         let born_again = |watched: &&WatchedLife| has_next_life(view, &watched.at);
         let ended = watched.iter().filter(born_again);
-        let ended: BTreeSet<ReplicaLife> = ended.map(|watched| watched.at.life.clone()).collect();
+        let ended: BTreeSet<ReplicaIncarnation> =
+            ended.map(|watched| watched.at.life.clone()).collect();
         drop(watched);
         for life in ended {
             let contents = self.crashes.take_watched(&life);
@@ -203,10 +204,10 @@
 fn has_next_life(view: &SiteView, at: &SentTo) -> bool {
     let known = view.replicas.get(&at.life.id);
     match known {
-        Some(record) if record.life() == at.life => false,
+        Some(record) if record.incarnation() == at.life => false,
         _ => {
             let mut others = view.replicas.values();
-            others.any(|record| record.address == at.address && record.life() != at.life)
+            others.any(|record| record.address == at.address && record.incarnation() != at.life)
         }
     }
 }
@@ -292,7 +293,7 @@
     let named: Vec<String> = named.map(ToString::to_string).collect();
     tracing::warn!(
         replica = %report.replica.id,
-        born_ms = report.replica.born_ms,
+        born_ms = report.replica.started_ms,
         contents = named.join(","),
         count = report.contents.len(),
         proof,
--- a/src/forward/daemon.rs
+++ b/src/forward/daemon.rs
@@ -38,7 +38,7 @@
 use crate::routing::view::SiteView;
 use crate::table::accounts::KeyIndex;
 use crate::table::configuration::{ClientLimits, Configuration, RouteIndex, slack_ranks};
-use crate::table::quota::{EntryLife, QuotaHolder};
+use crate::table::quota::{EntryIncarnation, QuotaHolder};
 
 /// Time between two reports to the leader.
 const REPORT_EVERY: Duration = Duration::from_millis(500);
@@ -599,9 +599,9 @@
         let control: Vec<String> = settings.control.iter().map(ToString::to_string).collect();
         let link = Arc::new(ControlLink::new(secret, control.clone()));
         let follower = Arc::new(ControlFollower::new(link, settings.hall.clone()));
-        let life = EntryLife {
+        let life = EntryIncarnation {
             host: settings.host.clone(),
-            life: rand::rng().random(),
+            incarnation: rand::rng().random(),
         };
         let core = Rc::new(EntryCore {
             names,
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -5,7 +5,7 @@
 
 use crate::clock;
 use crate::forward::daemon::EntryCore;
-use crate::ids::ReplicaLife;
+use crate::ids::ReplicaIncarnation;
 use crate::placement::named_limits::{LimitPage, PermitStamp};
 use crate::placement::named_rate::NamedRate;
 
@@ -61,7 +61,12 @@
 
 impl EntryCore {
     /// An answer of a replica names a limit.
-    pub fn hear_limit(&self, replica: &ReplicaLife, rate: NamedRate, permit: Option<PermitStamp>) {
+    pub fn hear_limit(
+        &self,
+        replica: &ReplicaIncarnation,
+        rate: NamedRate,
+        permit: Option<PermitStamp>,
+    ) {
         let now_ms = clock::monotonic_ms();
         let mut book = self.book.borrow_mut();
         if book.limits_mut().hear(now_ms, replica, rate, permit) {
@@ -72,7 +77,7 @@
     }
 
     /// An answer of a replica, to a request that needed a permit, names no limit.
-    pub fn hear_no_limit(&self, replica: &ReplicaLife, permit: PermitStamp) {
+    pub fn hear_no_limit(&self, replica: &ReplicaIncarnation, permit: PermitStamp) {
         let mut book = self.book.borrow_mut();
         if book.limits_mut().hear_none(replica, permit) {
             tracing::info!(%replica, "replica names no limit any more");
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -6,7 +6,7 @@
 use crate::clock;
 use crate::consensus::directory::ReplicaRecord;
 use crate::forward::daemon::EntryCore;
-use crate::ids::{ReplicaId, ReplicaLife};
+use crate::ids::{ReplicaId, ReplicaIncarnation};
 use crate::placement::named_limits::PermitStamp;
 use crate::placement::rate_limit::PERMIT_MS;
 use crate::placement::replica_rates::{PermitRefusal, PermitReply, PermitRequest};
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RatePermit {
     /// The replica, in the life that was meant.
-    pub replica: ReplicaLife,
+    pub replica: ReplicaIncarnation,
     /// Until when it may be used, in milliseconds of the steady clock.
     pub until_ms: u64,
     /// When the leader gave it.
@@ -33,7 +33,7 @@
 
 impl RatePermit {
     /// Whether it may still be used for a replica.
-    pub fn holds(&self, now_ms: u64, replica: &ReplicaLife) -> bool {
+    pub fn holds(&self, now_ms: u64, replica: &ReplicaIncarnation) -> bool {
         now_ms < self.until_ms && self.replica == *replica
     }
 }
@@ -75,7 +75,7 @@
     fn take_reply(
         &self,
         asked_ms: u64,
-        replica: &ReplicaLife,
+        replica: &ReplicaIncarnation,
         asked: Result<PermitReply, PeerError>,
     ) -> Option<PermitStamp> {
         let now_ms = clock::monotonic_ms();
@@ -105,7 +105,7 @@
 
     fn permit_request(&self, now_ms: u64, record: &ReplicaRecord) -> PermitRequest {
         let book = self.book.borrow();
-        let (limits, replica) = (book.limits(), record.life());
+        let (limits, replica) = (book.limits(), record.incarnation());
         PermitRequest {
             service: record.service.clone(),
             is_cold: book.is_cold(now_ms, &record.id),
--- a/src/forward/quotas.rs
+++ b/src/forward/quotas.rs
@@ -9,7 +9,7 @@
 use crate::clock;
 use crate::forward::daemon::EntryCore;
 use crate::ids::AccountName;
-use crate::table::quota::{QuotaAsk, QuotaCharge, QuotaGrants, QuotaHolder};
+use crate::table::quota::{QuotaCharge, QuotaGrants, QuotaHolder, QuotaRequest};
 
 /// Longest time between two questions of an entry whose accounts have demand.
 const REGULAR: Duration = Duration::from_millis(500);
@@ -48,18 +48,18 @@
     /// Pays for a request out of its account's quota, asking the leader where what was
     /// drawn is spent. Returns how long the account is short where it is.
     pub async fn pay(&self, account: &AccountName, cost: u64) -> Result<(), QuotaRefusal> {
-        self.held.borrow_mut().note(account, cost);
+        self.held.borrow_mut().record_request(account, cost);
         let give_up = Instant::now() + ASK_TIME;
         loop {
             let told = self.told.notified();
             let now_ms = clock::monotonic_ms();
             let charge = self.held.borrow_mut().charge(now_ms, account, cost);
-            if self.held.borrow().is_hungry() {
+            if self.held.borrow().has_unmet_demand() {
                 self.asked.notify_one();
             }
             match charge {
                 QuotaCharge::Paid => return Ok(()),
-                QuotaCharge::Short(ms) => {
+                QuotaCharge::Limited(ms) => {
                     return Err(QuotaRefusal::Over(Duration::from_millis(ms)));
                 }
                 QuotaCharge::Unknown => return Err(QuotaRefusal::Unknown),
@@ -79,7 +79,7 @@
 
     /// Forgets which accounts were short: limits have changed.
     pub fn forget_short(&self) {
-        self.held.borrow_mut().forget_short();
+        self.held.borrow_mut().clear_short();
     }
 }
 
@@ -90,7 +90,7 @@
         let hungry = core.quotas.asked.notified();
         let _ = tokio::time::timeout(REGULAR, hungry).await;
         let asked_ms = clock::monotonic_ms();
-        let Some(ask) = core.quotas.held.borrow_mut().ask(asked_ms) else {
+        let Some(ask) = core.quotas.held.borrow_mut().next_request(asked_ms) else {
             continue;
         };
         let number = ask.number;
@@ -106,11 +106,11 @@
                 let now_ms = clock::monotonic_ms();
                 log_short(&core, &ask, &grants);
                 let mut quotas = core.quotas.held.borrow_mut();
-                quotas.take(number, asked_ms, now_ms, &grants);
+                quotas.apply_grants(number, asked_ms, now_ms, &grants);
             }
             Err(error) => {
                 tracing::debug!(%error, "quotas were not drawn");
-                core.quotas.held.borrow_mut().miss();
+                core.quotas.held.borrow_mut().record_missing_reply();
             }
         }
         core.quotas.told.notify_waiters();
@@ -119,14 +119,14 @@
 }
 
 /// Logs accounts that are at their limit.
-fn log_short(core: &EntryCore, ask: &QuotaAsk, grants: &QuotaGrants) {
+fn log_short(core: &EntryCore, ask: &QuotaRequest, grants: &QuotaGrants) {
     let short = grants.accounts.iter();
-    for (account, grant) in short.filter(|(_, grant)| grant.again_ms > 0) {
+    for (account, grant) in short.filter(|(_, grant)| grant.retry_after_ms > 0) {
         core.count("dunlinspring_short_accounts_total", &[]);
         let claim = ask.claims.get(account).copied().unwrap_or_default();
         if core.lines.borrow_mut().may_write(false) {
-            let (drawn, again_ms) = (grant.drawn, grant.again_ms);
-            let (least, needed) = (claim.least, claim.needed);
+            let (drawn, again_ms) = (grant.drawn, grant.retry_after_ms);
+            let (least, needed) = (claim.cheapest, claim.needed);
             let number = ask.number;
             tracing::info!(%account, number, least, needed, drawn, again_ms, "account short");
         }
--- a/src/forward/request.rs
+++ b/src/forward/request.rs
@@ -191,7 +191,7 @@
         let mut need = wire_heads::need(core, headers, service.clone());
         let rank = caller.as_ref().and_then(|caller| caller.priority);
         need.urgency = core.choice().urgency(rank, route.priority, slack);
-        need.limit_ms = route.aim_ms.min(limit_ms);
+        need.limit_ms = route.latency_goal_ms.min(limit_ms);
         need.draw = draw(&id);
         let regions = caller.as_ref().map(|caller| &caller.regions);
         need.regions = AllowedRegions::of(&route.regions, regions);
@@ -236,7 +236,7 @@
     }
 
     fn aim(&self) -> Duration {
-        Duration::from_millis(self.route.aim_ms)
+        Duration::from_millis(self.route.latency_goal_ms)
     }
 
     async fn run(&mut self, writer: &mut ClientWriter) -> AfterAnswer {
@@ -419,7 +419,7 @@
     /// Until when a replica may begin its answer.
     fn try_until_ms(&self) -> u64 {
         let more = self.route.is_repeatable() && self.runs + 1 < self.route.attempts;
-        let quick_ms = clock::monotonic_ms() + self.route.aim_ms * 2;
+        let quick_ms = clock::monotonic_ms() + self.route.latency_goal_ms * 2;
         match more {
             true => quick_ms.min(self.until_ms),
             false => self.until_ms,
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -62,7 +62,7 @@
             core.pool.borrow_mut().forget(&life.id);
             core.count("dunlinspring_replicas_leaving_total", &[]);
             let replica = &life.id;
-            tracing::info!(%replica, born_ms = life.born_ms, request, "replica says that it leaves");
+            tracing::info!(%replica, born_ms = life.started_ms, request, "replica says that it leaves");
         }
     }
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -83,7 +83,7 @@
 );
 name_type!(
     /// A replica that registered itself. Some have another id in each life, others start
-    /// again under the same: see [`ReplicaLife`].
+    /// again under the same: see [`ReplicaIncarnation`].
     ReplicaId
 );
 name_type!(
@@ -119,17 +119,17 @@
 /// One life of a replica. Some start again under the id that they had, and hold and know
 /// nothing of before.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ReplicaLife {
+pub struct ReplicaIncarnation {
     /// Its id.
     pub id: ReplicaId,
     /// When this life began, in milliseconds since the epoch by its own clock; 0 where it
     /// does not tell, and has another id in each life.
-    pub born_ms: u64,
+    pub started_ms: u64,
 }
 
-impl fmt::Display for ReplicaLife {
+impl fmt::Display for ReplicaIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}@{}", self.id, self.born_ms)
+        write!(f, "{}@{}", self.id, self.started_ms)
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -34,7 +34,7 @@
 //! // With the entry goes how far the log was committed before it.
 //! assert!(matches!(output.records[..], [DiskRecord::Append(_), DiskRecord::Commit(_)]));
 //! assert_eq!(output.replies.len(), 1);
-//! assert_eq!(replica.newest(301).unwrap().site.generation, 1);
+//! assert_eq!(replica.linearizable_state(301).unwrap().site.generation, 1);
 //! ```
 
 #![warn(missing_docs)]
--- a/src/placement/adapters.rs
+++ b/src/placement/adapters.rs
@@ -91,7 +91,7 @@
             Some(order) if order.kind == OrderKind::Load => return WishAnswer::Known,
             Some(_) => return WishAnswer::Refused,
             None if held.contains(&wish.adapter) => return WishAnswer::Known,
-            None if replicas.is_adapter_going(&record.id, &wish.model, &wish.adapter) => {
+            None if replicas.is_adapter_unloading(&record.id, &wish.model, &wish.adapter) => {
                 return WishAnswer::Refused;
             }
             None => {}
@@ -197,7 +197,7 @@
     pub fn take_due(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<AdapterPlace> {
         let mut due = Vec::new();
         for (place, order) in &mut self.pending {
-            let goes = replicas.is_leaving(&place.replica, &place.model);
+            let goes = replicas.is_unloading(&place.replica, &place.model);
             let is_due = order.send_ms.is_some_and(|at_ms| at_ms <= now_ms) && !goes;
             if is_due && is_coming(replicas, place) {
                 order.send_ms = None;
@@ -221,7 +221,7 @@
             // Without its model it cannot come, and an order that brings the model back moves
             // the engine's count past whatever was sent before.
             let based = record.is_some_and(|record| record.models.contains_key(&place.model))
-                || replicas.is_leaving(&place.replica, &place.model);
+                || replicas.is_unloading(&place.replica, &place.model);
             based && !over && !done
         });
         let coming = records.keys().flat_map(|id| coming_places(replicas, id));
@@ -304,7 +304,7 @@
     replicas: &'a ReplicaDirectory,
     id: &'a ReplicaId,
 ) -> impl Iterator<Item = AdapterPlace> + 'a {
-    let coming = replicas.adapters_coming(id);
+    let coming = replicas.adapters_loading(id);
     coming.map(|(model, adapter)| place_of(id, model, adapter))
 }
 
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -12,7 +12,7 @@
 
 use crate::consensus::directory::{AdapterEffect, ReplicaDirectory, ReplicaPhase, ReplicaRecord};
 use crate::consensus::state::{Command, SiteState};
-use crate::ids::{HostName, ModelName, ReplicaId, ReplicaLife, ServiceName, Term};
+use crate::ids::{HostName, ModelName, ReplicaId, ReplicaIncarnation, ServiceName, Term};
 use crate::placement::adapters::{AdapterOrders, WishAnswer};
 use crate::placement::crowd::{CrowdBound, CrowdReport, CrowdSums, WaitingTokens};
 use crate::placement::demand::DemandBook;
@@ -127,9 +127,9 @@
     promised: BTreeMap<ReplicaId, Promise>,
     adapters: AdapterOrders,
     /// Lives that refuse this leader: an engine forgets fences when it starts again.
-    fenced: BTreeSet<ReplicaLife>,
+    fenced: BTreeSet<ReplicaIncarnation>,
     /// Lives that name a limit.
-    limited: BTreeSet<ReplicaLife>,
+    limited: BTreeSet<ReplicaIncarnation>,
     /// The change of limits that this is from.
     limits_revision: u64,
     /// Commands for the next round.
@@ -166,7 +166,7 @@
 fn under_way(replicas: &ReplicaDirectory, id: &ReplicaId, order: &PendingOrder) -> bool {
     match order.kind {
         OrderKind::Load => replicas.loading(id).any(|model| *model == order.model),
-        OrderKind::Unload => replicas.leaving(id).any(|model| *model == order.model),
+        OrderKind::Unload => replicas.unloading(id).any(|model| *model == order.model),
     }
 }
 
@@ -247,7 +247,7 @@
     pub fn follow_limits<'a>(
         &mut self,
         revision: u64,
-        limited: impl Iterator<Item = &'a ReplicaLife>,
+        limited: impl Iterator<Item = &'a ReplicaIncarnation>,
     ) {
         if self.limits_revision != revision {
             self.limits_revision = revision;
@@ -318,9 +318,9 @@
                     return Vec::new();
                 }
                 let effect = match (order.kind, outcome) {
-                    (OrderKind::Load, _) => AdapterEffect::There,
-                    (OrderKind::Unload, OrderOutcome::Held) => AdapterEffect::Gone,
-                    (OrderKind::Unload, _) => AdapterEffect::Goes,
+                    (OrderKind::Load, _) => AdapterEffect::Present,
+                    (OrderKind::Unload, OrderOutcome::Held) => AdapterEffect::Absent,
+                    (OrderKind::Unload, _) => AdapterEffect::Unloading,
                 };
                 let (id, model) = (place.replica, place.model);
                 vec![Command::ReplicaAdapter(id, model, place.adapter, effect)]
@@ -411,7 +411,7 @@
             let heard_ms = *self.heard.entry(id.clone()).or_insert(now_ms);
             let silent_ms = now_ms.saturating_sub(heard_ms);
             if silent_ms >= self.policy.lost_ms {
-                commands.push(Command::ReplicaEnded(record.life()));
+                commands.push(Command::ReplicaEnded(record.incarnation()));
             } else if silent_ms >= self.policy.silent_ms && record.phase == ReplicaPhase::Ready {
                 commands.push(Command::ReplicaSilent(id.clone()));
             }
@@ -470,7 +470,9 @@
             .retain(|id, promise| records.contains_key(id) && promise.until_ms > now_ms);
         for id in records.keys() {
             let loading = replicas.loading(id).map(|model| (OrderKind::Load, model));
-            let leaving = replicas.leaving(id).map(|model| (OrderKind::Unload, model));
+            let leaving = replicas
+                .unloading(id)
+                .map(|model| (OrderKind::Unload, model));
             if let Some((kind, model)) = loading.chain(leaving).next()
                 && !self.pending.contains_key(id)
             {
@@ -493,7 +495,7 @@
         self.fenced.retain(|life| {
             records
                 .get(&life.id)
-                .is_some_and(|record| record.life() == *life)
+                .is_some_and(|record| record.incarnation() == *life)
         });
         commands
     }
@@ -534,7 +536,7 @@
         EngineOrder {
             number: self.given,
             replica: record.id.clone(),
-            born_ms: record.born_ms,
+            born_ms: record.started_ms,
             address: record.address,
             holder: self.holder.clone(),
             fence: self.term,
@@ -557,14 +559,14 @@
         // By the log as well: the leader before may have ordered a model out that is still
         // there with its adapters, and the first round after the lease may yet come.
         let loading = state.replicas.loading(&record.id).next();
-        let under_way = loading.or(state.replicas.leaving(&record.id).next());
+        let under_way = loading.or(state.replicas.unloading(&record.id).next());
         let ordered = under_way.is_some() || self.pending.contains_key(&record.id);
         let open = !state.evacuated.contains(&record.hall);
         !ordered && open && self.may_order(record)
     }
 
     fn may_order(&self, record: &ReplicaRecord) -> bool {
-        record.phase == ReplicaPhase::Ready && !self.fenced.contains(&record.life())
+        record.phase == ReplicaPhase::Ready && !self.fenced.contains(&record.incarnation())
     }
 
     fn place(
@@ -656,7 +658,8 @@
         let adapter_mb = engine.models.values().map(|model| model.adapter_mb).max();
         let adapters_mb = adapter_mb.unwrap_or(0) * u64::from(engine.adapter_slots);
         let mut coming: BTreeSet<ModelName> = state.replicas.loading(&record.id).cloned().collect();
-        let mut going: BTreeSet<ModelName> = state.replicas.leaving(&record.id).cloned().collect();
+        let mut going: BTreeSet<ModelName> =
+            state.replicas.unloading(&record.id).cloned().collect();
         let mut held: BTreeSet<ModelName> = record.models.keys().cloned().collect();
         match self.pending.get(&record.id) {
             Some(order) if order.kind == OrderKind::Load => {
@@ -694,7 +697,7 @@
             .iter()
             .filter_map(|name| load_ms(name, true));
         let stays = record.phase == ReplicaPhase::Ready;
-        let limited = self.limited.contains(&record.life());
+        let limited = self.limited.contains(&record.incarnation());
         if !stays {
             held.clear();
         } else if limited {
--- a/src/placement/moves.rs
+++ b/src/placement/moves.rs
@@ -125,7 +125,7 @@
     fn new(state: &'a SiteState) -> Self {
         let mut targets = BTreeMap::new();
         for (target, spec) in &state.site.targets {
-            let stays = state.keeper(target).is_some_and(|keeper| !keeper.leaving);
+            let stays = state.agent_of(target).is_some_and(|keeper| !keeper.leaving);
             let open = !state.evacuated.contains(&spec.hall);
             if !stays || !open || spec.memory_mib == 0 {
                 continue;
@@ -144,7 +144,7 @@
                 .sum();
             let board = BoardTarget {
                 hall: &spec.hall,
-                free_mib: spec.room_mib().saturating_sub(taken),
+                free_mib: spec.weights_capacity_mib().saturating_sub(taken),
                 homes,
             };
             targets.insert(target, board);
--- a/src/placement/named_limits.rs
+++ b/src/placement/named_limits.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{ReplicaLife, Term};
+use crate::ids::{ReplicaIncarnation, Term};
 use crate::placement::named_rate::NamedRate;
 
 /// How long an ended limit is remembered, and one whose replica the log does not know, in
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitNotice {
     /// The replica.
-    pub replica: ReplicaLife,
+    pub replica: ReplicaIncarnation,
     /// What it takes.
     pub rate: NamedRate,
     /// Time since the answer came, in milliseconds.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitEnd {
     /// The replica.
-    pub replica: ReplicaLife,
+    pub replica: ReplicaIncarnation,
     /// Of the request that was answered.
     pub permit: PermitStamp,
 }
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitState {
     /// The replica.
-    pub replica: ReplicaLife,
+    pub replica: ReplicaIncarnation,
     /// None where it names no limit any more.
     pub rate: Option<NamedRate>,
 }
@@ -111,9 +111,9 @@
 pub struct NamedLimits {
     term: Term,
     since_ms: u64,
-    notes: BTreeMap<ReplicaLife, LimitNote>,
+    notes: BTreeMap<ReplicaIncarnation, LimitNote>,
     /// Replicas by their last change.
-    changes: BTreeMap<u64, ReplicaLife>,
+    changes: BTreeMap<u64, ReplicaIncarnation>,
     revision: u64,
     /// Changes up to this one are not known any more.
     forgotten: u64,
@@ -133,7 +133,7 @@
     }
 
     /// The rate that a replica names.
-    pub fn rate(&self, replica: &ReplicaLife) -> Option<NamedRate> {
+    pub fn rate(&self, replica: &ReplicaIncarnation) -> Option<NamedRate> {
         self.notes.get(replica)?.rate
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Replicas that name a limit.
-    pub fn limited(&self) -> impl Iterator<Item = &ReplicaLife> {
+    pub fn limited(&self) -> impl Iterator<Item = &ReplicaIncarnation> {
         let limited = self.notes.iter().filter(|(_, note)| note.rate.is_some());
         limited.map(|(replica, _)| replica)
     }
@@ -207,7 +207,7 @@
         true
     }
 
-    fn note_change(&mut self, replica: &ReplicaLife) {
+    fn note_change(&mut self, replica: &ReplicaIncarnation) {
         self.revision += 1;
         let Some(note) = self.notes.get_mut(replica) else {
             return;
@@ -262,7 +262,7 @@
 
     /// Forgets limits that ended long ago, and those of lives that are over;
     /// `life_of` looks a life up in the log.
-    pub fn prune(&mut self, now_ms: u64, life_of: impl Fn(&ReplicaLife) -> LifeState) {
+    pub fn prune(&mut self, now_ms: u64, life_of: impl Fn(&ReplicaIncarnation) -> LifeState) {
         let mut over = Vec::new();
         for (replica, note) in &mut self.notes {
             let kept_ms = match (note.rate, life_of(replica)) {
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{HostName, ModelName, ReplicaId, ReplicaLife, Term};
+use crate::ids::{HostName, ModelName, ReplicaId, ReplicaIncarnation, Term};
 
 /// What an order does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
     pub number: u64,
     /// The replica that is meant.
     pub replica: ReplicaId,
-    /// When its life that is meant began; see [`ReplicaLife`].
+    /// When its life that is meant began; see [`ReplicaIncarnation`].
     pub born_ms: u64,
     /// Where it listens.
     pub address: SocketAddr,
@@ -56,10 +56,10 @@
 
 impl EngineOrder {
     /// The replica's life that is meant.
-    pub fn life(&self) -> ReplicaLife {
-        ReplicaLife {
+    pub fn life(&self) -> ReplicaIncarnation {
+        ReplicaIncarnation {
             id: self.replica.clone(),
-            born_ms: self.born_ms,
+            started_ms: self.born_ms,
         }
     }
 
--- a/src/placement/rate_limit.rs
+++ b/src/placement/rate_limit.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::ids::ReplicaLife;
+use crate::ids::ReplicaIncarnation;
 
 /// How long a permit may be used from before it was asked for, in milliseconds: a call between
 /// halls, and the opening of a connection.
@@ -74,7 +74,7 @@
 #[derive(Debug)]
 pub struct RateLimiter {
     opens_ms: u64,
-    buckets: BTreeMap<ReplicaLife, TokenBucket>,
+    buckets: BTreeMap<ReplicaIncarnation, TokenBucket>,
 }
 
 impl RateLimiter {
@@ -88,7 +88,12 @@
 
     /// Lets one request go to a replica that takes one in `gap_us`, or returns for how long an
     /// entry waits until it asks again, in milliseconds.
-    pub fn take(&mut self, now_ms: u64, replica: &ReplicaLife, gap_us: u64) -> Result<(), u64> {
+    pub fn take(
+        &mut self,
+        now_ms: u64,
+        replica: &ReplicaIncarnation,
+        gap_us: u64,
+    ) -> Result<(), u64> {
         if now_ms < self.opens_ms {
             return Err(self.opens_ms - now_ms);
         }
@@ -110,7 +115,7 @@
     }
 
     /// Empties a replica's bucket: what was saved up under another rate does not count.
-    pub fn empty(&mut self, now_ms: u64, replica: &ReplicaLife, gap_us: u64) {
+    pub fn empty(&mut self, now_ms: u64, replica: &ReplicaIncarnation, gap_us: u64) {
         let bucket = self.buckets.entry(replica.clone()).or_default();
         let next_us = now_ms.saturating_mul(1_000).saturating_add(gap_us);
         bucket.due_us = bucket.due_us.max(next_us);
--- a/src/placement/replica_rates.rs
+++ b/src/placement/replica_rates.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{ReplicaLife, ServiceName, Term};
+use crate::ids::{ReplicaIncarnation, ServiceName, Term};
 use crate::placement::named_limits::{
     LifeState, LimitCursor, LimitNotice, LimitPage, LimitReport, NamedLimits, PermitStamp,
 };
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
     /// The replica.
-    pub replica: ReplicaLife,
+    pub replica: ReplicaIncarnation,
     /// Its service.
     pub service: ServiceName,
     /// It warms up, as far as the entry knows.
@@ -128,12 +128,12 @@
     }
 
     /// Replicas that name a limit.
-    pub fn limited(&self) -> impl Iterator<Item = &ReplicaLife> {
+    pub fn limited(&self) -> impl Iterator<Item = &ReplicaIncarnation> {
         self.limits.limited()
     }
 
     /// Forgets what is over, once in a while.
-    pub fn prune(&mut self, now_ms: u64, life_of: impl Fn(&ReplicaLife) -> LifeState) {
+    pub fn prune(&mut self, now_ms: u64, life_of: impl Fn(&ReplicaIncarnation) -> LifeState) {
         if now_ms >= self.prune_due_ms {
             self.prune_due_ms = now_ms + PRUNE_EVERY_MS;
             self.limits.prune(now_ms, life_of);
--- a/src/process/wire.rs
+++ b/src/process/wire.rs
@@ -6,9 +6,9 @@
 
 use crate::admission::gate::{AttemptWord, RunAsk, TargetPlan};
 use crate::consensus::claims::ClaimRecord;
-use crate::consensus::crashes::CrashBook;
-use crate::consensus::directory::{BeatNews, ReplicaRecord};
-use crate::consensus::paxos::{NamingAnswer, NamingAsk};
+use crate::consensus::crashes::CrashStore;
+use crate::consensus::directory::{HeartbeatStatus, ReplicaRecord};
+use crate::consensus::paxos::{PaxosReply, PaxosRequest};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply, SiteState};
 use crate::ids::{
@@ -26,7 +26,7 @@
 use crate::routing::view::SyncPage;
 use crate::table::accounts::QuotaSpec;
 use crate::table::configuration::ConfigurationRecord;
-use crate::table::quota::{QuotaAsk, QuotaGrants, QuotaUsage};
+use crate::table::quota::{QuotaGrants, QuotaRequest, QuotaUsage};
 use crate::table::rows::Row;
 
 /// Raised with each change of a type on the wire; peers of other versions are refused.
@@ -204,7 +204,7 @@
     /// lease holds.
     async fn confirm() -> Result<u64, ControlRefusal>;
     /// An entry draws from the quotas of accounts; for the leader.
-    async fn quota(ask: QuotaAsk) -> Result<QuotaGrants, ControlRefusal>;
+    async fn quota(ask: QuotaRequest) -> Result<QuotaGrants, ControlRefusal>;
     /// All client accounts, with what is drawn of their quotas; for the leader.
     async fn accounts() -> Result<Vec<AccountStatus>, ControlRefusal>;
     /// Replicas that another control host has heard; for the leader.
@@ -224,10 +224,10 @@
     /// What an entry heard of the limits that replicas name; for the leader.
     async fn limits(report: LimitReport) -> Result<LimitPage, ControlRefusal>;
     /// The contents under which replicas ended, by a linearizable read.
-    async fn contents() -> Result<CrashBook, ControlRefusal>;
+    async fn contents() -> Result<CrashStore, ControlRefusal>;
     /// Compares a replica's heartbeat with what is committed here; for hosts that
     /// keep no log.
-    async fn compare(record: ReplicaRecord) -> Result<BeatNews, ControlRefusal>;
+    async fn compare(record: ReplicaRecord) -> Result<HeartbeatStatus, ControlRefusal>;
     /// Whether this host keeps the log on a disk of its own. It is answered before
     /// the site is founded: its founders are found by it.
     async fn keeps_log() -> bool;
@@ -239,7 +239,7 @@
     /// and stays so.
     async fn appoint(host: HostName) -> Result<HostName, ControlRefusal>;
     /// The named hosts without a disk agree on the founder.
-    async fn naming(ask: NamingAsk) -> NamingAnswer;
+    async fn naming(ask: PaxosRequest) -> PaxosReply;
 }
 
 /// An agent's word with its load.
--- a/src/routing/flight.rs
+++ b/src/routing/flight.rs
@@ -2,7 +2,7 @@
 //! each [`FlightStep`] and brings back the [`FlightEvent`].
 
 use crate::admission::gate::{AnswerPage, AttemptWord, NotRun, RefuseCause, RunEnd};
-use crate::consensus::claims::{ClaimAnswer, ClaimRecord, Settlement};
+use crate::consensus::claims::{ClaimRecord, ClaimReply, Settlement};
 use crate::ids::{AttemptId, Incarnation, TargetName};
 use crate::routing::suspects::BARRED_RETRY_MS;
 
@@ -155,7 +155,7 @@
     /// Too many targets have ended under what it asks.
     Barred,
     /// The log's answer to the claim.
-    Claimed(ClaimAnswer),
+    Claimed(ClaimReply),
     /// The agent's word.
     Word(AttemptWord),
     /// The step's peer gave no answer in time.
@@ -286,12 +286,12 @@
         }
     }
 
-    fn on_claimed(&mut self, trial: FlightTrial, answer: ClaimAnswer) {
+    fn on_claimed(&mut self, trial: FlightTrial, answer: ClaimReply) {
         match answer {
-            ClaimAnswer::Granted(_) => self.stage = Stage::Starting(trial),
-            ClaimAnswer::Taken(record) => self.on_taken(record),
-            ClaimAnswer::OtherBody => self.finish_not_run(EndCause::KeyReused),
-            ClaimAnswer::TooOld => {
+            ClaimReply::Granted(_) => self.stage = Stage::Starting(trial),
+            ClaimReply::Taken(record) => self.on_taken(record),
+            ClaimReply::OtherBody => self.finish_not_run(EndCause::KeyReused),
+            ClaimReply::TooOld => {
                 self.stage = Stage::Finished(FlightOutcome::Unknown(EndCause::KeyTooOld));
             }
         }
--- a/src/routing/limited_peers.rs
+++ b/src/routing/limited_peers.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::ids::ReplicaLife;
+use crate::ids::ReplicaIncarnation;
 use crate::placement::named_limits::{
     LimitCursor, LimitEnd, LimitNotice, LimitPage, LimitReport, LimitState, PermitStamp,
 };
@@ -38,7 +38,7 @@
 /// What an entry knows of all limits.
 #[derive(Clone, Debug, Default)]
 pub struct LimitedPeers {
-    notes: BTreeMap<ReplicaLife, LimitNote>,
+    notes: BTreeMap<ReplicaIncarnation, LimitNote>,
     cursor: LimitCursor,
     /// Something is to be told before the next regular report.
     has_news: bool,
@@ -49,7 +49,7 @@
     pub fn hear(
         &mut self,
         now_ms: u64,
-        peer: &ReplicaLife,
+        peer: &ReplicaIncarnation,
         rate: NamedRate,
         permit: Option<PermitStamp>,
     ) -> bool {
@@ -68,7 +68,7 @@
 
     /// An answer to a request that needed this permit named no limit. Returns whether it may
     /// end one.
-    pub fn hear_none(&mut self, peer: &ReplicaLife, permit: PermitStamp) -> bool {
+    pub fn hear_none(&mut self, peer: &ReplicaIncarnation, permit: PermitStamp) -> bool {
         let Some(note) = self.notes.get_mut(peer) else {
             return false;
         };
@@ -84,13 +84,13 @@
     }
 
     /// Whether a peer names a limit.
-    pub fn is_limited(&self, peer: &ReplicaLife) -> bool {
+    pub fn is_limited(&self, peer: &ReplicaIncarnation) -> bool {
         let note = self.notes.get(peer);
         note.is_some_and(|note| note.known.is_some() || note.heard.is_some())
     }
 
     /// The last answer of a peer that named a limit, for the leader.
-    pub fn last_notice(&self, now_ms: u64, peer: &ReplicaLife) -> Option<LimitNotice> {
+    pub fn last_notice(&self, now_ms: u64, peer: &ReplicaIncarnation) -> Option<LimitNotice> {
         let heard = self.notes.get(peer)?.heard?;
         Some(LimitNotice {
             replica: peer.clone(),
@@ -150,7 +150,7 @@
     }
 
     /// The leader has weighed the last answer of a peer as it was at `asked_ms`.
-    pub fn confirm_notice(&mut self, asked_ms: u64, peer: &ReplicaLife) {
+    pub fn confirm_notice(&mut self, asked_ms: u64, peer: &ReplicaIncarnation) {
         let note = self.notes.get_mut(peer);
         match note.and_then(|note| note.heard.as_mut()) {
             Some(heard) if heard.at_ms <= asked_ms => heard.told = true,
@@ -226,7 +226,7 @@
     }
 
     /// Forgets lives that are over; `is_over` knows which.
-    pub fn prune(&mut self, is_over: impl Fn(&ReplicaLife) -> bool) {
+    pub fn prune(&mut self, is_over: impl Fn(&ReplicaIncarnation) -> bool) {
         self.notes.retain(|peer, _| !is_over(peer));
     }
 }
--- a/src/routing/suspects.rs
+++ b/src/routing/suspects.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use crate::consensus::crashes::{ContentStanding, CrashCounts, CrashReport};
-use crate::ids::{ContentDigest, Position, ReplicaLife};
+use crate::ids::{ContentDigest, Position, ReplicaIncarnation};
 
 /// When a caller comes back whose content is sent no more, in milliseconds: nothing it could
 /// do helps, and an operator needs minutes to look at it.
@@ -18,7 +18,7 @@
 pub struct SuspectBook {
     followed: CrashCounts,
     /// Ends that this member saw and does not follow in the log yet.
-    seen: BTreeMap<ContentDigest, BTreeMap<ReplicaLife, ToldAt>>,
+    seen: BTreeMap<ContentDigest, BTreeMap<ReplicaIncarnation, ToldAt>>,
 }
 
 impl SuspectBook {
--- a/src/table/accounts.rs
+++ b/src/table/accounts.rs
@@ -15,7 +15,7 @@
 use crate::ids::{AccountName, RegionName};
 
 /// Longest name of an account, in bytes: it travels in a header.
-const MAX_NAME: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 
 /// The SHA-256 digest of a key. Its text is never shown.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
     pub plain_tokens: u64,
 }
 
-/// Limits are finite: see [`AccountBook::check`].
+/// Limits are finite: see [`AccountList::check`].
 impl Eq for QuotaSpec {}
 
 impl QuotaSpec {
@@ -87,7 +87,7 @@
 
 /// All client accounts of a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AccountBook {
+pub struct AccountList {
     /// In the order in which they were given.
     pub accounts: Vec<AccountSpec>,
 }
@@ -96,78 +96,86 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum AccountError {
     /// A name is empty, too long or cannot stand in a header.
-    #[snafu(display("field accounts[{at}].name: not a name of 1 to {MAX_NAME} printable bytes"))]
+    #[snafu(display(
+        "field accounts[{index}].name: not a name of 1 to {MAX_NAME_BYTES} printable bytes"
+    ))]
     Name {
         /// The account's number.
-        at: usize,
+        index: usize,
     },
     /// A name stands twice.
-    #[snafu(display("field accounts[{at}].name: {name} stands twice"))]
-    SameName {
+    #[snafu(display("field accounts[{index}].name: {name} stands twice"))]
+    DuplicateName {
         /// The later account's number.
-        at: usize,
+        index: usize,
         /// The name.
         name: AccountName,
     },
     /// A key stands twice.
-    #[snafu(display("field accounts[{at}].keys[{key}]: also a key of accounts[{other}]"))]
-    SameKey {
+    #[snafu(display("field accounts[{index}].keys[{key}]: also a key of accounts[{earlier}]"))]
+    DuplicateKey {
         /// The later account's number.
-        at: usize,
+        index: usize,
         /// The key's number there.
         key: usize,
         /// The earlier account's number.
-        other: usize,
+        earlier: usize,
     },
     /// A limit is negative or not finite.
-    #[snafu(display("field accounts[{at}].quota.{field}: must be finite and 0 or more"))]
+    #[snafu(display("field accounts[{index}].quota.{field}: must be finite and 0 or more"))]
     Limit {
         /// The account's number.
-        at: usize,
+        index: usize,
         /// Which limit.
         field: &'static str,
     },
 }
 
-impl AccountBook {
+impl AccountList {
     /// Checks what the form alone does not ensure.
     pub fn check(&self) -> Result<(), AccountError> {
         let mut names = BTreeSet::new();
         let mut owners = HashMap::new();
-        for (at, account) in self.accounts.iter().enumerate() {
+        for (index, account) in self.accounts.iter().enumerate() {
             if !is_name(account.name.as_str()) {
-                return Err(AccountError::Name { at });
+                return Err(AccountError::Name { index });
             }
             if !names.insert(&account.name) {
                 let name = account.name.clone();
-                return Err(AccountError::SameName { at, name });
+                return Err(AccountError::DuplicateName { index, name });
             }
             for (key, digest) in account.keys.iter().enumerate() {
-                match owners.insert(digest, at) {
-                    Some(other) if other != at => {
-                        return Err(AccountError::SameKey { at, key, other });
+                match owners.insert(digest, index) {
+                    Some(earlier) if earlier != index => {
+                        return Err(AccountError::DuplicateKey {
+                            index,
+                            key,
+                            earlier,
+                        });
                     }
                     _ => {}
                 }
             }
-            check_quota(at, account.quota.as_ref())?;
+            check_quota(index, account.quota.as_ref())?;
         }
         Ok(())
     }
 }
 
 fn is_name(name: &str) -> bool {
-    !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(|byte| byte.is_ascii_graphic())
+    !name.is_empty()
+        && name.len() <= MAX_NAME_BYTES
+        && name.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-fn check_quota(at: usize, quota: Option<&QuotaSpec>) -> Result<(), AccountError> {
+fn check_quota(index: usize, quota: Option<&QuotaSpec>) -> Result<(), AccountError> {
     let Some(quota) = quota else {
         return Ok(());
     };
-    let sound = |value: f64| value.is_finite() && value >= 0.0;
+    let is_valid = |value: f64| value.is_finite() && value >= 0.0;
     for (field, value) in [("per_s", quota.per_s), ("burst", quota.burst)] {
-        if !sound(value) {
-            return Err(AccountError::Limit { at, field });
+        if !is_valid(value) {
+            return Err(AccountError::Limit { index, field });
         }
     }
     Ok(())
@@ -175,33 +183,33 @@
 
 /// Bytes of a digest that choose the group in which it is looked up. Nobody can aim at
 /// a group without having the key's digest, so that the time of a look-up tells nothing.
-const GROUP_BYTES: usize = 4;
+const BUCKET_BYTES: usize = 4;
 
-type KeyGroup = [u8; GROUP_BYTES];
+type KeyBucket = [u8; BUCKET_BYTES];
 
 /// Finds the account that holds a key, at a cost that does not grow with their number.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
-    groups: HashMap<KeyGroup, Vec<(KeyDigest, usize)>>,
+    buckets: HashMap<KeyBucket, Vec<(KeyDigest, usize)>>,
 }
 
 impl KeyIndex {
     /// Indexes all keys.
-    pub fn new(book: &AccountBook) -> Self {
-        let mut groups: HashMap<KeyGroup, Vec<(KeyDigest, usize)>> = HashMap::new();
-        for (number, account) in book.accounts.iter().enumerate() {
+    pub fn new(list: &AccountList) -> Self {
+        let mut buckets: HashMap<KeyBucket, Vec<(KeyDigest, usize)>> = HashMap::new();
+        for (number, account) in list.accounts.iter().enumerate() {
             for digest in &account.keys {
-                let group = groups.entry(group_of(digest)).or_default();
-                group.push((*digest, number));
+                let bucket = buckets.entry(bucket_of(digest)).or_default();
+                bucket.push((*digest, number));
             }
         }
-        Self { groups }
+        Self { buckets }
     }
 
     /// The number of the account that holds the key; digests are compared in constant time.
     pub fn find(&self, key: &KeyDigest) -> Option<usize> {
         let mut found = None;
-        for (known, number) in self.groups.get(&group_of(key))? {
+        for (known, number) in self.buckets.get(&bucket_of(key))? {
             if bool::from(known.0.ct_eq(&key.0)) {
                 found = Some(*number);
             }
@@ -210,8 +218,8 @@
     }
 }
 
-fn group_of(digest: &KeyDigest) -> KeyGroup {
-    let mut group = KeyGroup::default();
-    group.copy_from_slice(&digest.0[..GROUP_BYTES]);
-    group
+fn bucket_of(digest: &KeyDigest) -> KeyBucket {
+    let mut bucket = KeyBucket::default();
+    bucket.copy_from_slice(&digest.0[..BUCKET_BYTES]);
+    bucket
 }
--- a/src/table/configuration.rs
+++ b/src/table/configuration.rs
@@ -8,7 +8,7 @@
 use snafu::Snafu;
 
 use crate::ids::{ModelName, RegionName, ServiceName};
-use crate::table::accounts::{AccountBook, AccountError};
+use crate::table::accounts::{AccountError, AccountList};
 
 /// What may be repeated of a route's requests, and how they are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,9 +35,9 @@
     /// Longest time that a request is held, in milliseconds.
     pub timeout_ms: u64,
     /// Time within which an answer earns its full worth, in milliseconds.
-    pub aim_ms: u64,
+    pub latency_goal_ms: u64,
     /// Longest pause between two events that is still in time, in milliseconds.
-    pub gap_ms: u64,
+    pub max_event_gap_ms: u64,
     /// Rank; 0 is the most urgent.
     pub priority: u32,
     /// Most replicas that one request is sent to.
@@ -169,7 +169,7 @@
     /// Limits on clients.
     pub limits: ClientLimits,
     /// Client accounts; where there are none, nobody needs a key.
-    pub accounts: Option<AccountBook>,
+    pub accounts: Option<AccountList>,
 }
 
 /// Why a configuration is not valid.
@@ -185,7 +185,7 @@
     },
     /// Two routes have the same host and prefix.
     #[snafu(display("route {route}: {host}{prefix} is taken by another route"))]
-    SamePlace {
+    DuplicatePrefix {
         /// The later route.
         route: String,
         /// The host.
@@ -227,11 +227,11 @@
         if let Some(accounts) = &self.accounts {
             accounts.check()?;
         }
-        let mut places = BTreeSet::new();
+        let mut prefixes = BTreeSet::new();
         for route in &self.routes {
             self.check_route(route)?;
-            if !places.insert((route.host.to_ascii_lowercase(), &route.prefix)) {
-                return Err(ConfigurationError::SamePlace {
+            if !prefixes.insert((route.host.to_ascii_lowercase(), &route.prefix)) {
+                return Err(ConfigurationError::DuplicatePrefix {
                     route: route.name.clone(),
                     host: route.host.clone(),
                     prefix: route.prefix.clone(),
@@ -250,13 +250,13 @@
                 service: service.clone(),
             });
         }
-        let whole = route.prefix.starts_with('/') && route.prefix.ends_with('/');
+        let well_formed = route.prefix.starts_with('/') && route.prefix.ends_with('/');
         match route {
             route if route.split.iter().all(|(_, weight)| *weight == 0) => {
                 Err(ConfigurationError::NoWeight { route: name })
             }
             route if route.timeout_ms == 0 => Err(ConfigurationError::NoTimeout { route: name }),
-            route if !whole => Err(ConfigurationError::Prefix {
+            route if !well_formed => Err(ConfigurationError::Prefix {
                 route: name,
                 prefix: route.prefix.clone(),
             }),
@@ -294,11 +294,11 @@
     let mut shortest_ms: HashMap<Option<ServiceName>, u64> = HashMap::new();
     for route in routes {
         let known_ms = shortest_ms.entry(service(route)).or_insert(u64::MAX);
-        *known_ms = route.aim_ms.min(*known_ms);
+        *known_ms = route.latency_goal_ms.min(*known_ms);
     }
     let rank = |route: &RouteSpec| {
-        let times = route.aim_ms / shortest_ms[&service(route)].max(1);
-        match times {
+        let ratio = route.latency_goal_ms / shortest_ms[&service(route)].max(1);
+        match ratio {
             0..2 => 0,
             2..4 => 1,
             _ => SLACK_RANKS - 1,
--- a/src/table/limits.rs
+++ b/src/table/limits.rs
@@ -54,19 +54,19 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct HeldShare {
+struct LeasedShare {
     share: u32,
-    until_ms: u64,
+    expires_ms: u64,
     running: u32,
-    turned_away: u32,
+    refused: u32,
 }
 
 /// One entry's shares.
 #[derive(Debug)]
 pub struct ShareHolder {
     policy: LimitPolicy,
-    rows: BTreeMap<RowId, HeldShare>,
-    asked: u64,
+    rows: BTreeMap<RowId, LeasedShare>,
+    request_number: u64,
 }
 
 impl ShareHolder {
@@ -75,7 +75,7 @@
         Self {
             policy,
             rows: BTreeMap::new(),
-            asked: 0,
+            request_number: 0,
         }
     }
 
@@ -83,7 +83,7 @@
     pub fn acquire(&mut self, row: &RowId, limit: u32, now_ms: u64) -> bool {
         let floor = self.policy.floor(limit);
         let held = self.rows.entry(row.clone()).or_default();
-        let leased = if now_ms < held.until_ms {
+        let leased = if now_ms < held.expires_ms {
             held.share
         } else {
             0
@@ -92,7 +92,7 @@
             held.running += 1;
             true
         } else {
-            held.turned_away += 1;
+            held.refused += 1;
             false
         }
     }
@@ -110,64 +110,69 @@
     }
 
     /// Makes the next ask: its number, and a claim for each row in use.
-    pub fn ask(
+    pub fn next_request(
         &mut self,
         now_ms: u64,
         limit_of: impl Fn(&RowId) -> Option<u32>,
     ) -> (u64, BTreeMap<RowId, LimitClaim>) {
-        self.asked += 1;
+        self.request_number += 1;
         let policy = self.policy;
         let mut claims = BTreeMap::new();
         self.rows
-            .retain(|_, held| held.running > 0 || held.turned_away > 0 || now_ms < held.until_ms);
+            .retain(|_, held| held.running > 0 || held.refused > 0 || now_ms < held.expires_ms);
         for (row, held) in &mut self.rows {
             let Some(limit) = limit_of(row) else {
                 continue;
             };
             let using = policy.leased(limit, held.running);
-            let share = if now_ms < held.until_ms {
+            let share = if now_ms < held.expires_ms {
                 held.share
             } else {
                 0
             };
             let claim = LimitClaim {
                 held: share.max(using),
-                wanted: policy.leased(limit, held.running + held.turned_away + 1),
+                wanted: policy.leased(limit, held.running + held.refused + 1),
             };
-            held.turned_away = 0;
+            held.refused = 0;
             claims.insert(row.clone(), claim);
         }
-        (self.asked, claims)
+        (self.request_number, claims)
     }
 
     /// Takes the grants for the ask of that number; late ones are dropped, as
     /// the leader counts on what the newest ask said.
-    pub fn granted(&mut self, asked: u64, asked_ms: u64, grants: &BTreeMap<RowId, u32>) {
-        if asked != self.asked {
+    pub fn apply_grants(
+        &mut self,
+        request_number: u64,
+        requested_ms: u64,
+        grants: &BTreeMap<RowId, u32>,
+    ) {
+        if request_number != self.request_number {
             return;
         }
         for (row, share) in grants {
             let held = self.rows.entry(row.clone()).or_default();
             held.share = *share;
-            held.until_ms = asked_ms + self.policy.lease_ms;
+            held.expires_ms = requested_ms + self.policy.lease_ms;
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct GivenShare {
+struct GrantedShare {
     counted: u32,
     wanted: u32,
-    until_ms: u64,
+    expires_ms: u64,
 }
 
 /// The leader's account of all shares.
 #[derive(Debug)]
 pub struct ShareGrantor {
     policy: LimitPolicy,
-    rows: BTreeMap<RowId, BTreeMap<Incarnation, GivenShare>>,
+    rows: BTreeMap<RowId, BTreeMap<Incarnation, GrantedShare>>,
     /// The newest ask of each entry.
-    asked: BTreeMap<Incarnation, u64>,
+    request_number: BTreeMap<Incarnation, u64>,
     since_ms: u64,
 }
 
@@ -177,23 +182,23 @@
         Self {
             policy,
             rows: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            request_number: BTreeMap::new(),
             since_ms: now_ms,
         }
     }
 
     /// Whether this ask is newer than all before it. An older or doubled one
     /// is not granted again: it says less than the entry holds by now.
-    pub fn is_new(&mut self, entry: Incarnation, asked: u64) -> bool {
-        let newest = self.asked.entry(entry).or_default();
-        let new = asked > *newest;
-        *newest = (*newest).max(asked);
+    pub fn is_new(&mut self, entry: Incarnation, request_number: u64) -> bool {
+        let newest = self.request_number.entry(entry).or_default();
+        let new = request_number > *newest;
+        *newest = (*newest).max(request_number);
         new
     }
 
     /// Forgets entries that `keep` no longer names.
     pub fn retain(&mut self, keep: impl Fn(Incarnation) -> bool) {
-        self.asked.retain(|entry, _| keep(*entry));
+        self.request_number.retain(|entry, _| keep(*entry));
     }
 
     /// Grants one entry its share of one row above the floor.
@@ -211,10 +216,10 @@
     ) -> u32 {
         let pool = self.policy.pool(limit);
         let shares = self.rows.entry(row.clone()).or_default();
-        shares.retain(|_, given| now_ms < given.until_ms);
+        shares.retain(|_, granted| now_ms < granted.expires_ms);
         let others = shares.iter().filter(|(other, _)| **other != entry);
-        let (taken, wanted) = others.fold((0, 0), |(taken, wanted), (_, given)| {
-            (taken + given.counted, wanted + given.wanted)
+        let (taken, wanted) = others.fold((0, 0), |(taken, wanted), (_, granted)| {
+            (taken + granted.counted, wanted + granted.wanted)
         });
         let free = pool.saturating_sub(taken);
         let all = u64::from(wanted) + u64::from(claim.wanted);
@@ -224,17 +229,17 @@
         };
         // What runs under an earlier leader's leases is not known yet: until it
         // has ended, entries keep what they hold and get no more.
-        let quiet_until_ms = self.since_ms + self.policy.lease_ms + patience_ms;
-        let share = match now_ms < quiet_until_ms {
+        let freeze_until_ms = self.since_ms + self.policy.lease_ms + patience_ms;
+        let share = match now_ms < freeze_until_ms {
             true => claim.held.min(free),
             false => fair.max(claim.wanted.min(1)).min(free),
         };
-        let given = GivenShare {
+        let granted = GrantedShare {
             counted: share.max(claim.held),
             wanted: claim.wanted,
-            until_ms: now_ms + self.policy.lease_ms + patience_ms,
+            expires_ms: now_ms + self.policy.lease_ms + patience_ms,
         };
-        shares.insert(entry, given);
+        shares.insert(entry, granted);
         share
     }
 }
--- a/src/table/packing.rs
+++ b/src/table/packing.rs
@@ -119,7 +119,7 @@
     let mut bins: Vec<Bin<'_>> = targets
         .map(|(target, spec)| Bin {
             target,
-            free_mib: spec.room_mib(),
+            free_mib: spec.weights_capacity_mib(),
         })
         .collect();
     bins.sort_by(|a, b| b.free_mib.cmp(&a.free_mib).then(a.target.cmp(b.target)));
--- a/src/table/quota.rs
+++ b/src/table/quota.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{AccountName, HostName};
-use crate::table::accounts::{AccountBook, QuotaSpec};
+use crate::table::accounts::{AccountList, QuotaSpec};
 
 /// How long what was drawn may be spent, from before it was asked for, and how long an
 /// entry borrows after the last answer, in milliseconds: an election takes one to two
@@ -27,36 +27,36 @@
 /// Part of the burst that a new leader holds at most while earlier leases may last: what
 /// all entries together may spend beyond the limit, once a change of leader. Where no entry
 /// has drawn from a leader before, as after a loss of all power, it holds all of it.
-const YOUNG_PART: f64 = 0.5;
+const INITIAL_FRACTION: f64 = 0.5;
 /// Part of the bucket below which an account is short: entries draw nothing ahead.
-const SHORT_PART: f64 = 0.2;
+const LOW_FRACTION: f64 = 0.2;
 /// Least depth of a bucket, as seconds of its rate: with less, tokens that come between
 /// two asks of the entries would be lost.
-const LEAST_DEPTH_S: f64 = 0.25;
+const MIN_DEPTH_S: f64 = 0.25;
 /// How far ahead an entry draws, in seconds of its demand. An account that uses half of its
 /// limit leaves half of the bucket to bursts.
-const COVER_S: f64 = 1.0;
-/// Requests that the demand of [`COVER_S`] must hold for drawing ahead to spare questions.
-const COVER_REQUESTS: f64 = 2.0;
+const PREFETCH_S: f64 = 1.0;
+/// Requests that the demand of [`PREFETCH_S`] must hold for drawing ahead to spare questions.
+const MIN_PREFETCH_REQUESTS: f64 = 2.0;
 /// Time over which demand is averaged, in seconds.
-const DEMAND_S: f64 = 2.0;
+const DEMAND_WINDOW_S: f64 = 2.0;
 /// Demand below which an account is forgotten, in units a second.
-const NO_DEMAND: f64 = 1.0;
+const MIN_DEMAND_PER_S: f64 = 1.0;
 /// Least and most time until a short account is asked for again, in milliseconds: callers
 /// are told it, and each ask costs the leader a call.
-const AGAIN_MS: (u64, u64) = (50, 1_000);
+const RETRY_RANGE_MS: (u64, u64) = (50, 1_000);
 /// How far ahead an entry borrows, in seconds of its part of the limit.
 const BORROW_S: f64 = 1.0;
 /// Least time between two asks that only refill, in milliseconds.
-const REFILL_MS: u64 = 100;
+const MIN_REFILL_INTERVAL_MS: u64 = 100;
 
 /// One life of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct EntryLife {
+pub struct EntryIncarnation {
     /// Its host.
     pub host: HostName,
     /// Drawn at its start.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// What an entry says of one account.
@@ -69,20 +69,20 @@
     /// Units spent without having been drawn, not told before.
     pub borrowed: u64,
     /// What the cheapest waiting request costs.
-    pub least: u64,
+    pub cheapest: u64,
     /// What all waiting requests cost.
     pub needed: u64,
     /// Units that it would hold beyond that.
-    pub ahead: u64,
+    pub prefetch: u64,
     /// Units asked for a second lately.
     pub demand: u64,
 }
 
 /// What an entry asks of the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuotaAsk {
+pub struct QuotaRequest {
     /// Who asks.
-    pub entry: EntryLife,
+    pub entry: EntryIncarnation,
     /// Rises with each ask of this life.
     pub number: u64,
     /// By account; those without demand are left out.
@@ -95,7 +95,7 @@
     /// Units on top of the balance that was told.
     pub drawn: u64,
     /// Time until more may be there, in milliseconds; 0 where all that was needed was drawn.
-    pub again_ms: u64,
+    pub retry_after_ms: u64,
     /// Units a second that may be borrowed while no leader answers.
     pub lent_per_s: u64,
 }
@@ -117,34 +117,34 @@
     /// The leader has to be asked first.
     Ask,
     /// The account is at its limit for so many milliseconds.
-    Short(u64),
+    Limited(u64),
     /// The leader is silent, and nothing more may be borrowed.
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct HeldQuota {
+struct AccountQuota {
     balance: u64,
-    until_ms: u64,
+    expires_ms: u64,
     spent: i64,
     /// Units asked for since the last ask, and by how many requests.
-    asked: u64,
+    requested: u64,
     requests: u64,
     /// Units and requests asked for a second, averaged.
     demand: f64,
     rate: f64,
     /// Of the requests that wait for the next ask.
-    least: u64,
+    cheapest: u64,
     needed: u64,
-    again_ms: u64,
+    retry_after_ms: u64,
     /// Spent without having been drawn since the last answer.
     borrowed: u64,
     lent_per_s: u64,
 }
 
-impl HeldQuota {
-    fn lapse(&mut self, now_ms: u64) {
-        if now_ms >= self.until_ms {
+impl AccountQuota {
+    fn expire(&mut self, now_ms: u64) {
+        if now_ms >= self.expires_ms {
             self.balance = 0;
         }
     }
@@ -155,84 +155,84 @@
     }
 
     /// Units to hold beyond what waits.
-    fn ahead(&self) -> u64 {
-        match self.rate * COVER_S >= COVER_REQUESTS {
-            true => (self.demand * COVER_S) as u64,
+    fn prefetch(&self) -> u64 {
+        match self.rate * PREFETCH_S >= MIN_PREFETCH_REQUESTS {
+            true => (self.demand * PREFETCH_S) as u64,
             false => 0,
         }
     }
 
     /// Whether a request may be paid for without a leader's word, so long after the last.
     fn may_borrow(&self, cost: u64, silent_ms: u64) -> bool {
-        let span_s = silent_ms as f64 / 1_000.0 + BORROW_S;
-        self.borrowed == 0 || (self.borrowed + cost) as f64 <= self.lent_per_s as f64 * span_s
+        let window_s = silent_ms as f64 / 1_000.0 + BORROW_S;
+        self.borrowed == 0 || (self.borrowed + cost) as f64 <= self.lent_per_s as f64 * window_s
     }
 
-    fn wait(&mut self, cost: u64) {
+    fn add_waiting(&mut self, cost: u64) {
         self.needed += cost;
-        self.least = match self.least {
+        self.cheapest = match self.cheapest {
             0 => cost,
-            least => least.min(cost),
+            cheapest => cheapest.min(cost),
         };
     }
 
-    fn forget_waiting(&mut self) {
+    fn clear_waiting(&mut self) {
         self.needed = 0;
-        self.least = 0;
+        self.cheapest = 0;
     }
 
-    fn average(&mut self, span_s: f64) {
-        let newest = 1.0 - (-span_s / DEMAND_S).exp();
-        self.demand += newest * (self.asked as f64 / span_s - self.demand);
-        self.rate += newest * (self.requests as f64 / span_s - self.rate);
-        self.asked = 0;
+    fn update_demand(&mut self, window_s: f64) {
+        let new_weight = 1.0 - (-window_s / DEMAND_WINDOW_S).exp();
+        self.demand += new_weight * (self.requested as f64 / window_s - self.demand);
+        self.rate += new_weight * (self.requests as f64 / window_s - self.rate);
+        self.requested = 0;
         self.requests = 0;
     }
 
     fn is_idle(&self) -> bool {
         self.balance == 0
             && self.needed == 0
-            && self.asked == 0
+            && self.requested == 0
             && self.borrowed == 0
-            && self.demand < NO_DEMAND
+            && self.demand < MIN_DEMAND_PER_S
     }
 }
 
 /// What one entry holds of all accounts' quotas.
 #[derive(Debug)]
 pub struct QuotaHolder {
-    entry: EntryLife,
-    accounts: BTreeMap<AccountName, HeldQuota>,
+    entry: EntryIncarnation,
+    accounts: BTreeMap<AccountName, AccountQuota>,
     /// Accounts of which little was left at the last word.
     short: BTreeSet<AccountName>,
     number: u64,
-    asked_ms: u64,
+    requested_ms: u64,
     /// When the last ask that was answered had been made.
-    told_ms: Option<u64>,
+    granted_ms: Option<u64>,
     /// The last ask got no answer.
-    silent: bool,
-    hungry: bool,
+    unanswered: bool,
+    unmet_demand: bool,
 }
 
 impl QuotaHolder {
     /// Holds nothing yet.
-    pub fn new(entry: EntryLife, now_ms: u64) -> Self {
+    pub fn new(entry: EntryIncarnation, now_ms: u64) -> Self {
         Self {
             entry,
             accounts: BTreeMap::new(),
             short: BTreeSet::new(),
             number: 0,
-            asked_ms: now_ms,
-            told_ms: None,
-            silent: false,
-            hungry: false,
+            requested_ms: now_ms,
+            granted_ms: None,
+            unanswered: false,
+            unmet_demand: false,
         }
     }
 
     /// Notes that a request of an account has come.
-    pub fn note(&mut self, account: &AccountName, cost: u64) {
+    pub fn record_request(&mut self, account: &AccountName, cost: u64) {
         let held = self.accounts.entry(account.clone()).or_default();
-        held.asked += cost;
+        held.requested += cost;
         held.requests += 1;
     }
 
@@ -240,24 +240,27 @@
     /// next answer, and is charged anew then.
     pub fn charge(&mut self, now_ms: u64, account: &AccountName, cost: u64) -> QuotaCharge {
         let held = self.accounts.entry(account.clone()).or_default();
-        held.lapse(now_ms);
+        held.expire(now_ms);
         let short = self.short.contains(account);
-        match now_ms.checked_sub(held.again_ms) {
+        match now_ms.checked_sub(held.retry_after_ms) {
             _ if held.balance >= cost => {
                 held.spend(cost);
-                let low = !short && held.balance < held.ahead() / 2;
-                self.hungry |= low && now_ms >= self.asked_ms + REFILL_MS;
+                let running_low = !short && held.balance < held.prefetch() / 2;
+                self.unmet_demand |=
+                    running_low && now_ms >= self.requested_ms + MIN_REFILL_INTERVAL_MS;
                 QuotaCharge::Paid
             }
-            None => QuotaCharge::Short(held.again_ms - now_ms),
-            Some(_) if !self.silent => {
-                held.wait(cost);
-                self.hungry = true;
+            None => QuotaCharge::Limited(held.retry_after_ms - now_ms),
+            Some(_) if !self.unanswered => {
+                held.add_waiting(cost);
+                self.unmet_demand = true;
                 QuotaCharge::Ask
             }
             Some(_) => {
-                self.hungry = true;
-                let silent_ms = self.told_ms.map(|told_ms| now_ms.saturating_sub(told_ms));
+                self.unmet_demand = true;
+                let silent_ms = self
+                    .granted_ms
+                    .map(|granted_ms| now_ms.saturating_sub(granted_ms));
                 match silent_ms.filter(|ms| *ms < LEASE_MS && !short) {
                     Some(ms) if held.may_borrow(cost, ms) => {
                         held.borrowed += cost;
@@ -272,99 +275,105 @@
     /// Gives back what a request cost that did not run.
     pub fn refund(&mut self, now_ms: u64, account: &AccountName, cost: u64) {
         let held = self.accounts.entry(account.clone()).or_default();
-        held.lapse(now_ms);
+        held.expire(now_ms);
         // What was drawn under a lease that is over cannot be spent again.
-        if now_ms < held.until_ms {
+        if now_ms < held.expires_ms {
             held.balance += cost;
             held.spent = held.spent.saturating_sub_unsigned(cost);
         }
     }
 
     /// Whether the leader should be asked before the next regular ask.
-    pub fn is_hungry(&self) -> bool {
-        self.hungry
+    pub fn has_unmet_demand(&self) -> bool {
+        self.unmet_demand
     }
 
     /// Makes the next ask; none where no account has demand.
-    pub fn ask(&mut self, now_ms: u64) -> Option<QuotaAsk> {
-        let span_s = now_ms.saturating_sub(self.asked_ms).max(1) as f64 / 1_000.0;
-        self.asked_ms = now_ms;
-        self.hungry = false;
+    pub fn next_request(&mut self, now_ms: u64) -> Option<QuotaRequest> {
+        let window_s = now_ms.saturating_sub(self.requested_ms).max(1) as f64 / 1_000.0;
+        self.requested_ms = now_ms;
+        self.unmet_demand = false;
         self.number += 1;
         self.accounts.retain(|_, held| !held.is_idle());
         let mut claims = BTreeMap::new();
         for (account, held) in &mut self.accounts {
-            held.lapse(now_ms);
-            held.average(span_s);
-            let ahead = match self.short.contains(account) {
+            held.expire(now_ms);
+            held.update_demand(window_s);
+            let prefetch = match self.short.contains(account) {
                 true => 0,
-                false => held.ahead(),
+                false => held.prefetch(),
             };
             // What is of no use here is given back.
-            held.balance = held.balance.min(ahead * 2);
+            held.balance = held.balance.min(prefetch * 2);
             let claim = QuotaClaim {
                 spent: held.spent,
                 balance: held.balance,
                 borrowed: held.borrowed,
-                least: held.least,
+                cheapest: held.cheapest,
                 needed: held.needed,
-                ahead,
+                prefetch,
                 demand: held.demand as u64,
             };
             claims.insert(account.clone(), claim);
         }
-        (!claims.is_empty()).then(|| QuotaAsk {
+        (!claims.is_empty()).then(|| QuotaRequest {
             entry: self.entry.clone(),
             number: self.number,
             claims,
         })
     }
 
-    /// Takes the answer to the ask of that number, made at `asked_ms`. An earlier ask's
+    /// Takes the answer to the ask of that number, made at `requested_ms`. An earlier ask's
     /// answer is dropped: the leader has counted it as given back.
-    pub fn take(&mut self, number: u64, asked_ms: u64, now_ms: u64, grants: &QuotaGrants) {
+    pub fn apply_grants(
+        &mut self,
+        number: u64,
+        requested_ms: u64,
+        now_ms: u64,
+        grants: &QuotaGrants,
+    ) {
         if number != self.number {
             return;
         }
-        self.silent = false;
-        self.told_ms = Some(asked_ms);
+        self.unanswered = false;
+        self.granted_ms = Some(requested_ms);
         self.short = grants.short.clone();
         for (account, held) in &mut self.accounts {
-            held.forget_waiting();
+            held.clear_waiting();
             let Some(grant) = grants.accounts.get(account) else {
                 continue;
             };
             held.borrowed = 0;
             held.lent_per_s = grant.lent_per_s;
-            held.until_ms = asked_ms + LEASE_MS;
+            held.expires_ms = requested_ms + LEASE_MS;
             held.balance += grant.drawn;
-            held.lapse(now_ms);
-            if grant.again_ms > 0 {
-                held.again_ms = now_ms + grant.again_ms;
+            held.expire(now_ms);
+            if grant.retry_after_ms > 0 {
+                held.retry_after_ms = now_ms + grant.retry_after_ms;
             }
         }
     }
 
     /// Forgets which accounts were short: limits have changed.
-    pub fn forget_short(&mut self) {
+    pub fn clear_short(&mut self) {
         self.short.clear();
         for held in self.accounts.values_mut() {
-            held.again_ms = 0;
+            held.retry_after_ms = 0;
         }
     }
 
     /// Notes that the last ask got no answer.
-    pub fn miss(&mut self) {
-        self.silent = true;
+    pub fn record_missing_reply(&mut self) {
+        self.unanswered = true;
         for held in self.accounts.values_mut() {
-            held.forget_waiting();
+            held.clear_waiting();
         }
     }
 }
 
 /// What an entry may still hold, as far as the leader knows.
 #[derive(Clone, Copy, Debug)]
-struct DrawnQuota {
+struct EntryGrant {
     /// Spent and held together, as of its newest ask and the grant for it.
     credited: i64,
     outstanding: u64,
@@ -372,49 +381,49 @@
     lacking: u64,
     /// Units asked for a second.
     demand: u64,
-    until_ms: u64,
+    expires_ms: u64,
 }
 
 /// Number of an entry's life at one leader, never given twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct EntryIndex(u64);
+struct EntryKey(u64);
 
 /// What is drawn of one account, by entry, with the sums over all of them. An ask costs
 /// the logarithm of their number, however many others hold something: 960 entries with
 /// 1,000 accounts ask several times a second each.
 #[derive(Debug, Default)]
-struct DrawnBook {
-    entries: BTreeMap<EntryIndex, DrawnQuota>,
+struct GrantTracker {
+    entries: BTreeMap<EntryKey, EntryGrant>,
     /// In the order in which their leases end.
-    ends: BTreeSet<(u64, EntryIndex)>,
+    by_expiry: BTreeSet<(u64, EntryKey)>,
     outstanding: u64,
     lacking: u64,
     demand: u64,
 }
 
-impl DrawnBook {
-    fn put(&mut self, entry: EntryIndex, drawn: DrawnQuota) {
+impl GrantTracker {
+    fn put(&mut self, entry: EntryKey, drawn: EntryGrant) {
         self.remove(entry);
         self.outstanding += drawn.outstanding;
         self.lacking += drawn.lacking;
         self.demand += drawn.demand;
-        self.ends.insert((drawn.until_ms, entry));
+        self.by_expiry.insert((drawn.expires_ms, entry));
         self.entries.insert(entry, drawn);
     }
 
-    fn remove(&mut self, entry: EntryIndex) -> Option<DrawnQuota> {
+    fn remove(&mut self, entry: EntryKey) -> Option<EntryGrant> {
         let drawn = self.entries.remove(&entry)?;
         self.outstanding -= drawn.outstanding;
         self.lacking -= drawn.lacking;
         self.demand -= drawn.demand;
-        self.ends.remove(&(drawn.until_ms, entry));
+        self.by_expiry.remove(&(drawn.expires_ms, entry));
         Some(drawn)
     }
 
     /// Forgets what can no longer be spent.
-    fn lapse(&mut self, now_ms: u64) {
-        while let Some((until_ms, entry)) = self.ends.first().copied() {
-            if now_ms < until_ms {
+    fn expire(&mut self, now_ms: u64) {
+        while let Some((expires_ms, entry)) = self.by_expiry.first().copied() {
+            if now_ms < expires_ms {
                 return;
             }
             self.remove(entry);
@@ -427,40 +436,40 @@
 struct QuotaBucket {
     level: f64,
     filled_ms: u64,
-    drawn: DrawnBook,
+    drawn: GrantTracker,
 }
 
 impl QuotaBucket {
-    fn new(quota: &QuotaSpec, part: f64, since_ms: u64) -> Self {
+    fn new(quota: &QuotaSpec, max_fill: f64, since_ms: u64) -> Self {
         Self {
-            level: depth(quota) * part,
+            level: depth(quota) * max_fill,
             filled_ms: since_ms,
-            drawn: DrawnBook::default(),
+            drawn: GrantTracker::default(),
         }
     }
 
-    fn fill(&mut self, now_ms: u64, quota: &QuotaSpec, part: f64) {
-        let span_s = now_ms.saturating_sub(self.filled_ms) as f64 / 1_000.0;
+    fn fill(&mut self, now_ms: u64, quota: &QuotaSpec, max_fill: f64) {
+        let window_s = now_ms.saturating_sub(self.filled_ms) as f64 / 1_000.0;
         self.filled_ms = self.filled_ms.max(now_ms);
         let depth = depth(quota);
-        let free = (depth - self.drawn.outstanding as f64).max(0.0);
-        self.level = (self.level + span_s * quota.per_s).min(free.min(depth * part));
+        let capacity = (depth - self.drawn.outstanding as f64).max(0.0);
+        self.level = (self.level + window_s * quota.per_s).min(capacity.min(depth * max_fill));
     }
 
     fn is_short(&self, quota: &QuotaSpec) -> bool {
-        self.level < depth(quota) * SHORT_PART
+        self.level < depth(quota) * LOW_FRACTION
     }
 
     /// All that waiting requests need, or as many of them as there is; ahead only of what
     /// lies above the part that others need at once.
-    fn share_of(&self, claim: &QuotaClaim, quota: &QuotaSpec) -> u64 {
+    fn amount_for(&self, claim: &QuotaClaim, quota: &QuotaSpec) -> u64 {
         let level = self.level.max(0.0) as u64;
-        let kept = (depth(quota) * SHORT_PART) as u64;
-        let spare = level.saturating_sub(claim.needed + kept);
-        let ahead = claim.ahead.saturating_sub(claim.balance).min(spare);
+        let reserved = (depth(quota) * LOW_FRACTION) as u64;
+        let spare = level.saturating_sub(claim.needed + reserved);
+        let prefetch = claim.prefetch.saturating_sub(claim.balance).min(spare);
         match level {
-            level if level >= claim.needed => claim.needed + ahead,
-            level if level >= claim.least => level,
+            level if level >= claim.needed => claim.needed + prefetch,
+            level if level >= claim.cheapest => level,
             _ => 0,
         }
     }
@@ -472,11 +481,11 @@
     }
 
     /// Time until all that waits at entries has come.
-    fn again_ms(&self, lacking: u64, quota: &QuotaSpec) -> u64 {
+    fn retry_after_ms(&self, lacking: u64, quota: &QuotaSpec) -> u64 {
         if lacking == 0 {
             return 0;
         }
-        let (shortest_ms, longest_ms) = AGAIN_MS;
+        let (shortest_ms, longest_ms) = RETRY_RANGE_MS;
         let wait_s = (self.drawn.lacking as f64 - self.level) / quota.per_s.max(f64::MIN_POSITIVE);
         let wait_ms = (wait_s * 1_000.0).clamp(0.0, longest_ms as f64) as u64;
         wait_ms.max(shortest_ms)
@@ -484,17 +493,17 @@
 }
 
 fn depth(quota: &QuotaSpec) -> f64 {
-    quota.burst.max(quota.per_s * LEAST_DEPTH_S)
+    quota.burst.max(quota.per_s * MIN_DEPTH_S)
 }
 
 /// What the leader knows of one entry's life.
 #[derive(Clone, Copy, Debug)]
-struct AskedEntry {
-    index: EntryIndex,
+struct KnownEntry {
+    index: EntryKey,
     /// Its newest ask.
     number: u64,
     /// Until when that is known.
-    until_ms: u64,
+    expires_ms: u64,
 }
 
 /// What is drawn of one account's quota.
@@ -520,20 +529,20 @@
     limits: BTreeMap<AccountName, QuotaSpec>,
     buckets: BTreeMap<AccountName, QuotaBucket>,
     short: BTreeSet<AccountName>,
-    entries: BTreeMap<EntryLife, AskedEntry>,
+    entries: BTreeMap<EntryIncarnation, KnownEntry>,
     /// When entries were looked through last for those that are gone.
-    swept_ms: u64,
-    next: EntryIndex,
+    pruned_ms: u64,
+    next: EntryKey,
     since_ms: u64,
     /// A leader before may have given grants.
-    succeeds: bool,
+    has_predecessor: bool,
 }
 
 impl QuotaGrantor {
     /// The account of the site's first leader: nobody has given anything.
     pub fn of_first_leader(now_ms: u64) -> Self {
         Self {
-            succeeds: false,
+            has_predecessor: false,
             ..Self::new(now_ms)
         }
     }
@@ -546,20 +555,20 @@
             buckets: BTreeMap::new(),
             short: BTreeSet::new(),
             entries: BTreeMap::new(),
-            swept_ms: now_ms,
-            next: EntryIndex(0),
+            pruned_ms: now_ms,
+            next: EntryKey(0),
             since_ms: now_ms,
-            succeeds: true,
+            has_predecessor: true,
         }
     }
 
     /// Takes the limits over from the configuration of that version.
-    pub fn follow(&mut self, version: u64, book: Option<&AccountBook>) {
+    pub fn set_limits(&mut self, version: u64, list: Option<&AccountList>) {
         if version == self.version {
             return;
         }
         self.version = version;
-        let accounts = book.map_or(&[][..], |book| &book.accounts);
+        let accounts = list.map_or(&[][..], |list| &list.accounts);
         let limited = accounts
             .iter()
             .filter_map(|account| Some((account.name.clone(), account.quota?)));
@@ -572,12 +581,12 @@
 
     /// Answers an ask. Accounts without a limit get nothing. One that is not newer than an
     /// earlier ask of the same life gets nothing: the entry takes grants only for its newest.
-    pub fn grant(&mut self, now_ms: u64, ask: &QuotaAsk) -> QuotaGrants {
-        let Some(entry) = self.admit(now_ms, ask) else {
+    pub fn grant(&mut self, now_ms: u64, request: &QuotaRequest) -> QuotaGrants {
+        let Some(entry) = self.admit(now_ms, request) else {
             return QuotaGrants::default();
         };
         let mut accounts = BTreeMap::new();
-        for (account, claim) in &ask.claims {
+        for (account, claim) in &request.claims {
             if let Some(quota) = self.limits.get(account).copied() {
                 let grant = self.draw(now_ms, entry, account, claim, &quota);
                 accounts.insert(account.clone(), grant);
@@ -592,15 +601,15 @@
     /// What is drawn of an account that has a limit; none without one.
     pub fn usage(&mut self, now_ms: u64, account: &AccountName) -> Option<QuotaUsage> {
         let quota = self.limits.get(account).copied()?;
-        let part = self.part(now_ms);
+        let max_fill = self.max_fill(now_ms);
         let Some(bucket) = self.buckets.get_mut(account) else {
             return Some(QuotaUsage {
-                level: (depth(&quota) * part) as u64,
+                level: (depth(&quota) * max_fill) as u64,
                 ..QuotaUsage::default()
             });
         };
-        bucket.drawn.lapse(now_ms);
-        bucket.fill(now_ms, &quota, part);
+        bucket.drawn.expire(now_ms);
+        bucket.fill(now_ms, &quota, max_fill);
         Some(QuotaUsage {
             level: bucket.level.max(0.0) as u64,
             drawn: bucket.drawn.outstanding,
@@ -612,77 +621,77 @@
 
     /// Part of the bucket that may be full now. Whoever asks first may not have been told of
     /// a leader before, which may have given all of it to another entry.
-    fn part(&self, now_ms: u64) -> f64 {
-        match self.succeeds && self.is_young(now_ms) {
-            true => YOUNG_PART,
+    fn max_fill(&self, now_ms: u64) -> f64 {
+        match self.has_predecessor && self.overlaps_predecessor(now_ms) {
+            true => INITIAL_FRACTION,
             false => 1.0,
         }
     }
 
     /// Whether what a leader before gave may still be spent.
-    fn is_young(&self, now_ms: u64) -> bool {
+    fn overlaps_predecessor(&self, now_ms: u64) -> bool {
         now_ms < self.since_ms + LEASE_MS
     }
 
     /// Notes an ask; nothing where it is not the newest of its entry's life.
-    fn admit(&mut self, now_ms: u64, ask: &QuotaAsk) -> Option<EntryIndex> {
-        if now_ms >= self.swept_ms + LEASE_MS {
-            self.swept_ms = now_ms;
-            self.entries.retain(|_, asked| now_ms < asked.until_ms);
+    fn admit(&mut self, now_ms: u64, request: &QuotaRequest) -> Option<EntryKey> {
+        if now_ms >= self.pruned_ms + LEASE_MS {
+            self.pruned_ms = now_ms;
+            self.entries.retain(|_, known| now_ms < known.expires_ms);
         }
-        let until_ms = now_ms + 2 * LEASE_MS;
-        if let Some(asked) = self.entries.get_mut(&ask.entry) {
-            let newer = ask.number > asked.number;
-            asked.number = asked.number.max(ask.number);
-            asked.until_ms = until_ms;
-            return newer.then_some(asked.index);
+        let expires_ms = now_ms + 2 * LEASE_MS;
+        if let Some(known) = self.entries.get_mut(&request.entry) {
+            let newer = request.number > known.number;
+            known.number = known.number.max(request.number);
+            known.expires_ms = expires_ms;
+            return newer.then_some(known.index);
         }
         let index = self.next;
-        self.next = EntryIndex(index.0 + 1);
-        let asked = AskedEntry {
+        self.next = EntryKey(index.0 + 1);
+        let known = KnownEntry {
             index,
-            number: ask.number,
-            until_ms,
+            number: request.number,
+            expires_ms,
         };
-        self.entries.insert(ask.entry.clone(), asked);
+        self.entries.insert(request.entry.clone(), known);
         Some(index)
     }
 
     fn draw(
         &mut self,
         now_ms: u64,
-        entry: EntryIndex,
+        entry: EntryKey,
         account: &AccountName,
         claim: &QuotaClaim,
         quota: &QuotaSpec,
     ) -> QuotaGrant {
-        let young = self.is_young(now_ms);
+        let overlaps = self.overlaps_predecessor(now_ms);
         let since_ms = self.since_ms;
-        let part = self.part(now_ms);
+        let max_fill = self.max_fill(now_ms);
         let bucket = self.buckets.entry(account.clone());
-        let bucket = bucket.or_insert_with(|| QuotaBucket::new(quota, part, since_ms));
-        bucket.drawn.lapse(now_ms);
-        let told = claim.spent.saturating_add_unsigned(claim.balance);
+        let bucket = bucket.or_insert_with(|| QuotaBucket::new(quota, max_fill, since_ms));
+        bucket.drawn.expire(now_ms);
+        let reported = claim.spent.saturating_add_unsigned(claim.balance);
         if let Some(before) = bucket.drawn.remove(entry) {
             // What it neither spent nor holds has been given back, or was lost on its way.
-            bucket.level += before.credited.saturating_sub(told).max(0) as f64;
+            bucket.level += before.credited.saturating_sub(reported).max(0) as f64;
         }
-        let mut drawn = DrawnQuota {
-            credited: told,
+        let mut drawn = EntryGrant {
+            credited: reported,
             outstanding: claim.balance,
             lacking: 0,
             demand: claim.demand,
-            until_ms: now_ms + LEASE_MS,
+            expires_ms: now_ms + LEASE_MS,
         };
         bucket.drawn.put(entry, drawn);
-        bucket.fill(now_ms, quota, part);
-        if !young {
+        bucket.fill(now_ms, quota, max_fill);
+        if !overlaps {
             bucket.level -= claim.borrowed as f64;
         }
-        let amount = bucket.share_of(claim, quota);
+        let amount = bucket.amount_for(claim, quota);
         bucket.level -= amount as f64;
         drawn.outstanding += amount;
-        drawn.credited = told.saturating_add_unsigned(amount);
+        drawn.credited = reported.saturating_add_unsigned(amount);
         drawn.lacking = claim.needed.saturating_sub(amount);
         bucket.drawn.put(entry, drawn);
         match bucket.is_short(quota) {
@@ -691,7 +700,7 @@
         };
         QuotaGrant {
             drawn: amount,
-            again_ms: bucket.again_ms(drawn.lacking, quota),
+            retry_after_ms: bucket.retry_after_ms(drawn.lacking, quota),
             lent_per_s: bucket.lent_per_s(claim, quota),
         }
     }
--- a/src/table/rows.rs
+++ b/src/table/rows.rs
@@ -10,7 +10,7 @@
 use crate::table::site::SiteSpec;
 
 /// Longest accepted name of a row, in bytes.
-pub const MAX_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Largest accepted weight.
 pub const MAX_WEIGHT: u32 = 1000;
 /// Longest accepted patience: one day.
@@ -142,13 +142,13 @@
 }
 
 /// The answer to an edit: the position at which it took effect, or the refusal.
-pub type EditAnswer = Result<Position, EditRefusal>;
+pub type EditResult = Result<Position, EditRefusal>;
 
 /// The answer given to an edit id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EditRecord {
     edit: RowEdit,
-    answer: EditAnswer,
+    answer: EditResult,
     at_ms: u64,
 }
 
@@ -177,9 +177,9 @@
         position: Position,
         at_ms: u64,
         edit: &RowEdit,
-    ) -> EditAnswer {
-        let slot = (edit.partner.clone(), edit.id.clone());
-        match self.answered.get(&slot) {
+    ) -> EditResult {
+        let edit_key = (edit.partner.clone(), edit.id.clone());
+        match self.answered.get(&edit_key) {
             Some(record) if record.edit == *edit => return record.answer.clone(),
             Some(_) => return Err(EditRefusal::IdReused),
             None => {}
@@ -193,7 +193,7 @@
             answer: answer.clone(),
             at_ms,
         };
-        self.answered.insert(slot, record);
+        self.answered.insert(edit_key, record);
         answer
     }
 
@@ -240,13 +240,13 @@
         if !self.rows.contains_key(&edit.row) && self.rows.len() >= MAX_ROWS {
             return Err(invalid("row", "the table is full"));
         }
-        let twin = self.rows.iter().find(|(id, row)| {
+        let duplicate = self.rows.iter().find(|(id, row)| {
             **id != edit.row
                 && row.partner == edit.partner
                 && row.fields.class == fields.class
                 && row.fields.model == fields.model
         });
-        match twin {
+        match duplicate {
             Some((id, _)) => Err(invalid(
                 "class",
                 &format!("row {id} already names this model and class"),
@@ -297,11 +297,11 @@
 }
 
 fn check_name(row: &RowId) -> Result<(), EditRefusal> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     match row.as_str() {
         "" => Err(invalid("row", "must not be empty")),
-        name if name.len() > MAX_NAME => Err(invalid("row", "is longer than 128 bytes")),
-        name if !name.chars().all(plain) => {
+        name if name.len() > MAX_NAME_BYTES => Err(invalid("row", "is longer than 128 bytes")),
+        name if !name.chars().all(is_allowed) => {
             Err(invalid("row", "may hold letters, digits, '-', '_' and '.'"))
         }
         _ => Ok(()),
@@ -313,7 +313,7 @@
         f if !site.models.contains_key(&f.model) => {
             Err(invalid("model", "is not in the site's catalogue"))
         }
-        f if f.class.is_empty() || f.class.len() > MAX_NAME => {
+        f if f.class.is_empty() || f.class.len() > MAX_NAME_BYTES => {
             Err(invalid("class", "must have 1 to 128 bytes"))
         }
         f if f.weight == 0 || f.weight > MAX_WEIGHT => {
--- a/src/table/site.rs
+++ b/src/table/site.rs
@@ -44,17 +44,17 @@
     #[serde(default)]
     pub kv_floor_mib: u64,
     /// Accelerators in use on this target.
-    #[serde(default = "one")]
+    #[serde(default = "default_accelerators")]
     pub accelerators: u32,
 }
 
-fn one() -> u32 {
+fn default_accelerators() -> u32 {
     1
 }
 
 impl TargetSpec {
     /// The memory that weights may take, in MiB.
-    pub fn room_mib(&self) -> u64 {
+    pub fn weights_capacity_mib(&self) -> u64 {
         self.memory_mib.saturating_sub(self.kv_floor_mib)
     }
 }
--- a/tests/accounts.rs
+++ b/tests/accounts.rs
@@ -8,14 +8,14 @@
 use dunlinspring::forward::caller;
 use dunlinspring::routing::authority::{FreshnessProof, ProofBook};
 use dunlinspring::table::accounts::{
-    AccountBook, AccountError, AccountSpec, KeyDigest, KeyIndex, QuotaSpec, QuotaUnit,
+    AccountError, AccountList, AccountSpec, KeyDigest, KeyIndex, QuotaSpec, QuotaUnit,
 };
 use proptest::prelude::*;
 use support_accounts::account;
 
 #[test]
 fn accounts_that_make_no_sense_are_refused_with_field_and_place() {
-    let check = |accounts: Vec<AccountSpec>| AccountBook { accounts }.check();
+    let check = |accounts: Vec<AccountSpec>| AccountList { accounts }.check();
     assert_eq!(
         check(vec![account("a", &["k1", "k1"]), account("b", &["k2"])]),
         Ok(())
@@ -23,10 +23,10 @@
     let shared = check(vec![account("a", &["k1"]), account("b", &["k2", "k1"])]).unwrap_err();
     assert_eq!(
         shared,
-        AccountError::SameKey {
-            at: 1,
+        AccountError::DuplicateKey {
+            index: 1,
             key: 1,
-            other: 0
+            earlier: 0
         }
     );
     assert_eq!(
@@ -40,7 +40,7 @@
     );
     for name in ["", "a b", "a\r\nX: y", "ä"] {
         let named = check(vec![account(name, &[])]);
-        assert_eq!(named, Err(AccountError::Name { at: 0 }), "{name}");
+        assert_eq!(named, Err(AccountError::Name { index: 0 }), "{name}");
     }
     for (per_s, burst, field) in [
         (-1.0, 0.0, "per_s"),
@@ -58,7 +58,7 @@
         });
         assert_eq!(
             check(vec![limited]),
-            Err(AccountError::Limit { at: 0, field })
+            Err(AccountError::Limit { index: 0, field })
         );
     }
 }
@@ -68,7 +68,7 @@
     let accounts: Vec<AccountSpec> = (0..300)
         .map(|number| account(&format!("a{number}"), &[&format!("k{number}")]))
         .collect();
-    let index = KeyIndex::new(&AccountBook { accounts });
+    let index = KeyIndex::new(&AccountList { accounts });
     assert_eq!(index.find(&KeyDigest::of("k17")), Some(17));
     assert_eq!(index.find(&KeyDigest::of("k300")), None);
     let shown = format!("{:?}", account("a", &["secret"]));
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -132,7 +132,7 @@
     ReplicaRecord {
         slots: 8,
         phase,
-        born_ms: LIFE,
+        started_ms: LIFE,
         ..ready_replica(id, "plain")
     }
 }
@@ -153,7 +153,7 @@
     book.follow(0, &ready());
     let (a, b) = (ReplicaId::from("a"), ReplicaId::from("b"));
     book.pause(1_000, &a, AskedPause { ms: 3_000 });
-    book.leave(1_000, &ready()[&b].life());
+    book.leave(1_000, &ready()[&b].incarnation());
     book.follow(0, &BTreeMap::new());
     book.follow(0, &ready());
     let choose = |book: &ReplicaBook, at_ms| {
@@ -166,7 +166,7 @@
     let only = BTreeMap::from([(a.clone(), record("a", ReplicaPhase::Ready))]);
     book.follow(0, &only);
     assert_eq!(choose(&book, 3_999), Choice::Paused(1));
-    assert!(book.claim(3_999, &only[&a].life(), None).is_err());
+    assert!(book.claim(3_999, &only[&a].incarnation(), None).is_err());
 }
 
 /// One step of a play with a peer.
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -5,9 +5,9 @@
 use std::process::Command;
 
 use dunlinspring::cli::{accounts, contents, halls};
-use dunlinspring::consensus::crashes::{CrashBook, CrashReport};
+use dunlinspring::consensus::crashes::{CrashReport, CrashStore};
 use dunlinspring::consensus::directory::ReplicaRecord;
-use dunlinspring::ids::{AccountName, ContentDigest, HallName, ReplicaId, ReplicaLife};
+use dunlinspring::ids::{AccountName, ContentDigest, HallName, ReplicaId, ReplicaIncarnation};
 use dunlinspring::process::wire::{AccountStatus, LimitStatus};
 use dunlinspring::routing::view::SiteView;
 use dunlinspring::table::accounts::{QuotaSpec, QuotaUnit};
@@ -118,21 +118,21 @@
 
 #[test]
 fn contents_are_shown_a_line_each_the_barred_ones_first() {
-    let mut book = CrashBook::default();
+    let mut book = CrashStore::default();
     let content = |number: u8| ContentDigest([number; ContentDigest::LEN]);
-    for born_ms in 1..=3 {
-        let contents = match born_ms {
+    for started_ms in 1..=3 {
+        let contents = match started_ms {
             1 => vec![content(1), content(2)],
             _ => vec![content(2)],
         };
         let report = CrashReport {
-            replica: ReplicaLife {
+            replica: ReplicaIncarnation {
                 id: ReplicaId::from("r1"),
-                born_ms,
+                started_ms,
             },
             contents: contents.into_iter().collect(),
         };
-        book.note(&report, 1_000 * born_ms);
+        book.record(&report, 1_000 * started_ms);
     }
     insta::assert_snapshot!(contents::table(&book));
 }
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -2,10 +2,10 @@
 //! what a member believes meanwhile.
 
 use dunlinspring::consensus::crashes::{
-    ContentStanding, CrashBook, CrashCounts, CrashReport, MAX_CONTENTS,
+    ContentStanding, CrashCounts, CrashReport, CrashStore, MAX_CONTENTS,
 };
 use dunlinspring::consensus::state::{Change, Command, Reply, SiteState, Stamped};
-use dunlinspring::ids::{ContentDigest, Position, ReplicaId, ReplicaLife};
+use dunlinspring::ids::{ContentDigest, Position, ReplicaId, ReplicaIncarnation};
 use dunlinspring::placement::turns::{TurnAnswer, TurnAsk, TurnDesk, TurnEnd};
 use dunlinspring::routing::suspects::SuspectBook;
 
@@ -15,10 +15,10 @@
     ContentDigest(u128::from(number).to_be_bytes())
 }
 
-fn life(number: u64) -> ReplicaLife {
-    ReplicaLife {
+fn life(number: u64) -> ReplicaIncarnation {
+    ReplicaIncarnation {
         id: ReplicaId::from("r"),
-        born_ms: number,
+        started_ms: number,
     }
 }
 
@@ -29,16 +29,16 @@
     }
 }
 
-fn standing(book: &CrashBook, number: u64) -> ContentStanding {
+fn standing(book: &CrashStore, number: u64) -> ContentStanding {
     ContentStanding::of(book.count(&content(number)))
 }
 
 #[test]
 fn the_third_end_bars_a_content_whoever_tells_of_each() {
-    let mut book = CrashBook::default();
+    let mut book = CrashStore::default();
     let told = [(1, 1), (1, 1), (2, 2), (1, 2), (3, 3), (4, 3)];
     for (replica, count) in told {
-        book.note(&report(replica, &[7]), 0);
+        book.record(&report(replica, &[7]), 0);
         assert_eq!(book.count(&content(7)), count, "the end of {replica}");
     }
     assert_eq!(standing(&book, 7), ContentStanding::Barred);
@@ -47,11 +47,11 @@
 
 #[test]
 fn a_run_to_its_end_clears_a_suspect_and_nothing_that_is_barred() {
-    let mut book = CrashBook::default();
+    let mut book = CrashStore::default();
     for replica in 1..=3 {
-        book.note(&report(replica, &[1]), 0);
+        book.record(&report(replica, &[1]), 0);
     }
-    book.note(&report(3, &[1, 2]), 0);
+    book.record(&report(3, &[1, 2]), 0);
     assert!(book.clear(&content(2)));
     assert!(!book.clear(&content(2)));
     assert!(!book.clear(&content(1)));
@@ -61,27 +61,27 @@
 
 #[test]
 fn what_was_lifted_is_barred_by_one_more_end() {
-    let mut book = CrashBook::default();
+    let mut book = CrashStore::default();
     for replica in 1..=3 {
-        book.note(&report(replica, &[1]), 0);
+        book.record(&report(replica, &[1]), 0);
     }
     assert!(book.lift(&content(1)));
     assert!(!book.lift(&content(1)));
     assert_eq!(standing(&book, 1), ContentStanding::Suspect(2));
-    book.note(&report(4, &[1]), 0);
+    book.record(&report(4, &[1]), 0);
     assert_eq!(standing(&book, 1), ContentStanding::Barred);
 }
 
 #[test]
 fn a_flood_of_suspects_takes_bounded_room_and_drives_out_nothing_that_is_barred() {
-    let mut book = CrashBook::default();
+    let mut book = CrashStore::default();
     for replica in 1..=3 {
-        book.note(&report(replica, &[1]), 0);
+        book.record(&report(replica, &[1]), 0);
     }
-    book.note(&report(4, &[2]), 1);
-    book.note(&report(5, &[2]), 1);
+    book.record(&report(4, &[2]), 1);
+    book.record(&report(5, &[2]), 1);
     for number in 10..10 + 2 * MAX_CONTENTS as u64 {
-        let changed = book.note(&report(number, &[number]), 2 + number);
+        let changed = book.record(&report(number, &[number]), 2 + number);
         // Members are told of what is forgotten, too.
         let gone = changed.values().filter(|count| **count == 0).count();
         assert_eq!(gone, usize::from(number >= 8 + MAX_CONTENTS as u64));
@@ -93,11 +93,11 @@
 
 #[test]
 fn suspects_are_forgotten_after_a_day_and_what_is_barred_never() {
-    let mut book = CrashBook::default();
+    let mut book = CrashStore::default();
     for replica in 1..=3 {
-        book.note(&report(replica, &[1]), 0);
+        book.record(&report(replica, &[1]), 0);
     }
-    book.note(&report(3, &[2]), 0);
+    book.record(&report(3, &[2]), 0);
     assert_eq!(book.prune(DAY_MS), CrashCounts::from([(content(2), 0)]));
     assert_eq!(standing(&book, 1), ContentStanding::Barred);
 }
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -135,7 +135,7 @@
     let Choice::Send(chosen) = choose(&book) else {
         panic!("both replicas have room");
     };
-    let life = state.replicas.records()[&chosen].life();
+    let life = state.replicas.records()[&chosen].incarnation();
     evacuate(&mut state);
     book.follow_halls(&state.evacuated);
     assert_eq!(book.claim(0, &life, None), Err(ReplicaBar::Evacuated));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunlinspring::consensus::directory::{
-    AdapterEffect, BeatNews, ReplicaDirectory, ReplicaPhase, ReplicaRecord,
+    AdapterEffect, HeartbeatStatus, ReplicaDirectory, ReplicaPhase, ReplicaRecord,
 };
 use dunlinspring::consensus::state::{Command, SiteState, Stamped};
 use dunlinspring::ids::{HallName, HostName, ModelName, Position, ReplicaId, ServiceName, Term};
@@ -38,7 +38,7 @@
     let adapters = adapters.iter().map(|name| (*name).to_owned());
     let adapters = adapters.collect();
     record.models.insert(ModelName::from("a"), adapters);
-    record.beat = number;
+    record.seq = number;
     record
 }
 
@@ -290,7 +290,7 @@
     let mut directory = ReplicaDirectory::default();
     let beat = |number: u64, models: &[&str]| {
         let mut record = record("r1", 1, models);
-        record.beat = number;
+        record.seq = number;
         record
     };
     let (id, a, b) = (
@@ -299,20 +299,26 @@
         ModelName::from("b"),
     );
     directory.put(&beat(4, &["a"]), 0);
-    directory.load(&id, &b);
+    directory.record_load(&id, &b);
     directory.put(&beat(6, &["a", "b"]), 0);
-    assert_eq!(directory.news(&beat(5, &["a"]), 5_000), BeatNews::Known);
+    assert_eq!(
+        directory.compare_heartbeat(&beat(5, &["a"]), 5_000),
+        HeartbeatStatus::Known
+    );
     assert_eq!(directory.put(&beat(5, &["a"]), 5_000), None);
     assert!(directory.records()[&id].models.contains_key(&b));
     // Nor is a model gone because a heartbeat from before it came lacks it.
-    directory.unload(&id, &b);
+    directory.record_unload(&id, &b);
     directory.put(&beat(5, &["a"]), 6_000);
-    assert!(directory.is_leaving(&id, &b));
+    assert!(directory.is_unloading(&id, &b));
     directory.put(&beat(7, &["a"]), 6_000);
-    assert!(!directory.is_leaving(&id, &b));
+    assert!(!directory.is_unloading(&id, &b));
     assert!(directory.records()[&id].models.contains_key(&a));
     // A number alone is no news.
-    assert_eq!(directory.news(&beat(8, &["a"]), 7_000), BeatNews::Known);
+    assert_eq!(
+        directory.compare_heartbeat(&beat(8, &["a"]), 7_000),
+        HeartbeatStatus::Known
+    );
 }
 
 /// A refused order settles nothing of what is there: heartbeats do.
@@ -325,11 +331,11 @@
     world.beat(&full);
     let model = ModelName::from("b");
     world.apply(Command::ReplicaUnload(full.id.clone(), model.clone()));
-    assert!(world.state.replicas.is_leaving(&full.id, &model));
+    assert!(world.state.replicas.is_unloading(&full.id, &model));
     world.apply(Command::ReplicaSettled(full.id.clone(), model.clone()));
     let held = &world.state.replicas.records()[&full.id].models;
     assert_eq!(held.get(&model), Some(&names));
-    assert!(!world.state.replicas.is_leaving(&full.id, &model));
+    assert!(!world.state.replicas.is_unloading(&full.id, &model));
 }
 
 #[test]
@@ -398,7 +404,7 @@
     let id = ReplicaId::from("r1");
     let expected = [
         Command::ReplicaSilent(id.clone()),
-        Command::ReplicaEnded(record("r1", 1, &[]).life()),
+        Command::ReplicaEnded(record("r1", 1, &[]).incarnation()),
     ];
     assert_eq!(commands, expected);
 }
@@ -408,14 +414,14 @@
 fn the_end_of_a_life_does_not_end_the_next() {
     let mut world = World::new(&["a"]);
     let mut first = record("r1", 1, &["a"]);
-    first.born_ms = 1_000;
+    first.started_ms = 1_000;
     let mut next = record("r1", 1, &[]);
-    next.born_ms = 2_000;
+    next.started_ms = 2_000;
     world.beat(&first);
     world.beat(&next);
-    world.apply(Command::ReplicaEnded(first.life()));
+    world.apply(Command::ReplicaEnded(first.incarnation()));
     assert_eq!(world.state.replicas.records()[&next.id], next);
-    world.apply(Command::ReplicaEnded(next.life()));
+    world.apply(Command::ReplicaEnded(next.incarnation()));
     assert!(world.state.replicas.records().is_empty());
 }
 
@@ -424,7 +430,7 @@
 fn a_replica_that_is_born_again_is_ordered_again() {
     let mut world = World::new(&["a"]);
     let mut replica = record("r1", 1, &[]);
-    replica.born_ms = 1_000;
+    replica.started_ms = 1_000;
     world.beat(&replica);
     let ordered = |world: &mut World, from_ms: u64| {
         world.orders.clear();
@@ -440,7 +446,7 @@
         .on_outcome(12_000, &order, OrderOutcome::Fenced);
     assert!(refused.is_empty());
     assert_eq!(ordered(&mut world, 12_100), None);
-    replica.born_ms = 2_000;
+    replica.started_ms = 2_000;
     world.beat(&replica);
     let again = ordered(&mut world, 20_200).expect("a load in the new life");
     assert_eq!((again.kind, again.born_ms), (OrderKind::Load, 2_000));
@@ -679,11 +685,11 @@
     let held = directory.records()[&id].clone();
     let answer = orders.decide(&held, 1, &directory, &place("x"), 0);
     assert_eq!(answer, WishAnswer::Load);
-    directory.order_adapter(&id, &model, "x");
+    directory.record_adapter_order(&id, &model, "x");
     assert_eq!(orders.take_due(&directory, 0), [place("x")]);
     orders.on_outcome(&place("x"), OrderOutcome::Unknown, 0);
     // While its model goes, it may still come, and is not sent again.
-    directory.unload(&id, &model);
+    directory.record_unload(&id, &model);
     assert_eq!(orders.settle(&directory, 60_000), []);
     assert_eq!(orders.take_due(&directory, 60_000), []);
     directory.put(&record("r1", 1, &["b"]), 60_000);
@@ -774,11 +780,20 @@
     let plain = record("r1", 1, &["a"]);
     directory.put(&plain, 10_000);
     let (id, model) = (ReplicaId::from("r1"), ModelName::from("a"));
-    assert!(directory.set_adapter(&id, &model, "x", AdapterEffect::There, 10_000));
-    assert_eq!(directory.news(&plain, 11_000), BeatNews::Known);
-    assert_eq!(directory.news(&plain, 14_000), BeatNews::New);
+    assert!(directory.set_adapter(&id, &model, "x", AdapterEffect::Present, 10_000));
+    assert_eq!(
+        directory.compare_heartbeat(&plain, 11_000),
+        HeartbeatStatus::Known
+    );
+    assert_eq!(
+        directory.compare_heartbeat(&plain, 14_000),
+        HeartbeatStatus::New
+    );
     directory.end(&id);
-    assert_eq!(directory.news(&plain, 11_000), BeatNews::Ended);
+    assert_eq!(
+        directory.compare_heartbeat(&plain, 11_000),
+        HeartbeatStatus::Ended
+    );
     assert_eq!(directory.put(&plain, 11_000), None);
 }
 
@@ -795,22 +810,22 @@
         record
     };
     replicas.put(&beat(&[]), 0);
-    replicas.order_adapter(&id, &model, "a8");
-    replicas.set_adapter(&id, &model, "b0", AdapterEffect::There, 0);
+    replicas.record_adapter_order(&id, &model, "a8");
+    replicas.set_adapter(&id, &model, "b0", AdapterEffect::Present, 0);
     for step in 1..20 {
         let clock_ms = step * 1_000;
         replicas.set_adapter(
             &id,
             &model,
             &format!("b{step}"),
-            AdapterEffect::There,
+            AdapterEffect::Present,
             clock_ms,
         );
         replicas.set_adapter(
             &id,
             &model,
             &format!("b{}", step - 1),
-            AdapterEffect::Gone,
+            AdapterEffect::Absent,
             clock_ms,
         );
         // A heartbeat that left before the last order.
@@ -844,7 +859,7 @@
     );
     assert_eq!(evicted, WishAnswer::Evict(place("a1")));
     assert!(orders.on_outcome(&place("a1"), OrderOutcome::Taken, 10_000));
-    replicas.set_adapter(&held.id, &model, "a1", AdapterEffect::Goes, 10_000);
+    replicas.set_adapter(&held.id, &model, "a1", AdapterEffect::Unloading, 10_000);
     for now_ms in (10_100..25_000).step_by(100) {
         // Its heartbeats say all the while that it is still there.
         if now_ms % 1_400 == 300 {
@@ -892,7 +907,7 @@
     for adapter in ["z", evicted.adapter.as_deref().unwrap()] {
         let (_, order) = world.duties.on_wish(&world.state, 7_000, &place(adapter));
         assert_ne!(order.map(|order| order.kind), Some(OrderKind::Load));
-        let coming = world.state.replicas.adapters_coming(&evicted.replica);
+        let coming = world.state.replicas.adapters_loading(&evicted.replica);
         assert_eq!(coming.count(), 0);
     }
     world.beat(&beat(2, &[other]));
@@ -912,10 +927,16 @@
     let mut directory = ReplicaDirectory::default();
     let (id, model) = (ReplicaId::from("r1"), ModelName::from("a"));
     directory.put(&beat(1, &[]), 0);
-    directory.set_adapter(&id, &model, "x", AdapterEffect::There, 0);
-    assert_eq!(directory.news(&beat(3, &["x"]), 1_000), BeatNews::New);
+    directory.set_adapter(&id, &model, "x", AdapterEffect::Present, 0);
+    assert_eq!(
+        directory.compare_heartbeat(&beat(3, &["x"]), 1_000),
+        HeartbeatStatus::New
+    );
     directory.put(&beat(3, &["x"]), 1_000);
-    assert_eq!(directory.news(&beat(4, &["x"]), 2_000), BeatNews::Known);
+    assert_eq!(
+        directory.compare_heartbeat(&beat(4, &["x"]), 2_000),
+        HeartbeatStatus::Known
+    );
     for late in [2, 3] {
         assert_eq!(directory.put(&beat(late, &[]), 9_000), None);
     }
@@ -928,8 +949,11 @@
     directory.put(&record("r1", 1, &["a"]), 0);
     let replaced = directory.put(&record("r2", 1, &["a"]), 0);
     assert_eq!(replaced, Some(vec![ReplicaId::from("r1")]));
-    assert!(directory.drain(&ReplicaId::from("r2")));
-    assert_eq!(directory.news(&record("r2", 1, &["a"]), 0), BeatNews::Known);
+    assert!(directory.mark_draining(&ReplicaId::from("r2")));
+    assert_eq!(
+        directory.compare_heartbeat(&record("r2", 1, &["a"]), 0),
+        HeartbeatStatus::Known
+    );
     let phase = directory.records()[&ReplicaId::from("r2")].phase;
     assert_eq!(phase, ReplicaPhase::Draining);
 }
@@ -940,7 +964,9 @@
     let limited = record("r1", 1, &["a"]);
     world.beat(&limited);
     world.beat(&record("r2", 2, &[]));
-    world.duties.follow_limits(1, [limited.life()].iter());
+    world
+        .duties
+        .follow_limits(1, [limited.incarnation()].iter());
     for now_ms in (3_000..6_000).step_by(100) {
         world.duties.on_report(now_ms, busy("a", 3.0));
         world.round(now_ms);
--- a/tests/flight.rs
+++ b/tests/flight.rs
@@ -1,6 +1,6 @@
 //! The steps of one request whose peers do not answer.
 
-use dunlinspring::consensus::claims::ClaimAnswer;
+use dunlinspring::consensus::claims::ClaimReply;
 use dunlinspring::ids::{AttemptId, Incarnation, Position, TargetName};
 use dunlinspring::routing::flight::{
     EndCause, FlightEvent, FlightOutcome, FlightPolicy, FlightStep, FlightTrial, RequestFlight,
@@ -31,7 +31,7 @@
         flight.on(FlightEvent::Lost);
         assert_eq!(flight.step(), FlightStep::Claim(trial.clone()));
     }
-    let granted = ClaimAnswer::Granted(Position(9));
+    let granted = ClaimReply::Granted(Position(9));
     flight.on(FlightEvent::Claimed(granted));
     assert_eq!(flight.step(), FlightStep::Start(trial));
 }
--- a/tests/forward_parts.rs
+++ b/tests/forward_parts.rs
@@ -353,7 +353,7 @@
 fn a_replica_that_is_born_again_is_judged_anew() {
     let lives = |born_ms: u64| {
         let mut first = record("a", &[("m", &[])]);
-        first.born_ms = born_ms;
+        first.started_ms = born_ms;
         let records = [first, record("b", &[("m", &[])])];
         records.map(|record| (record.id.clone(), record)).into()
     };
@@ -414,8 +414,8 @@
 
 #[test]
 fn what_can_wait_is_told_by_the_aims_of_a_service() {
-    let with_aim = |name: &str, service: &str, aim_ms: u64| RouteSpec {
-        aim_ms,
+    let with_aim = |name: &str, service: &str, latency_goal_ms: u64| RouteSpec {
+        latency_goal_ms,
         ..route(name, &format!("/{name}/"), &[(service, 1)])
     };
     let routes = [
@@ -462,8 +462,8 @@
         prefix: prefix.to_owned(),
         kind: RouteKind::Safe,
         timeout_ms: 1_000,
-        aim_ms: 100,
-        gap_ms: 0,
+        latency_goal_ms: 100,
+        max_event_gap_ms: 0,
         priority: 1,
         attempts: 1,
         resumable: false,
@@ -530,7 +530,10 @@
         Err(ConfigurationError::UnknownService { .. })
     ));
     let same = configuration(vec![sound.clone(), route("two", "/a/", &[("plain", 1)])]).check();
-    assert!(matches!(same, Err(ConfigurationError::SamePlace { .. })));
+    assert!(matches!(
+        same,
+        Err(ConfigurationError::DuplicatePrefix { .. })
+    ));
     let none = configuration(vec![route("one", "/a/", &[("plain", 0)])]).check();
     assert!(matches!(none, Err(ConfigurationError::NoWeight { .. })));
     let mut timeless = sound.clone();
