--- a/tests/forwarding/accounts.rs
+++ b/tests/forwarding/accounts.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use dunlinspring::table::accounts::{AccountBook, AccountSpec, QuotaSpec, QuotaUnit};
+use dunlinspring::table::accounts::{AccountList, AccountSpec, QuotaSpec, QuotaUnit};
 
 use crate::support::{Answer, Behaviour, ForwardSite, RouteShape, answered};
 use support_accounts::account;
@@ -14,12 +14,12 @@
 const PLAIN: RouteShape = RouteShape::plain("/plain/");
 const OPEN: RouteShape = RouteShape::open("/open/");
 
-fn book(accounts: Vec<AccountSpec>) -> Option<AccountBook> {
-    Some(AccountBook { accounts })
+fn book(accounts: Vec<AccountSpec>) -> Option<AccountList> {
+    Some(AccountList { accounts })
 }
 
 /// A site with two accounts, and a replica that answers all.
-async fn start(accounts: Option<AccountBook>) -> ForwardSite {
+async fn start(accounts: Option<AccountList>) -> ForwardSite {
     let mut site = ForwardSite::start_bare().await;
     let configured = async || {
         let taken = site.configure_accounts(1, &[PLAIN, OPEN], accounts.clone());
--- a/tests/forwarding/support/mod.rs
+++ b/tests/forwarding/support/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use dunlinspring::consensus::crashes::CrashBook;
+use dunlinspring::consensus::crashes::CrashStore;
 use dunlinspring::consensus::directory::{ReplicaPhase, ReplicaRecord};
 use dunlinspring::consensus::raft::RaftTiming;
 use dunlinspring::consensus::state::{Command, HallStanding, Reply};
@@ -29,7 +29,7 @@
 use dunlinspring::process::peers::{ControlLink, SiteSecret};
 use dunlinspring::process::settings::{CommonSettings, ControlSettings, VoterSettings};
 use dunlinspring::process::wire::{AccountStatus, ControlWireClient};
-use dunlinspring::table::accounts::AccountBook;
+use dunlinspring::table::accounts::AccountList;
 use dunlinspring::table::configuration::{
     Configuration, EngineModel, EngineSpec, RouteKind, RouteSpec, ServiceSpec,
 };
@@ -123,8 +123,8 @@
             prefix: self.prefix.to_owned(),
             kind: self.kind,
             timeout_ms: TIMEOUT_MS,
-            aim_ms: 800,
-            gap_ms: 400,
+            latency_goal_ms: 800,
+            max_event_gap_ms: 400,
             priority: 1,
             attempts: 3,
             resumable: self.resumable,
@@ -417,7 +417,7 @@
         &self,
         version: u64,
         routes: &[RouteShape],
-        accounts: Option<AccountBook>,
+        accounts: Option<AccountList>,
     ) -> Result<(), RegistryError> {
         let plain = ServiceSpec {
             max_connections: 99,
@@ -465,7 +465,7 @@
     }
 
     /// The contents under which replicas ended, as operators are told of them.
-    pub async fn contents(&self) -> CrashBook {
+    pub async fn contents(&self) -> CrashStore {
         let call =
             |client: ControlWireClient, context| async move { client.contents(context).await };
         self.link.decide("contents", PATIENCE, call).await.unwrap()
--- a/tests/full_disk.rs
+++ b/tests/full_disk.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use dunlinspring::consensus::raft::RaftTiming;
-use dunlinspring::consensus::state::{Command, ConfigureAnswer, Reply};
+use dunlinspring::consensus::state::{Command, ConfigureResult, Reply};
 use dunlinspring::control::event::{ControlEvent, ControlHandle};
 use dunlinspring::control::founding;
 use dunlinspring::control::journal::JournalError;
@@ -102,7 +102,7 @@
         }
     }));
     let voter = start(voter);
-    let held = Reply::Configured(ConfigureAnswer::Held);
+    let held = Reply::Configured(ConfigureResult::Held);
     assert_eq!(commit(&voter, &configuration(1)).await, held);
     full.store(REFUSED_WRITES, Ordering::SeqCst);
     assert_eq!(commit(&voter, &configuration(2)).await, held);
@@ -124,7 +124,7 @@
         Ok(())
     }));
     let voter = start(voter);
-    let held = Reply::Configured(ConfigureAnswer::Held);
+    let held = Reply::Configured(ConfigureResult::Held);
     assert_eq!(commit(&voter, &configuration(1)).await, held);
     drop(voter.handle);
     voter.thread.join().unwrap().unwrap();
--- a/tests/fuzz/founding.rs
+++ b/tests/fuzz/founding.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunlinspring::consensus::paxos::{self, NamingAnswer, NamingAsk, NamingBook};
+use dunlinspring::consensus::paxos::{self, PaxosAcceptor, PaxosReply, PaxosRequest};
 use dunlinspring::ids::{HostName, Incarnation};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -61,8 +61,8 @@
 struct Try {
     relay: usize,
     asker: HostName,
-    ask: NamingAsk,
-    answers: BTreeMap<usize, NamingAnswer>,
+    ask: PaxosRequest,
+    answers: BTreeMap<usize, PaxosReply>,
 }
 
 #[derive(Clone)]
@@ -70,18 +70,18 @@
     Ask {
         to: usize,
         number: usize,
-        ask: NamingAsk,
+        ask: PaxosRequest,
     },
     Answer {
         from: usize,
         number: usize,
-        answer: NamingAnswer,
+        answer: PaxosReply,
     },
 }
 
 pub struct NamingWorld {
     /// None after a restart.
-    books: Vec<Option<NamingBook>>,
+    books: Vec<Option<PaxosAcceptor>>,
     /// By the number of the question.
     tries: BTreeMap<usize, Try>,
     next: usize,
@@ -96,7 +96,7 @@
 impl NamingWorld {
     fn new(relays: usize) -> Self {
         let named: BTreeSet<HostName> = (0..relays).map(|n| host("relay", n)).collect();
-        let book = |n| Some(NamingBook::new(named.clone(), Incarnation(n as u64)));
+        let book = |n| Some(PaxosAcceptor::new(named.clone(), Incarnation(n as u64)));
         Self {
             books: (0..relays).map(book).collect(),
             tries: BTreeMap::new(),
@@ -108,12 +108,12 @@
 
     fn begin(&mut self, relay: usize, asker: usize) {
         if let Some(book) = &mut self.books[relay] {
-            let ask = book.begin();
+            let ask = book.prepare();
             self.ask_all(relay, host("asker", asker), ask);
         }
     }
 
-    fn ask_all(&mut self, relay: usize, asker: HostName, ask: NamingAsk) {
+    fn ask_all(&mut self, relay: usize, asker: HostName, ask: PaxosRequest) {
         let number = self.next;
         self.next += 1;
         for to in 0..self.books.len() {
@@ -141,7 +141,7 @@
         match letter {
             Letter::Ask { to, number, ask } => {
                 let book = self.books[to].as_mut();
-                let answer = book.map_or(NamingAnswer::Abstains, |book| book.answer(&ask));
+                let answer = book.map_or(PaxosReply::Abstained, |book| book.respond(&ask));
                 let from = to;
                 self.bag.push(Letter::Answer {
                     from,
@@ -165,18 +165,18 @@
     /// Whoever asked acts as soon as a majority has granted: the rest may be lost.
     fn go_on(&mut self, number: usize) {
         let begun = &self.tries[&number];
-        let answers: Vec<NamingAnswer> = begun.answers.values().cloned().collect();
+        let answers: Vec<PaxosReply> = begun.answers.values().cloned().collect();
         let Some(book) = &mut self.books[begun.relay] else {
             return;
         };
-        if !book.is_granted(&answers) {
+        if !book.has_majority(&answers) {
             return;
         }
         let begun = self.tries.remove(&number).unwrap();
-        match begun.ask.name.clone() {
+        match begun.ask.value.clone() {
             None => {
-                let name = paxos::name_after(&answers, &begun.asker);
-                self.ask_all(begun.relay, begun.asker, begun.ask.record(name));
+                let name = paxos::value_to_accept(&answers, &begun.asker);
+                self.ask_all(begun.relay, begun.asker, begun.ask.accept(name));
             }
             Some(name) => {
                 self.agreed.insert(name);
--- a/tests/fuzz/gate.rs
+++ b/tests/fuzz/gate.rs
@@ -8,7 +8,7 @@
     EngineReport, OrderCheck, OrderSeq, ResidentInfo, RunningInfo,
 };
 use dunlinspring::admission::queue::QueuePolicy;
-use dunlinspring::consensus::claims::{ClaimAsk, ClaimBook, ClaimKey, Settlement};
+use dunlinspring::consensus::claims::{ClaimKey, ClaimRequest, ClaimStore, Settlement};
 use dunlinspring::ids::*;
 use dunlinspring::routing::flight::*;
 use dunlinspring::table::rows::Urgency;
@@ -305,7 +305,7 @@
     bag: Vec<Message>,
     streams: Vec<Stream>,
     flights: Vec<Flying>,
-    claims: ClaimBook,
+    claims: ClaimStore,
     next_life: u64,
     next_attempt: u64,
     entry: Incarnation,
@@ -353,7 +353,7 @@
             bag: Vec::new(),
             streams: Vec::new(),
             flights: Vec::new(),
-            claims: ClaimBook::default(),
+            claims: ClaimStore::default(),
             next_life: 1,
             next_attempt: 1,
             entry: Incarnation(1),
@@ -910,13 +910,13 @@
     }
 
     fn claim(&mut self, at: usize, trial: &FlightTrial) -> FlightEvent {
-        let ask = ClaimAsk {
+        let ask = ClaimRequest {
             key: self.claim_key(at),
             digest: [0; 32],
             attempt: trial.attempt,
             target: trial.target.clone(),
             incarnation: trial.life,
-            made_ms: None,
+            key_created_ms: None,
         };
         self.position += 1;
         match self.lose_claim.take() {
--- a/tests/fuzz/limits.rs
+++ b/tests/fuzz/limits.rs
@@ -118,7 +118,7 @@
                 number,
                 sent,
                 grants,
-            } => self.holders[entry].granted(number, sent, &grants),
+            } => self.holders[entry].apply_grants(number, sent, &grants),
         }
     }
 
@@ -163,7 +163,8 @@
                 }
             }
             Step::Ask { entry } => {
-                let (number, claims) = world.holders[entry].ask(world.now, |_| Some(LIMIT));
+                let (number, claims) =
+                    world.holders[entry].next_request(world.now, |_| Some(LIMIT));
                 world.asked[entry] = number;
                 world.bag.push(Message::Ask {
                     entry,
--- a/tests/fuzz/log.rs
+++ b/tests/fuzz/log.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunlinspring::consensus::claims::{ClaimAnswer, ClaimAsk, ClaimKey, Settlement};
+use dunlinspring::consensus::claims::{ClaimKey, ClaimReply, ClaimRequest, Settlement};
 use dunlinspring::consensus::raft::{
     DiskImage, LogEntry, LogMark, Payload, RaftMessage, RaftTiming,
 };
@@ -208,7 +208,7 @@
 impl LogWorld {
     fn new() -> Self {
         let ids: BTreeSet<NodeId> = (0..VOTERS as u64).map(NodeId).collect();
-        let image = LogReplica::founding_image(ids.clone());
+        let image = LogReplica::bootstrap_image(ids.clone());
         let voters = ids.iter().map(|id| Voter {
             id: *id,
             disk: image.clone(),
@@ -498,7 +498,7 @@
 
     fn claim(&mut self, voter: usize, key: usize, body: u8) {
         self.attempts += 1;
-        let ask = ClaimAsk {
+        let ask = ClaimRequest {
             key: claim_key(key),
             digest: [body; 32],
             attempt: AttemptId {
@@ -507,7 +507,7 @@
             },
             target: TargetName::from("t"),
             incarnation: Incarnation(1),
-            made_ms: None,
+            key_created_ms: None,
         };
         self.propose(voter, Command::Claim(ask), true);
     }
@@ -598,7 +598,7 @@
         match (command, reply) {
             (Command::Site(_), _) => self.open = true,
             (Command::Edit(edit), Reply::Edit(_)) => self.check_edit(position, edit, reply),
-            (Command::Claim(ask), Reply::Claim(ClaimAnswer::Granted(_))) => {
+            (Command::Claim(ask), Reply::Claim(ClaimReply::Granted(_))) => {
                 let holder = self.running.insert(ask.key.clone(), ask.attempt);
                 assert!(
                     holder.is_none() || holder == Some(ask.attempt),
--- a/tests/fuzz/members.rs
+++ b/tests/fuzz/members.rs
@@ -217,7 +217,7 @@
 impl MemberWorld {
     fn new(twins: bool) -> Self {
         let founders: BTreeSet<NodeId> = (0..FOUNDERS as u64).map(NodeId).collect();
-        let image = LogReplica::founding_image(founders);
+        let image = LogReplica::bootstrap_image(founders);
         let host = |number: usize| Host {
             id: NodeId(number as u64),
             life: 0,
--- a/tests/fuzz/place.rs
+++ b/tests/fuzz/place.rs
@@ -217,7 +217,10 @@
             }
         }
         for (target, model, report) in open.into_iter().take(answered) {
-            let keeper = self.state.keeper(&target).map(|keeper| keeper.incarnation);
+            let keeper = self
+                .state
+                .agent_of(&target)
+                .map(|keeper| keeper.incarnation);
             if let Some(life) = keeper {
                 self.run(Command::Home(target, life, model, report));
             }
--- a/tests/fuzz/view.rs
+++ b/tests/fuzz/view.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use dunlinspring::consensus::claims::{ClaimKey, Settlement};
-use dunlinspring::consensus::state::{Command, JOURNAL_LEN, MemberRole, SiteState, Stamped};
+use dunlinspring::consensus::state::{Command, MAX_JOURNAL_LEN, MemberRole, SiteState, Stamped};
 use dunlinspring::ids::*;
 use dunlinspring::routing::view::{SiteView, SyncPage, page_after};
 use proptest::prelude::*;
@@ -163,7 +163,7 @@
         let mut restarted = None;
         match step {
             Step::Commit { host, times } => (0..times).for_each(|_| world.commit(host)),
-            Step::Flood => (0..JOURNAL_LEN + 10).for_each(|at| world.commit(at % HOSTS)),
+            Step::Flood => (0..MAX_JOURNAL_LEN + 10).for_each(|at| world.commit(at % HOSTS)),
             Step::Lag => world.lagging = world.state.clone(),
             Step::Ask { member, lagging } => {
                 let state = match lagging {
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -36,9 +36,9 @@
 
 only=("$@")
 log=the_log_keeps_what_it_acknowledged
-mutant lease-too-long src/consensus/raft.rs 's/LEASE_THOUSANDTHS: u64 = 850/LEASE_THOUSANDTHS: u64 = 1700/' fuzz $log
-mutant no-silence-after-restart src/consensus/raft.rs 's/silent_until_ms: now_ms \+ timing.election_ms/silent_until_ms: 0/' fuzz $log
-mutant votes-while-leader-heard src/consensus/raft.rs 's/now_ms < heard \|\| now_ms < self\.silent_until_ms \|\| leading/now_ms < self.silent_until_ms/' fuzz $log
+mutant lease-too-long src/consensus/raft.rs 's/LEASE_PER_MILLE: u64 = 850/LEASE_PER_MILLE: u64 = 1700/' fuzz $log
+mutant no-silence-after-restart src/consensus/raft.rs 's/no_vote_until_ms: now_ms \+ timing.election_ms/no_vote_until_ms: 0/' fuzz $log
+mutant votes-while-leader-heard src/consensus/raft.rs 's/now_ms < leader_valid_ms \|\| now_ms < self\.no_vote_until_ms \|\| leading/now_ms < self.no_vote_until_ms/' fuzz $log
 mutant vote-not-synced src/consensus/raft.rs 's/self\.output\.records\.push\(record\);\n    \}\n\n    fn start_pre_vote/let _ = record;\n    }\n\n    fn start_pre_vote/' fuzz $log
 mutant entries-not-synced src/consensus/raft.rs 's/self\.output\.records\.push\(DiskRecord::Append\(entry\.clone\(\)\)\);\n            self\.entries/self.entries/' fuzz $log
 mutant votes-for-shorter-log src/consensus/raft.rs 's/last >= self\.last\(\)/last >= LogMark::default()/g' fuzz $log
@@ -48,7 +48,7 @@
 mutant other-partners-row src/table/rows.rs 's/Some\(row\) if row\.partner != edit\.partner => \{/Some(row) if false \&\& row.partner != edit.partner => {/' fuzz $log
 mutant version-not-checked src/table/rows.rs 's/_ if version != edit\.expected => \{/_ if false \&\& version != edit.expected => {/' fuzz $log
 mutant claim-taken-twice src/consensus/claims.rs 's/\(Some\(record\), _\) if record\.settled != Some\(Settlement::NotRun\) =>/(Some(record), _) if false \&\& record.settled != Some(Settlement::NotRun) =>/' fuzz $log
-mutant lost-disk-votes-again tests/fuzz/log.rs 's/self\.voters\[voter\]\.id = id;\n        self\.voters\[voter\]\.disk = DiskImage::default\(\);/let founders = (0..VOTERS as u64).map(NodeId).collect();\n        self.voters[voter].disk = LogReplica::founding_image(founders);/' fuzz $log
+mutant lost-disk-votes-again tests/fuzz/log.rs 's/self\.voters\[voter\]\.id = id;\n        self\.voters\[voter\]\.disk = DiskImage::default\(\);/let founders = (0..VOTERS as u64).map(NodeId).collect();\n        self.voters[voter].disk = LogReplica::bootstrap_image(founders);/' fuzz $log
 gate=outcomes_memory_and_runs_are_true
 mutant memory-freed-at-order src/admission/ledger.rs 's/hold\.phase = HoldPhase::Unloading;\n            hold\.stamp = stamp;/hold.phase = HoldPhase::Unloading;\n            hold.mib = 0;\n            hold.stamp = stamp;/' fuzz $gate
 mutant unanswered-load-not-counted src/admission/ledger.rs 's/None => !settled,/None => false,/' fuzz $gate
@@ -67,9 +67,9 @@
 mutant pieces-out-of-order src/admission/gate.rs 's/if index as usize == attempt\.pieces\.len\(\) \{/if index as usize + 1 >= attempt.pieces.len() {/' fuzz $gate
 mutant boot-not-checked tests/fuzz/gate.rs 's/ \|\| order\.boot != self\.boot//; s/ \|\| run\.boot != engine\.boot//' fuzz $gate
 limit=no_limit_is_exceeded_in_sum
-mutant old-ask-granted src/table/limits.rs 's/let new = asked > \*newest;/let new = true || asked > *newest;/' fuzz $limit
+mutant old-ask-granted src/table/limits.rs 's/let new = request_number > \*newest;/let new = true || request_number > *newest;/' fuzz $limit
 mutant new-leader-not-quiet src/table/limits.rs 's/let quiet_until_ms = self\.since_ms/let quiet_until_ms = 0 * self.since_ms/; s/ \+ self\.policy\.lease_ms \+ patience_ms;/;/' fuzz $limit
-mutant lease-without-patience src/table/limits.rs 's/until_ms: now_ms \+ self\.policy\.lease_ms \+ patience_ms,/until_ms: now_ms + self.policy.lease_ms,/' fuzz $limit
+mutant lease-without-patience src/table/limits.rs 's/expires_ms: now_ms \+ self\.policy\.lease_ms \+ patience_ms,/expires_ms: now_ms + self.policy.lease_ms,/' fuzz $limit
 mutant shrink-at-once src/table/limits.rs 's/counted: share\.max\(claim\.held\),/counted: share,/' fuzz $limit
 place=every_model_keeps_or_regains_a_home
 mutant unloads-last-home src/placement/moves.rs 's/ready\.count\(\) <= 1/ready.count() <= 0/' fuzz $place
@@ -85,7 +85,7 @@
 mutant leaving-target-takes-work 'src/admission/gate.rs src/routing/view.rs' 's/_ if self\.leaving => Some\(RefuseCause::Leaving\),/_ if false \&\& self.leaving => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_leaving_target_gets_no_new_work
 mutant silence-of-a-freeze-is-loss src/placement/duties.rs 's/self\.decided_ms \+ self\.policy\.loss_ms \/ 2 < now_ms/false \&\& self.decided_ms < now_ms/' duties a_leader_that_was_frozen
 mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.outstanding\(\) as f64\)\.max\(0\.0\)/depth/' quota what_entries_hold_is_a_part_of_the_bucket
-mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.until_ms \{/if now_ms == u64::MAX {/' quota what_is_held_lapses_and_what_did_not_run_is_given_back
+mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.expires_ms \{/if now_ms == u64::MAX {/' quota what_is_held_lapses_and_what_did_not_run_is_given_back
 mutant doubled-ask-draws-twice src/table/quota.rs 's/let known = ask\.number <= newest\.0;/let known = false;/' quota a_doubled_ask_draws_once_and_a_late_answer_is_dropped
 mutant proof-without-age src/routing/authority.rs 's/asked_ms\.saturating_sub\(proof\.age_ms\)/asked_ms/' accounts a_proof_counts_for_whoever_holds_its_version
 mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding where_nothing_newer_can_be_heard_no_key_is_obeyed_for_long
@@ -94,13 +94,13 @@
 mutant renewal-waits-for-the-voter src/control/orderer.rs 's/tokio::time::timeout\(left, self\.ask\(\)\)\.await/Ok::<_, ()>(self.ask().await)/' orderer an_order_ends_with_its_permit_also_while_the_voter_is_held_up
 mutant order-closed-in-good-order src/forward/upstream.rs 's/\.and_then\(\|\(\)\| socket\.set_linger\(Some\(Duration::ZERO\)\)\)//' orderer an_order_that_is_given_up_leaves_nothing_on_its_way
 mutant kernel-goes-on src/forward/upstream.rs 's/socket\n            \.set_tcp_user_timeout\(Some\(left\)\)\n            \.and_then\(\|\(\)\| (socket\.set_linger\(Some\(Duration::ZERO\)\))\)/$1/' bounded_sending the_kernel_sends_nothing_again_after_the_wait_for_an_orders_way
-mutant deposed-leader-is-free src/consensus/raft.rs 's/self\.silent_until_ms = self\.silent_until_ms\.max\(lease_ms\);/let _ = lease_ms;/' permit a_leader_that_steps_down_helps_nobody_to_power_before_its_permits_end
+mutant deposed-leader-is-free src/consensus/raft.rs 's/self\.no_vote_until_ms = self\.no_vote_until_ms\.max\(lease_ms\);/let _ = lease_ms;/' permit a_leader_that_steps_down_helps_nobody_to_power_before_its_permits_end
 mutant stopping-leader-allows src/control/voter.rs 's/ \|\| self\.stopping\.is_some\(\)//' handover a_stopping_leader_allows_no_more_orders
-mutant new-leader-gives-all src/table/quota.rs 's/match self\.succeeds \&\& /match false \&\& /' quota a_new_leader_gives_half_of_the_burst_whoever_asks_first
+mutant new-leader-gives-all src/table/quota.rs 's/match self\.has_predecessor \&\& /match false \&\& /' quota a_new_leader_gives_half_of_the_burst_whoever_asks_first
 mutant lease-handed-over-early src/control/voter.rs 's/now_ms >= self\.permitted_ms/true/' handover a_stopping_leader_keeps_its_lease_while_orders_may_be_on_their_way
 mutant no-way-for-the-last-order src/placement/fleet.rs 's/self\.policy\.order_lease_ms \+ self\.policy\.order_transit_ms/self.policy.order_lease_ms/' fleet a_new_leader_waits_for_the_last_order_of_the_one_before_to_arrive
-mutant snapshot-with-each-heartbeat src/consensus/raft.rs 's/progress\.installing_ms = now_ms \+ INSTALL_MS;/progress.installing_ms = 0;/' raft a_snapshot_is_sent_once_until_it_may_be_lost
-mutant no-entries-before-the-snapshot src/consensus/raft.rs 's/self\.past\.extend\(self\.entries\.drain\(\.\.kept\)\);/self.entries.drain(..kept);/' raft a_follower_that_lags_across_a_compaction_is_sent_entries
+mutant snapshot-with-each-heartbeat src/consensus/raft.rs 's/progress\.install_until_ms = now_ms \+ SNAPSHOT_RESEND_MS;/progress.install_until_ms = 0;/' raft a_snapshot_is_sent_once_until_it_may_be_lost
+mutant no-entries-before-the-snapshot src/consensus/raft.rs 's/self\.retained\.extend\(self\.entries\.drain\(\.\.kept\)\);/self.entries.drain(..kept);/' raft a_follower_that_lags_across_a_compaction_is_sent_entries
 mutant lone-leader-waits src/consensus/raft.rs 's/(peers\.contains\(node\)\);)\n        self\.advance_commit\(\);/$1/' raft a_leader_that_is_its_own_quorum_commits_what_a_heartbeat_sends_first
 mutant crowd-not-heeded src/forward/book.rs 's/tokens: tokens\.saturating_sub\(own/tokens: 0 * tokens.saturating_sub(own/' crowd entries_that_know_of_each_other_keep_no_queue_that_makes_all_late
 mutant own-counted-as-crowd src/forward/book.rs 's/own\.get\(id\)\.copied\(\)\.unwrap_or\(0\)/0 * own.get(id).copied().unwrap_or(0)/' forward_parts a_home_that_others_crowd_takes_no_more
@@ -110,7 +110,7 @@
 mutant turns-for-all src/placement/turns.rs 's/return TurnAnswer::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
 mutant suspects-together src/placement/turns.rs 's/\*\*content != ask\.content \&\& turn\.replica == ask\.replica/**content != ask.content \&\& false/' crashes suspects_are_kept_apart
 mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.life\.id, connection\);\s+)Probe::Lives/$1Probe::Ended/' forwarding a_connection_that_breaks_off_is_no_crash
-mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.born_ms > known\.born_ms => BeatNews::New,\n//' replica_born a_new_life_is_heard_though_its_numbers_begin_anew
+mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.started_ms > known\.started_ms => HeartbeatStatus::New,\n//' replica_born a_new_life_is_heard_though_its_numbers_begin_anew
 mutant pause-not-kept src/routing/backoff.rs 's/note if now_ms < note\.until_ms => /note if false \&\& now_ms < note.until_ms => /' backoff a_named_time_brings_two_requests_at_most
 mutant trials-without-bound src/routing/backoff.rs 's/note\.trials >= MOST_TRIALS/false/' backoff a_named_time_brings_two_requests_at_most
 mutant crowd-after-a-pause src/routing/backoff.rs 's/note\.limit = 1;/note.limit = NO_LIMIT;/' backoff after_a_pause_one_request_goes_first
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -8,7 +8,8 @@
 use dunlinspring::ids::{AccountName, HostName};
 use dunlinspring::table::accounts::QuotaSpec;
 use dunlinspring::table::quota::{
-    EntryLife, LEASE_MS, QuotaAsk, QuotaCharge, QuotaClaim, QuotaGrantor, QuotaGrants, QuotaHolder,
+    EntryIncarnation, LEASE_MS, QuotaCharge, QuotaClaim, QuotaGrantor, QuotaGrants, QuotaHolder,
+    QuotaRequest,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -156,17 +157,17 @@
     assert!(lost * 8 <= came, "{lost} of {came}");
 }
 
-fn life(number: u64) -> EntryLife {
-    EntryLife {
+fn life(number: u64) -> EntryIncarnation {
+    EntryIncarnation {
         host: HostName::from("entry"),
-        life: number,
+        incarnation: number,
     }
 }
 
 /// A leader that has led for long, with a full bucket.
 fn grantor(quota: QuotaSpec) -> QuotaGrantor {
     let mut grantor = QuotaGrantor::new(0);
-    grantor.follow(1, Some(&book(quota)));
+    grantor.set_limits(1, Some(&book(quota)));
     grantor
 }
 
@@ -181,14 +182,14 @@
     let mut leader = grantor(SiteShape::large().quota());
     let mut holder = QuotaHolder::new(life(1), 10_000);
     assert_eq!(holder.charge(10_000, &account, 300), QuotaCharge::Ask);
-    let first = holder.ask(10_000).unwrap();
+    let first = holder.next_request(10_000).unwrap();
     let answer = leader.grant(10_003, &first);
     assert_eq!(drawn(&answer), 300);
     assert_eq!(drawn(&leader.grant(10_004, &first)), 0);
     // The answer is late: the next ask is made before it comes.
-    holder.miss();
-    let second = holder.ask(10_200);
-    holder.take(first.number, 10_000, 10_201, &answer);
+    holder.record_missing_reply();
+    let second = holder.next_request(10_200);
+    holder.apply_grants(first.number, 10_000, 10_201, &answer);
     assert_eq!(holder.charge(10_202, &account, 300), QuotaCharge::Unknown);
     assert_eq!(second, None);
 }
@@ -199,8 +200,8 @@
     let mut leader = grantor(SiteShape::large().quota());
     let mut holder = QuotaHolder::new(life(1), 10_000);
     assert_eq!(holder.charge(10_000, &account, 300), QuotaCharge::Ask);
-    let ask = holder.ask(10_000).unwrap();
-    holder.take(ask.number, 10_000, 10_006, &leader.grant(10_003, &ask));
+    let ask = holder.next_request(10_000).unwrap();
+    holder.apply_grants(ask.number, 10_000, 10_006, &leader.grant(10_003, &ask));
     assert_eq!(holder.charge(10_007, &account, 300), QuotaCharge::Paid);
     holder.refund(10_010, &account, 300);
     assert_eq!(holder.charge(10_011, &account, 300), QuotaCharge::Paid);
@@ -219,7 +220,7 @@
     let mut leader = grantor(quota);
     let mut ask = |now_ms: u64, entry: u64, claim: QuotaClaim| {
         let claims = BTreeMap::from([(account.clone(), claim)]);
-        let ask = QuotaAsk {
+        let ask = QuotaRequest {
             entry: life(entry),
             number: now_ms,
             claims,
@@ -227,13 +228,13 @@
         drawn(&leader.grant(now_ms, &ask))
     };
     let ahead = QuotaClaim {
-        ahead: 150_000,
+        prefetch: 150_000,
         ..QuotaClaim::default()
     };
     assert_eq!(ask(10_000, 1, ahead), 150_000);
     // Long enough for an empty bucket to fill: the part that the first one holds stays out.
     let all = QuotaClaim {
-        least: 1,
+        cheapest: 1,
         needed: 200_000,
         ..QuotaClaim::default()
     };
@@ -252,7 +253,7 @@
     let ask = |leader: &mut QuotaGrantor, now_ms: u64, entry: u64, ahead: bool| {
         let units = quota.burst as u64;
         let claim = QuotaClaim {
-            least: 1,
+            cheapest: 1,
             needed: units,
             ..QuotaClaim::default()
         };
@@ -263,7 +264,7 @@
         };
         let claim = if ahead { holds } else { claim };
         let claims = BTreeMap::from([(account.clone(), claim)]);
-        let ask = QuotaAsk {
+        let ask = QuotaRequest {
             entry: life(entry),
             number: now_ms,
             claims,
@@ -274,7 +275,7 @@
     let held = ask(&mut before, 10_000, 1, false);
     assert_eq!(held, quota.burst as u64);
     let mut next = QuotaGrantor::new(10_010);
-    next.follow(1, Some(&book(quota)));
+    next.set_limits(1, Some(&book(quota)));
     let fresh = ask(&mut next, 10_020, 2, false);
     ask(&mut next, 10_030, 1, true);
     // What comes in these 30 ms, and the half that a change of leader may cost.
--- a/tests/replica_changes.rs
+++ b/tests/replica_changes.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunlinspring::consensus::directory::{BeatNews, ReplicaPhase, ReplicaRecord};
+use dunlinspring::consensus::directory::{HeartbeatStatus, ReplicaPhase, ReplicaRecord};
 use dunlinspring::consensus::state::{Change, Command, SiteState, Stamped};
 use dunlinspring::ids::{ModelName, Position, ReplicaId, ServiceName};
 use dunlinspring::routing::view::{SiteView, page_after};
@@ -111,18 +111,21 @@
     apply(&mut state, named(1, &["llm"]));
     let mut foreign = record("b", 1);
     foreign.service = ServiceName::from("other");
-    assert_eq!(state.replica_news(&foreign), BeatNews::Foreign);
+    assert_eq!(state.compare_heartbeat(&foreign), HeartbeatStatus::Foreign);
     let before = state.replicas.clone();
     commit(&mut state, &foreign);
     assert_eq!(state.replicas, before);
     let mut taken_over = record("a", 1);
     taken_over.service = ServiceName::from("other");
-    assert_eq!(state.replica_news(&taken_over), BeatNews::Foreign);
+    assert_eq!(
+        state.compare_heartbeat(&taken_over),
+        HeartbeatStatus::Foreign
+    );
     // One whose service is dropped is heard on: it may have to be told that it may leave.
     apply(&mut state, named(2, &["other"]));
     let mut leaves = record("a", 1);
     leaves.phase = ReplicaPhase::Draining;
-    assert_eq!(state.replica_news(&leaves), BeatNews::New);
+    assert_eq!(state.compare_heartbeat(&leaves), HeartbeatStatus::New);
     commit(&mut state, &leaves);
     let held = &state.replicas.records()[&ReplicaId::from("a")];
     assert_eq!(held.phase, ReplicaPhase::Draining);
--- a/tests/replica_limits/main.rs
+++ b/tests/replica_limits/main.rs
@@ -5,7 +5,7 @@
 mod support_spans;
 mod world;
 
-use dunlinspring::ids::{ReplicaLife, Term};
+use dunlinspring::ids::{ReplicaIncarnation, Term};
 use dunlinspring::placement::named_limits::{
     LifeState, LimitCursor, LimitEnd, LimitNotice, LimitReport, NamedLimits, PermitStamp,
 };
@@ -258,8 +258,8 @@
 
 #[test]
 fn no_limit_outlives_a_life_and_none_goes_with_a_record() {
-    let later = ReplicaLife {
-        born_ms: 8,
+    let later = ReplicaIncarnation {
+        started_ms: 8,
         ..replica()
     };
     let mut limits = NamedLimits::new(TERM, 0);
@@ -283,7 +283,7 @@
     let mut peers = LimitedPeers::default();
     peers.hear(1_000, &replica(), notice("2", 0, None).rate, None);
     assert!(peers.is_limited(&replica()) && !peers.is_limited(&later));
-    peers.prune(|life| life.born_ms < 8);
+    peers.prune(|life| life.started_ms < 8);
     assert!(!peers.is_limited(&replica()));
 }
 
--- a/tests/replica_limits/world.rs
+++ b/tests/replica_limits/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dunlinspring::ids::{ReplicaId, ReplicaLife, ServiceName, Term};
+use dunlinspring::ids::{ReplicaId, ReplicaIncarnation, ServiceName, Term};
 use dunlinspring::placement::named_limits::{LimitCursor, LimitPage, LimitReport, PermitStamp};
 use dunlinspring::placement::named_rate::NamedRate;
 use dunlinspring::placement::rate_limit::PERMIT_MS;
@@ -74,7 +74,7 @@
     life: u64,
     peers: LimitedPeers,
     known_ms: Option<u64>,
-    pace: PermitPace<ReplicaLife>,
+    pace: PermitPace<ReplicaIncarnation>,
     frozen_until_ms: u64,
     cut_until_ms: u64,
     /// Until when an answer to its last report may come, in milliseconds.
@@ -134,10 +134,10 @@
     pub free_ms: Option<u64>,
 }
 
-pub fn replica() -> ReplicaLife {
-    ReplicaLife {
+pub fn replica() -> ReplicaIncarnation {
+    ReplicaIncarnation {
         id: ReplicaId::from("r"),
-        born_ms: 7,
+        started_ms: 7,
     }
 }
 
--- a/tests/replica_read.rs
+++ b/tests/replica_read.rs
@@ -24,7 +24,7 @@
 impl Peers {
     fn new() -> Self {
         let ids: BTreeSet<NodeId> = (0..3).map(NodeId).collect();
-        let image = LogReplica::founding_image(ids.clone());
+        let image = LogReplica::bootstrap_image(ids.clone());
         let voter = |id: &NodeId| {
             let replica = LogReplica::new(*id, TIMING, image.clone(), 0, id.0, 1_000);
             (replica, image.clone())
@@ -104,7 +104,7 @@
             // It may decide, and a read here would miss the change.
             if let Some(state) = replica.newest(now_ms) {
                 let misses = state.position < replica.raft().commit();
-                assert_eq!(misses, replica.lags());
+                assert_eq!(misses, replica.is_behind());
                 lagged |= misses;
             }
         });
@@ -113,7 +113,7 @@
     assert!(lagged, "the race of this test did not come about");
     let new = peers.leader(&left).unwrap();
     let replica = &peers.voters[new].0;
-    assert!(!replica.lags());
+    assert!(!replica.is_behind());
     assert!(replica.position() > Position(0) && replica.position() >= committed);
     assert_eq!(replica.newest(peers.now_ms).unwrap().site.generation, 7);
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_restarted_voter_knows_what_it_knew_to_be_committed() {
-    let mut disk = LogReplica::founding_image(BTreeSet::from([NodeId(1)]));
+    let mut disk = LogReplica::bootstrap_image(BTreeSet::from([NodeId(1)]));
     let mut first = voter(disk.clone(), 0);
     first.tick(300);
     first
--- a/tests/support_quota/mod.rs
+++ b/tests/support_quota/mod.rs
@@ -1,9 +1,9 @@
 //! Entries that draw from the quota of one account, in simulated time.
 
 use dunlinspring::ids::{AccountName, HostName};
-use dunlinspring::table::accounts::{AccountBook, AccountSpec, QuotaSpec, QuotaUnit};
+use dunlinspring::table::accounts::{AccountList, AccountSpec, QuotaSpec, QuotaUnit};
 use dunlinspring::table::quota::{
-    EntryLife, QuotaAsk, QuotaCharge, QuotaGrantor, QuotaGrants, QuotaHolder,
+    EntryIncarnation, QuotaCharge, QuotaGrantor, QuotaGrants, QuotaHolder, QuotaRequest,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -61,7 +61,7 @@
 }
 
 /// One account with that limit.
-pub fn book(quota: QuotaSpec) -> AccountBook {
+pub fn book(quota: QuotaSpec) -> AccountList {
     let account = AccountSpec {
         name: AccountName::from(ACCOUNT),
         keys: Vec::new(),
@@ -69,7 +69,7 @@
         quota: Some(quota),
         regions: Default::default(),
     };
-    AccountBook {
+    AccountList {
         accounts: vec![account],
     }
 }
@@ -83,7 +83,7 @@
 struct SentAsk {
     due_ms: u64,
     made_ms: u64,
-    ask: QuotaAsk,
+    ask: QuotaRequest,
 }
 
 /// An answer on its way back.
@@ -113,10 +113,10 @@
 }
 
 impl QuotaEntry {
-    fn new(number: usize, life: u64, weight: f64, now_ms: u64) -> Self {
-        let entry = EntryLife {
+    fn new(number: usize, incarnation: u64, weight: f64, now_ms: u64) -> Self {
+        let entry = EntryIncarnation {
             host: HostName(format!("entry-{number}")),
-            life,
+            incarnation,
         };
         Self {
             number,
@@ -140,7 +140,7 @@
     pub leader: Option<QuotaGrantor>,
     pub now_ms: u64,
     version: u64,
-    book: AccountBook,
+    book: AccountList,
     rng: SmallRng,
     lives: u64,
     /// What ran, and when.
@@ -198,7 +198,7 @@
         self.version += 1;
         self.book = book(quota);
         for entry in &mut self.entries {
-            entry.holder.forget_short();
+            entry.holder.clear_short();
         }
     }
 
@@ -226,7 +226,7 @@
                 let number = self.draw_entry();
                 let now_ms = self.now_ms;
                 let holder = &mut self.entries[number].holder;
-                holder.note(&AccountName::from(ACCOUNT), cost);
+                holder.record_request(&AccountName::from(ACCOUNT), cost);
                 let since_ms = now_ms;
                 self.charge(number, WaitingRequest { cost, since_ms });
             }
@@ -242,7 +242,7 @@
             QuotaCharge::Ask if self.now_ms < waiting.since_ms + PATIENCE_MS => {
                 entry.waiting.push(waiting);
             }
-            QuotaCharge::Ask | QuotaCharge::Short(_) | QuotaCharge::Unknown => self.refused += 1,
+            QuotaCharge::Ask | QuotaCharge::Limited(_) | QuotaCharge::Unknown => self.refused += 1,
         }
     }
 
@@ -263,7 +263,7 @@
         // The leader answers what has come.
         for sent in entry.asks.extract_if(.., |sent| sent.due_ms <= now_ms) {
             if let (Some(leader), false) = (&mut self.leader, cut) {
-                leader.follow(self.version, Some(&self.book));
+                leader.set_limits(self.version, Some(&self.book));
                 entry.answers.push(SentGrants {
                     due_ms: now_ms + WAY_MS,
                     made_ms: sent.made_ms,
@@ -278,7 +278,7 @@
                 told = true;
                 entry.under_way = None;
                 let holder = &mut entry.holder;
-                holder.take(sent.number, sent.made_ms, now_ms, &sent.grants);
+                holder.apply_grants(sent.number, sent.made_ms, now_ms, &sent.grants);
             }
         }
         if told {
@@ -291,17 +291,17 @@
         let lost = entry.under_way.is_some_and(|made_ms| made_ms < late_ms);
         if lost {
             entry.under_way = None;
-            entry.holder.miss();
+            entry.holder.record_missing_reply();
             for waiting in std::mem::take(&mut entry.waiting) {
                 self.charge(number, waiting);
             }
         }
         let entry = &mut self.entries[number];
         let since_ms = now_ms - entry.asked_ms;
-        let hungry = entry.holder.is_hungry() && since_ms >= PAUSE_MS;
+        let hungry = entry.holder.has_unmet_demand() && since_ms >= PAUSE_MS;
         if entry.under_way.is_none() && (hungry || since_ms >= REGULAR_MS + entry.number as u64) {
             entry.asked_ms = now_ms;
-            if let Some(ask) = entry.holder.ask(now_ms) {
+            if let Some(ask) = entry.holder.next_request(now_ms) {
                 entry.under_way = Some(now_ms);
                 entry.asks.push(SentAsk {
                     due_ms: now_ms + WAY_MS,
--- a/tests/support_replicas/mod.rs
+++ b/tests/support_replicas/mod.rs
@@ -15,8 +15,8 @@
         models: Default::default(),
         in_memory: Default::default(),
         on_disk: Default::default(),
-        beat: 0,
-        born_ms: 0,
+        seq: 0,
+        started_ms: 0,
         cold_ms: 0,
     }
 }
--- a/tests/suspension/main.rs
+++ b/tests/suspension/main.rs
@@ -34,7 +34,7 @@
             (seen == 1).then_some(())
         })
         .await;
-        clock::suspend(SUSPENDED);
+        clock::simulate_suspension(SUSPENDED);
     };
     let (answer, ()) = futures::join!(asked, wakes);
     // No replica answers in the time of a try: the first, and one after the suspension.
@@ -64,7 +64,7 @@
     };
     let wakes = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
-        clock::suspend(Duration::from_millis(TIMEOUT_MS));
+        clock::simulate_suspension(Duration::from_millis(TIMEOUT_MS));
         tokio::time::sleep(Duration::from_millis(3_000)).await;
         order.borrow_mut().push("later");
     };
@@ -83,10 +83,10 @@
     site.add_replica("r1", vec![paused, Behaviour::Answer(200, "well")])
         .await;
     assert_eq!(site.ask("GET", "/plain/x", "a", "").await.status, 503);
-    clock::suspend(Duration::from_secs(100));
+    clock::simulate_suspension(Duration::from_secs(100));
     assert_eq!(site.ask("GET", "/plain/x", "b", "").await.status, 503);
     assert_eq!(site.seen("r1").len(), 1);
-    clock::suspend(Duration::from_secs(200));
+    clock::simulate_suspension(Duration::from_secs(200));
     let answer = site.ask("GET", "/plain/x", "c", "").await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "well"));
 }
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -7,11 +7,11 @@
 
 use std::collections::BTreeMap;
 
-use dunlinspring::consensus::directory::{BeatNews, ReplicaPhase, ReplicaRecord};
+use dunlinspring::consensus::directory::{HeartbeatStatus, ReplicaPhase, ReplicaRecord};
 use dunlinspring::consensus::state::{Change, Command, SiteState};
 use dunlinspring::forward::book::{Choice, EngineBounds, Need, ReplicaBar, ReplicaBook};
 use dunlinspring::forward::need::ChoicePolicy;
-use dunlinspring::ids::{HallName, ReplicaId, ReplicaLife, ServiceName};
+use dunlinspring::ids::{HallName, ReplicaId, ReplicaIncarnation, ServiceName};
 use dunlinspring::placement::rate_limit::{PERMIT_MS, RateLimiter};
 use dunlinspring::placement::replica_rates::PermitRefusal;
 use dunlinspring::routing::permit_pace::PermitPace;
@@ -41,17 +41,17 @@
     }
 }
 
-fn life() -> ReplicaLife {
-    ReplicaLife {
+fn life() -> ReplicaIncarnation {
+    ReplicaIncarnation {
         id: ReplicaId::from("r"),
-        born_ms: 7,
+        started_ms: 7,
     }
 }
 
-fn record(cold_ms: u64, beat: u64) -> ReplicaRecord {
+fn record(cold_ms: u64, seq: u64) -> ReplicaRecord {
     ReplicaRecord {
-        beat,
-        born_ms: 7,
+        seq,
+        started_ms: 7,
         cold_ms,
         ..ready_replica("r", "plain")
     }
@@ -152,11 +152,11 @@
     let mut limiter = RateLimiter::new(5_000);
     let refused = limiter.take(5_100, &life(), GAP_US);
     assert!(refused.is_err_and(|wait_ms| wait_ms > 900));
-    let next = ReplicaLife {
-        born_ms: 8,
+    let next = ReplicaIncarnation {
+        started_ms: 8,
         ..life()
     };
-    let mut ask = |replica: &ReplicaLife| limiter.take(9_000, replica, GAP_US);
+    let mut ask = |replica: &ReplicaIncarnation| limiter.take(9_000, replica, GAP_US);
     assert_eq!((ask(&life()), ask(&life())), (Ok(()), Ok(())));
     assert_eq!(ask(&life()), Err(SPEC.request_gap_ms));
     assert_eq!(ask(&next), Ok(()));
@@ -298,7 +298,7 @@
     apply(&mut state, 20_000, Command::Restore(hall));
     assert_eq!(cold_ms(&state), SPEC.lasts_ms);
     // Where nothing else is committed, the state's clock stands still.
-    assert_eq!(state.replica_news(&record(0, 2)), BeatNews::New);
+    assert_eq!(state.compare_heartbeat(&record(0, 2)), HeartbeatStatus::New);
     beat(&mut state, 21_000, record(0, 2));
     assert_eq!(cold_ms(&state), SPEC.lasts_ms - 1_000);
     beat(&mut state, 23_000, record(0, 3));
