--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of the shell. The core never reads one.
+//! Clocks of the shell. The core never reads a clock.
 
 use std::future::Future;
 use std::pin::pin;
@@ -8,8 +8,8 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Milliseconds since this process first asked; goes on while it is frozen, and while its
-/// machine is suspended: a lease must not outlast either.
+/// Returns the milliseconds since the first call in this process. Includes time during which
+/// the process is frozen or the machine is suspended, as a lease must not outlast either.
 pub fn monotonic_ms() -> u64 {
     static START: OnceLock<Duration> = OnceLock::new();
     let now = since_boot();
@@ -17,27 +17,29 @@
     now.saturating_sub(start).as_millis() as u64
 }
 
-/// The clock that the standard library's steady one leaves out: it counts suspended time.
+/// Reads `CLOCK_BOOTTIME`, which counts suspended time, unlike `std::time::Instant`.
 fn since_boot() -> Duration {
     let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the system has a clock since boot");
     Duration::from(now) + Duration::from_millis(SUSPENDED_MS.load(Ordering::SeqCst))
 }
 
-/// Time that tests have let pass as on a suspended machine, in milliseconds.
+/// Simulated suspension time added by tests, in milliseconds.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
-/// Lets time pass as on a suspended machine, for tests of it: the clocks here go on by so
-/// much, and the steady clock behind timers stands still.
+/// Simulates a suspension of the machine, for tests: advances the clocks of this module by
+/// `time`, but not the monotonic clock behind Tokio's timers.
 pub fn simulate_suspension(time: Duration) {
     let millis = time.as_millis() as u64;
     SUSPENDED_MS.fetch_add(millis, Ordering::SeqCst);
 }
 
-/// Longest time for which a wait goes on after a suspension that lasted past its end.
+/// Interval at which [`wait_until`] re-reads the clock: the longest overrun of a wait whose
+/// deadline passed during a suspension.
 const MAX_WAIT_STEP: Duration = Duration::from_millis(200);
 
-/// Waits for a future until a moment of [`monotonic_ms`]; none where that comes first.
-/// Timers stand still while the machine is suspended: this looks at the clock meanwhile.
+/// Waits for a future until the deadline `until_ms` on the [`monotonic_ms`] clock; returns
+/// `None` if the deadline comes first. Re-reads the clock at intervals, because timers stand
+/// still while the machine is suspended.
 pub async fn wait_until<T>(until_ms: u64, future: impl Future<Output = T>) -> Option<T> {
     let mut future = pin!(future);
     loop {
@@ -51,18 +53,18 @@
     }
 }
 
-/// Milliseconds since the epoch, as this process first read them, carried on by the steady
-/// clock: where the time of day jumps, what is stamped with it neither ages at once nor
-/// stays new.
+/// Returns the milliseconds since the epoch: the wall clock as first read by this process,
+/// advanced by the monotonic clock. A jump of the wall clock thus neither expires timestamps at
+/// once nor keeps them fresh.
 pub fn stamp_ms() -> u64 {
     static START_MS: OnceLock<u64> = OnceLock::new();
-    // Both clocks are read together, so that the steady one counts from here.
+    // Reads both clocks together, so that monotonic time counts from here.
     let now_ms = monotonic_ms();
     let start_ms = START_MS.get_or_init(|| wall_ms().saturating_sub(now_ms));
     start_ms + now_ms
 }
 
-/// Milliseconds since the epoch.
+/// Returns the wall clock, in milliseconds since the epoch.
 pub fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/src/consensus/claims.rs
+++ b/src/consensus/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of calls that may run at most once: key to the one attempt that may run it.
+//! Claims of calls that may run at most once: each key maps to the one attempt that may run it.
 
 use std::collections::BTreeMap;
 
@@ -6,78 +6,78 @@
 
 use crate::ids::{AttemptId, CallKey, Incarnation, PartnerName, Position, TargetName};
 
-/// Names one call of one partner.
+/// Identifies one call of one partner.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// The caller's partner.
+    /// Partner of the caller.
     pub partner: PartnerName,
-    /// The caller's idempotency key.
+    /// Caller's idempotency key.
     pub key: CallKey,
 }
 
-/// Asks that one attempt may run the call.
+/// Requests the right to run a call in one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The call.
+    /// Call to claim.
     pub key: ClaimKey,
-    /// Digest of the request: the same key with another body is refused.
+    /// Digest of the request: the same key with a different body is refused.
     pub digest: [u8; 32],
-    /// The attempt.
+    /// Attempt that claims the call.
     pub attempt: AttemptId,
-    /// Where it will run.
+    /// Target that will run the call.
     pub target: TargetName,
-    /// The agent's life that may run it.
+    /// Incarnation of the agent that may run the call.
     pub incarnation: Incarnation,
-    /// Where a caller's key carries the time of its making: refused once it is
-    /// older than the retention, in milliseconds since the epoch.
+    /// Creation time of the key, in milliseconds since the epoch, where the key carries one.
+    /// Keys older than the retention are refused.
     pub key_created_ms: Option<u64>,
 }
 
-/// How a claimed attempt ended.
+/// Outcome of a claimed attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settlement {
-    /// Proven not to have run and never to run: the key is free again.
+    /// Proven not to have run and never to run: the key can be claimed again.
     NotRun,
-    /// Ran to its end.
+    /// Ran to completion.
     Done {
-        /// The answer; none where it was longer than is kept.
+        /// Response body; `None` where it exceeds the size that is kept.
         answer: Option<String>,
     },
-    /// May or may not have run. Final: it is never run again on a guess.
+    /// May or may not have run. Final: the call is never run again on a guess.
     Unknown,
 }
 
-/// A claim as recorded.
+/// State of a recorded claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// Digest of the request.
     pub digest: [u8; 32],
     /// The attempt that holds the claim.
     pub attempt: AttemptId,
-    /// Where it runs.
+    /// Target that runs the call.
     pub target: TargetName,
-    /// The agent's life that may run it.
+    /// Incarnation of the agent that may run the call.
     pub incarnation: Incarnation,
-    /// When it was claimed, in the log's clock.
+    /// Time of the claim, by the state's clock.
     pub at_ms: u64,
-    /// How it ended, once that is known.
+    /// Outcome, once known.
     pub settled: Option<Settlement>,
 }
 
-/// The answer to a [`ClaimRequest`].
+/// Reply to a [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The attempt holds the claim; the position rises with each claim.
+    /// The attempt holds the claim; the position increases with each claim.
     Granted(Position),
-    /// Another attempt holds it, or the call has ended.
+    /// Another attempt holds the claim, or the call has ended.
     Taken(ClaimRecord),
-    /// The key was used with another body.
+    /// The key was used with a different body.
     OtherBody,
-    /// The key is older than the retention, so nothing can be said of it.
+    /// The key is older than the retention, so the outcome of its call is unknown.
     TooOld,
 }
 
-/// All claims within the retention.
+/// All claims within the retention period.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClaimStore {
     records: BTreeMap<ClaimKey, ClaimRecord>,
@@ -110,8 +110,8 @@
         ClaimReply::Granted(position)
     }
 
-    /// Records how an attempt ended. An attempt that lost its claim, or one
-    /// already settled, changes nothing. Returns whether this was the record.
+    /// Records the outcome of an attempt. Changes nothing if the attempt does not hold the
+    /// claim or is already settled. Returns whether `end` is now the recorded outcome.
     pub fn settle(&mut self, key: &ClaimKey, attempt: AttemptId, end: &Settlement) -> bool {
         match self.records.get_mut(key) {
             Some(record) if record.attempt == attempt && record.settled.is_none() => {
@@ -123,23 +123,23 @@
         }
     }
 
-    /// Looks a claim up.
+    /// Returns the record of a claim.
     pub fn get(&self, key: &ClaimKey) -> Option<&ClaimRecord> {
         self.records.get(key)
     }
 
-    /// Forgets claims made before `before_ms`, whatever their end.
+    /// Removes claims made before `before_ms`, whatever their outcome.
     pub fn prune(&mut self, before_ms: u64) {
         self.pruned_before_ms = self.pruned_before_ms.max(before_ms);
         self.records.retain(|_, record| record.at_ms >= before_ms);
     }
 
-    /// The number of claims kept.
+    /// Returns the number of stored claims.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no claim is kept.
+    /// Returns whether no claim is stored.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/src/consensus/crashes.rs
+++ b/src/consensus/crashes.rs
@@ -1,10 +1,10 @@
-//! Contents under which replicas ended, as the log holds them.
+//! Contents whose requests were running when replicas crashed, as stored in the replicated log.
 //!
-//! An attempt that is repeated has another id each time, and comes to another entry: no
-//! single process sees what all of its repeats have done. So each entry that loses a run to a
-//! replica's end tells the log, and all entries follow it. It is kept in the log and not
-//! with the leader, because it has to outlive leaders and a loss of power of everything: a
-//! content that was forgotten would end replicas anew.
+//! A retried request has a new attempt id each time and may reach another entry, so no single
+//! process observes all of its attempts. Each entry that loses a run to a replica's crash
+//! reports it to the log, and all entries follow the log. The records are replicated rather
+//! than kept by the leader, so that they survive leader changes and a power loss of the whole
+//! site: a forgotten content would crash replicas again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,34 +12,36 @@
 
 use crate::ids::{ContentDigest, ReplicaIncarnation};
 
-/// Replicas that may end under a content before it is sent no more.
+/// Number of replica crashes after which a content is quarantined.
 pub const MAX_CRASHES: u8 = 3;
-/// Contents that are remembered: 200 kB of state. What is harmless by all that is known is
-/// not among them; each is there because a replica ended under it.
+/// Maximum number of remembered contents: 200 kB of state. Contents that are harmless as far as
+/// known are not stored; each stored one was running during a replica's crash.
 pub const MAX_CONTENTS: usize = 4_096;
 
-/// What one entry had running at a replica when it ended.
+/// Contents that one entry had running at a replica when it crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The replica, in the life that ended.
+    /// Incarnation that crashed.
     pub replica: ReplicaIncarnation,
-    /// What ran there.
+    /// Contents that were running there.
     pub contents: BTreeSet<ContentDigest>,
 }
 
-/// What is to be made of a content.
+/// Verdict on a content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ContentStanding {
-    /// No replica is known to have ended under it.
+    /// No replica is known to have crashed while running it.
     Harmless,
-    /// So many have, and it may be what did it: one attempt at a time.
+    /// This number of replicas crashed while running it, and it may be the cause: attempts run
+    /// one at a time.
     Suspect(u8),
-    /// Too many have: it is sent no more until an operator lifts that.
+    /// Quarantined after too many crashes: not sent again until an operator lifts the
+    /// quarantine.
     Barred,
 }
 
 impl ContentStanding {
-    /// What so many ended replicas make of a content.
+    /// Returns the verdict for a number of crashed replicas.
     pub fn of(crashes: u8) -> Self {
         match crashes {
             0 => Self::Harmless,
@@ -49,43 +51,43 @@
     }
 }
 
-/// One content.
+/// Crash record of one content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContentRecord {
-    /// Replicas that ended under it, oldest first; [`MAX_CRASHES`] at most.
+    /// Replicas that crashed while running it, oldest first; at most [`MAX_CRASHES`].
     pub crashes: Vec<ReplicaIncarnation>,
-    /// When the last of them ended, in the state's clock.
+    /// Time of the latest crash, by the state's clock.
     pub last_ms: u64,
 }
 
 impl ContentRecord {
-    /// How many replicas have ended under it.
+    /// Returns the number of replicas that crashed while running it.
     pub fn count(&self) -> u8 {
         self.crashes.len() as u8
     }
 }
 
-/// All contents that are suspect or barred.
+/// All suspect and quarantined contents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashStore {
     records: BTreeMap<ContentDigest, ContentRecord>,
 }
 
-/// How often replicas have ended under contents; 0 for one that is forgotten.
+/// Number of replica crashes by content; 0 for a content whose record was removed.
 pub type CrashCounts = BTreeMap<ContentDigest, u8>;
 
 impl CrashStore {
-    /// The contents by digest.
+    /// Returns the records by content.
     pub fn records(&self) -> &BTreeMap<ContentDigest, ContentRecord> {
         &self.records
     }
 
-    /// How many replicas have ended under a content.
+    /// Returns the number of replicas that crashed while running a content.
     pub fn count(&self, content: &ContentDigest) -> u8 {
         self.records.get(content).map_or(0, ContentRecord::count)
     }
 
-    /// All counts.
+    /// Returns the crash counts of all contents.
     pub fn counts(&self) -> CrashCounts {
         let counts = self.records.iter();
         counts
@@ -93,8 +95,8 @@
             .collect()
     }
 
-    /// Notes the end of a replica. One end counts once for a content, however many entries
-    /// tell of it, and however often. Returns what has changed.
+    /// Records the crash of a replica. A crash counts once per content, however many entries
+    /// report it and however often. Returns the changed counts.
     pub fn record(&mut self, report: &CrashReport, clock_ms: u64) -> CrashCounts {
         let mut changed = CrashCounts::new();
         for content in &report.contents {
@@ -114,8 +116,8 @@
         changed
     }
 
-    /// Forgets the content with the fewest crashes, of those the oldest: a barred one goes
-    /// only where all are barred.
+    /// Evicts the content with the fewest crashes, the oldest among these. A quarantined one is
+    /// evicted only if all are quarantined.
     fn evict_least(&mut self, changed: &mut CrashCounts) {
         let rank =
             |(_, record): &(&ContentDigest, &ContentRecord)| (record.count(), record.last_ms);
@@ -126,16 +128,16 @@
         }
     }
 
-    /// A run of a content has come to its end, and its replica lives: it ends none. What is
-    /// barred stays so. Returns whether that changes anything.
+    /// Clears a suspect content after one of its runs completed without a crash. Quarantined
+    /// contents stay quarantined. Returns whether that is a change.
     pub fn clear(&mut self, content: &ContentDigest) -> bool {
         let suspect = self.records.get(content).map(ContentRecord::count);
         let clears = suspect.is_some_and(|count| count < MAX_CRASHES);
         clears && self.records.remove(content).is_some()
     }
 
-    /// An operator lets a barred content be tried again. It stays a suspect that one more
-    /// crash bars. Returns whether that changes anything.
+    /// Lifts the quarantine of a content at an operator's request. The content remains suspect,
+    /// and one more crash quarantines it again. Returns whether that is a change.
     pub fn lift(&mut self, content: &ContentDigest) -> bool {
         match self.records.get_mut(content) {
             Some(record) if record.count() >= MAX_CRASHES => {
@@ -146,8 +148,8 @@
         }
     }
 
-    /// Forgets suspects under which no replica has ended since. What is barred stays: it has
-    /// no end in time. Returns what has changed.
+    /// Removes suspect contents without a crash since `before_ms`. Quarantined ones never
+    /// expire. Returns the changed counts.
     pub fn prune(&mut self, before_ms: u64) -> CrashCounts {
         let old =
             |record: &ContentRecord| record.count() < MAX_CRASHES && record.last_ms < before_ms;
--- a/src/consensus/directory.rs
+++ b/src/consensus/directory.rs
@@ -1,4 +1,4 @@
-//! The replicas that registered themselves, as the log holds them.
+//! Self-registered replicas, as stored in the replicated log.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -7,54 +7,55 @@
 
 use crate::ids::{HallName, ModelName, ReplicaId, ReplicaIncarnation, ServiceName};
 
-/// Replicas whose ended lives are remembered, so that a late heartbeat cannot bring one back.
+/// Maximum number of replicas whose ended incarnation is remembered, so that a late heartbeat
+/// cannot register it again.
 const MAX_ENDED_REPLICAS: usize = 1024;
 
-/// Where a replica is in its life.
+/// Lifecycle phase of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaPhase {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Leaves: no new requests.
+    /// Shutting down: receives no new requests.
     Draining,
-    /// Not heard from for a while: the last choice.
+    /// No heartbeat received for a while: used only as the last choice.
     Silent,
 }
 
-/// A replica in one life.
+/// State of a replica in its current incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaRecord {
-    /// Its id.
+    /// Replica id.
     pub id: ReplicaId,
-    /// The service it runs for.
+    /// Service that the replica belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address on which the replica listens.
     pub address: SocketAddr,
-    /// Its data hall.
+    /// Data hall of the replica.
     pub hall: HallName,
-    /// Requests that it works on at a time.
+    /// Number of requests that the replica processes concurrently.
     pub slots: u32,
-    /// Where it is in its life.
+    /// Lifecycle phase.
     pub phase: ReplicaPhase,
-    /// The models it holds, each with its adapters.
+    /// Loaded models, each with its loaded adapters.
     pub models: BTreeMap<ModelName, BTreeSet<String>>,
     /// Models with a copy in host memory.
     pub in_memory: BTreeSet<ModelName>,
     /// Models with a copy on disk.
     pub on_disk: BTreeSet<ModelName>,
-    /// The number of the heartbeat that told this, which rises with each; 0 where they
-    /// carry none.
+    /// Sequence number of the heartbeat that reported this state; increases with each
+    /// heartbeat. 0 where heartbeats carry none.
     pub seq: u64,
-    /// When this life began, in milliseconds since the epoch by the replica's clock; 0 where
-    /// it does not tell.
+    /// Start time of this incarnation, in milliseconds since the epoch by the replica's clock;
+    /// 0 where the replica does not report it.
     pub started_ms: u64,
-    /// For how much longer it warms up, in milliseconds; 0 once it is warm, and where its
-    /// service names no rate for it.
+    /// Remaining warm-up time, in milliseconds; 0 once the replica is warm, and where its
+    /// service sets no warm-up rate.
     pub cold_ms: u64,
 }
 
 impl ReplicaRecord {
-    /// This life.
+    /// Returns the identity of this incarnation.
     pub fn incarnation(&self) -> ReplicaIncarnation {
         ReplicaIncarnation {
             id: self.id.clone(),
@@ -62,20 +63,21 @@
         }
     }
 
-    /// What tells one word on whether it is warm from another: each comes with a heartbeat, or
-    /// with a life.
+    /// Returns what distinguishes two reports of the warm-up state: the start of the incarnation
+    /// and the remaining warm-up time.
     pub fn warm_up_report(&self) -> (u64, u64) {
         (self.started_ms, self.cold_ms)
     }
 
-    /// Whether an adapter of a model is there.
+    /// Returns whether the replica holds an adapter of a model.
     pub fn holds_adapter(&self, model: &ModelName, adapter: &str) -> bool {
         let held = self.models.get(model);
         held.is_some_and(|adapters| adapters.contains(adapter))
     }
 
-    /// What members follow of it: not the copies at hand, which only matter to whoever
-    /// orders loads, and change as often as adapters do.
+    /// Returns the part of the record that members follow. Leaves out model copies in host
+    /// memory and on disk: only the component that orders loads needs them, and they change as
+    /// often as adapters do.
     pub fn for_members(&self) -> Self {
         Self {
             in_memory: BTreeSet::new(),
@@ -94,99 +96,102 @@
     }
 }
 
-/// What a heartbeat changes.
+/// Effect of a heartbeat on the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeartbeatStatus {
-    /// Nothing that the log does not hold.
+    /// Contains nothing that the log does not hold already.
     Known,
-    /// Something that must be committed.
+    /// Contains a change that must be committed.
     New,
-    /// It comes from a life that has ended.
+    /// Comes from an incarnation that has ended.
     Ended,
-    /// It is for a service that nobody configured: another writer's.
+    /// Names a service that is not configured: it comes from an unrelated sender.
     Foreign,
 }
 
-/// What an order has done to an adapter.
+/// Effect of an order on an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdapterEffect {
-    /// It is there, or on its way.
+    /// Loaded, or being loaded.
     Present,
-    /// It goes once no request uses it.
+    /// Unloaded once no request uses it.
     Unloading,
-    /// It is gone.
+    /// Unloaded.
     Absent,
 }
 
-/// How long an order's effect on an adapter outweighs heartbeats, which may have
-/// left before it, in milliseconds.
+/// Time for which an order's effect on an adapter overrides heartbeats, in milliseconds: they
+/// may have been sent before the order.
 const ORDER_PRECEDENCE_MS: u64 = 3_000;
 
-/// All replicas in their current lives.
+/// All replicas in their current incarnations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaDirectory {
     records: BTreeMap<ReplicaId, ReplicaRecord>,
-    /// The newest ended life of each replica, oldest first.
+    /// Latest ended incarnation of each replica, oldest first.
     ended: VecDeque<ReplicaIncarnation>,
-    /// Models ordered out that a replica still tells of, with their adapters: no requests
-    /// go there, and they take room.
+    /// Models ordered to unload that the replica still reports, with their adapters: they
+    /// receive no requests, but take up memory.
     unloading: BTreeMap<ReplicaId, BTreeMap<ModelName, BTreeSet<String>>>,
-    /// Models ordered in that a replica does not tell of yet: they take room.
+    /// Models ordered to load that the replica does not report yet: they take up memory.
     loading: BTreeMap<ReplicaId, BTreeSet<ModelName>>,
-    /// Adapters ordered in, by replica, until they are there or their order is settled.
+    /// Adapters ordered to load, by replica, until they are loaded or their order is settled.
     adapters_loading: BTreeMap<ReplicaId, BTreeSet<(ModelName, String)>>,
-    /// Adapters ordered out while in use, until a heartbeat lacks them: they take places.
+    /// Adapters ordered to unload while in use, until a heartbeat no longer lists them: they
+    /// take up adapter slots.
     adapters_unloading: BTreeMap<ReplicaId, BTreeSet<(ModelName, String)>>,
-    /// Replicas of which no heartbeat was put since an order changed something.
+    /// Replicas without a committed heartbeat since an order changed their state.
     unsynced: BTreeSet<ReplicaId>,
-    /// When an order last changed an adapter of a replica, in the state's clock.
+    /// Time at which an order last changed each adapter of a replica, by the state's clock.
     ordered_ms: BTreeMap<ReplicaId, BTreeMap<(ModelName, String), u64>>,
-    /// Until when a replica is taken for cold whatever it tells, in the state's clock.
+    /// Time until which a replica counts as cold regardless of its heartbeats, by the state's
+    /// clock.
     cold_until_ms: BTreeMap<ReplicaId, u64>,
 }
 
 impl ReplicaDirectory {
-    /// The replicas by id.
+    /// Returns the replicas by id.
     pub fn records(&self) -> &BTreeMap<ReplicaId, ReplicaRecord> {
         &self.records
     }
 
-    /// Whether a model that was ordered out is still there.
+    /// Returns whether a model that was ordered to unload is still loaded.
     pub fn is_unloading(&self, id: &ReplicaId, model: &ModelName) -> bool {
         let unloading = self.unloading.get(id);
         unloading.is_some_and(|models| models.contains_key(model))
     }
 
-    /// Models that were ordered out and are still there.
+    /// Returns the models that were ordered to unload and are still loaded.
     pub fn unloading(&self, id: &ReplicaId) -> impl Iterator<Item = &ModelName> {
         let unloading = self.unloading.get(id);
         unloading.into_iter().flat_map(BTreeMap::keys)
     }
 
-    /// Models that were ordered in and are not there yet.
+    /// Returns the models that were ordered to load and are not loaded yet.
     pub fn loading(&self, id: &ReplicaId) -> impl Iterator<Item = &ModelName> {
         self.loading.get(id).into_iter().flatten()
     }
 
-    /// Adapters that take places by orders, whatever heartbeats tell: ordered in and not
-    /// settled yet, or ordered out and perhaps still there.
+    /// Returns the adapters that take up slots because of orders, regardless of heartbeats:
+    /// ordered to load and not settled yet, or ordered to unload and possibly still loaded.
     pub fn adapters_ordered(&self, id: &ReplicaId) -> impl Iterator<Item = &(ModelName, String)> {
         let unloading = self.adapters_unloading.get(id).into_iter().flatten();
         self.adapters_loading(id).chain(unloading)
     }
 
-    /// Adapters that were ordered in and are not settled yet.
+    /// Returns the adapters that were ordered to load and are not settled yet.
     pub fn adapters_loading(&self, id: &ReplicaId) -> impl Iterator<Item = &(ModelName, String)> {
         self.adapters_loading.get(id).into_iter().flatten()
     }
 
-    /// Whether an adapter was ordered out while in use, and no heartbeat lacks it yet.
+    /// Returns whether an adapter was ordered to unload while in use and no heartbeat has
+    /// confirmed the unload yet.
     pub fn is_adapter_unloading(&self, id: &ReplicaId, model: &ModelName, adapter: &str) -> bool {
         let mut unloading = self.adapters_unloading.get(id).into_iter().flatten();
         unloading.any(|(base, name)| base == model && name == adapter)
     }
 
-    /// Notes that an adapter is ordered into a replica, before the order leaves.
+    /// Records an order to load an adapter, before the order is sent.
     pub fn record_adapter_order(&mut self, id: &ReplicaId, model: &ModelName, adapter: &str) {
         if self.records.contains_key(id) {
             let loading = self.adapters_loading.entry(id.clone()).or_default();
@@ -194,34 +199,34 @@
         }
     }
 
-    /// Notes that no order on an adapter is under way any more.
+    /// Records that no order to load an adapter is in progress any more.
     pub fn settle_adapter(&mut self, id: &ReplicaId, model: &ModelName, adapter: &str) {
         if let Some(loading) = self.adapters_loading.get_mut(id) {
             loading.remove(&(model.clone(), adapter.to_owned()));
         }
     }
 
-    /// Compares a heartbeat with what is known; `clock_ms` is the state's clock.
+    /// Compares a heartbeat with the known state; `clock_ms` is the state's clock.
     pub fn compare_heartbeat(&self, record: &ReplicaRecord, clock_ms: u64) -> HeartbeatStatus {
         let gone = |model: &ModelName| !record.models.contains_key(model);
         let left = self.unloading.get(&record.id);
         let left = left.is_some_and(|models| models.keys().any(gone));
         match self.records.get(&record.id) {
-            // A later birth is another life, whatever is known of the one before: its numbers
-            // begin anew, and it neither leaves nor holds anything because that did.
+            // A later start time means a new incarnation: its sequence numbers start over, and
+            // the draining phase and models of the previous one do not apply to it.
             Some(known) if record.started_ms > known.started_ms => HeartbeatStatus::New,
-            // It comes from the life before, or from somebody else.
+            // From the previous incarnation, or from a different process with the same id.
             Some(known) if record.started_ms < known.started_ms => HeartbeatStatus::Known,
-            // What a replica told before says nothing of what it holds by now: a host that
-            // stood still passes on what it heard seconds ago.
+            // An older heartbeat says nothing about the current state: a host that was frozen
+            // forwards heartbeats that it received seconds ago.
             Some(known) if record.seq <= known.seq && known.seq > 0 => HeartbeatStatus::Known,
-            // A ready heartbeat from before the draining one may come late.
+            // A ready heartbeat sent before the draining one may arrive late.
             Some(known) if known.phase == ReplicaPhase::Draining => HeartbeatStatus::Known,
-            // While one is cold each counts: the state's clock, by which it is warm again, moves
-            // with what is committed only.
+            // While the replica is cold, each heartbeat is committed: only commits advance the
+            // state's clock, by which the replica becomes warm.
             Some(known) if known.cold_ms > 0 || record.cold_ms > 0 => HeartbeatStatus::New,
-            // The first one after an order is put for its number: else one from before the
-            // order could come later still, and be taken for the newest.
+            // Commit the first heartbeat after an order for its sequence number: otherwise one
+            // from before the order could arrive even later and count as the newest.
             Some(_) if record.seq > 0 && self.unsynced.contains(&record.id) => HeartbeatStatus::New,
             Some(known) if !left && self.repeats(known, record, clock_ms) => HeartbeatStatus::Known,
             Some(_) => HeartbeatStatus::New,
@@ -235,9 +240,9 @@
         ended.any(|old| old.id == record.id && old.started_ms >= record.started_ms)
     }
 
-    /// Forgets what was known of a replica's life before, as a later one has begun. What was
-    /// ordered in stays: its order may be on its way still, names the id that the replica
-    /// still has, and would be carried out in the new life.
+    /// Drops the state of a replica's previous incarnation when a later one starts. Loads in
+    /// progress are kept: their orders may still be on the way, carry the id that the replica
+    /// still uses, and would be executed by the new incarnation.
     fn start_incarnation(&mut self, id: &ReplicaId) {
         self.unloading.remove(id);
         self.adapters_unloading.remove(id);
@@ -246,14 +251,14 @@
         self.cold_until_ms.remove(id);
     }
 
-    /// Whether a heartbeat brings nothing but its number.
+    /// Returns whether a heartbeat changes nothing but its sequence number.
     fn repeats(&self, known: &ReplicaRecord, record: &ReplicaRecord, clock_ms: u64) -> bool {
         let mut merged = self.merge(known, record, clock_ms);
         merged.seq = known.seq;
         *known == merged
     }
 
-    /// What a heartbeat says, corrected by the orders that it may not know of.
+    /// Returns the heartbeat's record, corrected for orders that it may not reflect yet.
     fn merge(&self, known: &ReplicaRecord, record: &ReplicaRecord, clock_ms: u64) -> ReplicaRecord {
         let mut merged = record.clone();
         merged
@@ -278,7 +283,8 @@
         merged
     }
 
-    /// Puts a record. Returns the ids of those that it replaces: an address has one replica.
+    /// Stores a record. Returns the ids of the replicas that it replaces, as an address belongs
+    /// to one replica; `None` if the record is not stored.
     pub fn put(&mut self, record: &ReplicaRecord, clock_ms: u64) -> Option<Vec<ReplicaId>> {
         if self.compare_heartbeat(record, clock_ms) != HeartbeatStatus::New {
             return None;
@@ -314,7 +320,7 @@
         Some(replaced)
     }
 
-    /// Marks a replica as not heard from. Returns whether that is new.
+    /// Marks a replica as silent. Returns whether that is a change.
     pub fn mark_silent(&mut self, id: &ReplicaId) -> bool {
         match self.records.get_mut(id) {
             Some(record) if record.phase == ReplicaPhase::Ready => {
@@ -325,8 +331,9 @@
         }
     }
 
-    /// Takes a replica for cold for so long, as it may have turned so unheard: a heartbeat
-    /// from before that may come late. Returns whether it is known.
+    /// Treats a replica as cold for `cold_ms`, since it may have become cold without reporting
+    /// it yet, and a heartbeat from before may arrive late. Returns whether the replica is
+    /// known.
     pub fn mark_cold(&mut self, id: &ReplicaId, cold_ms: u64, clock_ms: u64) -> bool {
         let Some(record) = self.records.get_mut(id) else {
             return false;
@@ -339,7 +346,7 @@
         true
     }
 
-    /// Marks a replica as leaving. Returns whether that is new.
+    /// Marks a replica as draining. Returns whether that is a change.
     pub fn mark_draining(&mut self, id: &ReplicaId) -> bool {
         match self.records.get_mut(id) {
             Some(record) if record.phase != ReplicaPhase::Draining => {
@@ -350,14 +357,15 @@
         }
     }
 
-    /// Ends a life for good, unless a later one has begun. Returns whether it was known.
+    /// Ends an incarnation permanently, unless a later one has started. Returns whether it was
+    /// known.
     pub fn end_incarnation(&mut self, incarnation: &ReplicaIncarnation) -> bool {
         let known = self.records.get(&incarnation.id);
         known.is_some_and(|record| record.incarnation() == *incarnation)
             && self.end(&incarnation.id)
     }
 
-    /// Ends a replica's current life for good. Returns whether it was known.
+    /// Ends a replica's current incarnation permanently. Returns whether it was known.
     pub fn end(&mut self, id: &ReplicaId) -> bool {
         self.unloading.remove(id);
         self.loading.remove(id);
@@ -377,7 +385,7 @@
         record.is_some()
     }
 
-    /// Notes what an order has done to an adapter. Returns whether that is new.
+    /// Records the effect of an order on an adapter. Returns whether that is a change.
     pub fn set_adapter(
         &mut self,
         id: &ReplicaId,
@@ -397,7 +405,7 @@
             None => false,
         };
         let unloading = self.adapters_unloading.entry(id.clone()).or_default();
-        // Whoever leads next must know that it may still be there.
+        // A future leader must know that the adapter may still be loaded.
         match effect {
             AdapterEffect::Unloading if changed => unloading.insert(slot.clone()),
             AdapterEffect::Unloading => false,
@@ -415,7 +423,7 @@
         changed
     }
 
-    /// Notes that a model is ordered out of a replica. Returns whether that is new.
+    /// Records an order to unload a model. Returns whether that is a change.
     pub fn record_unload(&mut self, id: &ReplicaId, model: &ModelName) -> bool {
         let record = self.records.get_mut(id);
         let Some(adapters) = record.and_then(|record| record.models.remove(model)) else {
@@ -427,7 +435,7 @@
         true
     }
 
-    /// Notes that a model is ordered into a replica.
+    /// Records an order to load a model.
     pub fn record_load(&mut self, id: &ReplicaId, model: &ModelName) {
         let held = self.records.get(id);
         if held.is_some_and(|record| !record.models.contains_key(model)) {
@@ -437,11 +445,12 @@
         }
     }
 
-    /// Notes that no order on a model is under way: heartbeats tell of it. Returns
-    /// whether members follow what that changes.
+    /// Records that no order on a model is in progress any more, so that heartbeats decide.
+    /// Returns whether members observe a change.
     ///
-    /// A model that was to go is there until a heartbeat lacks it, whatever became of its
-    /// order: else its room would be given away between this and the next heartbeat.
+    /// A model that was ordered to unload counts as loaded until a heartbeat no longer lists
+    /// it, whatever the outcome of the order: otherwise its memory would be given away before
+    /// the next heartbeat.
     pub fn settle(&mut self, id: &ReplicaId, model: &ModelName) -> bool {
         if let Some(models) = self.loading.get_mut(id) {
             models.remove(model);
--- a/src/consensus/entries.rs
+++ b/src/consensus/entries.rs
@@ -1,4 +1,4 @@
-//! The replicated log's entries, what goes to disk, and the messages between voters.
+//! Entries of the replicated log, records on disk, and messages between voters.
 
 use std::collections::BTreeSet;
 
@@ -6,77 +6,78 @@
 
 use crate::ids::{NodeId, Position, Term};
 
-/// An index of the log and the term of its entry.
+/// Index of a log entry and its term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogMark {
-    /// The entry's term. First, as the newer log is judged by it first.
+    /// Term of the entry. First field, as it takes precedence when two logs are compared.
     pub term: Term,
-    /// The entry's index.
+    /// Index of the entry.
     pub index: Position,
 }
 
-/// What an entry carries.
+/// Payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: opens a term.
+    /// No operation: appended by a new leader to open its term.
     Noop,
-    /// The voters from this entry on.
+    /// Voters from this entry on.
     Voters(BTreeSet<NodeId>),
-    /// A command to the state machine, encoded.
+    /// Encoded command for the state machine.
     Command(Vec<u8>),
 }
 
-/// An entry of the log.
+/// Log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Where it stands.
+    /// Index and term of the entry.
     pub mark: LogMark,
-    /// What it carries.
+    /// Payload of the entry.
     pub payload: Payload,
 }
 
-/// The state machine up to an index, encoded.
+/// Encoded state machine up to an index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogSnapshot {
-    /// The last entry that it includes.
+    /// Last entry that the snapshot includes.
     pub last: LogMark,
-    /// The voters at that entry.
+    /// Voters as of that entry.
     pub voters: BTreeSet<NodeId>,
-    /// The encoded state.
+    /// Encoded state.
     pub state: Vec<u8>,
 }
 
-/// A durable change; see the module's rule.
+/// Record of a durable change. Synced before dependent messages are sent; see
+/// [`crate::consensus::raft`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskRecord {
-    /// The current term and the vote given in it.
+    /// Current term and the vote given in it.
     Vote(Term, Option<NodeId>),
-    /// Entries are dropped from this index on, then others may follow.
+    /// Removes all entries from this index on; others may follow.
     Truncate(Position),
-    /// An entry after all before it.
+    /// Appends an entry after all previous ones.
     Append(LogEntry),
     /// Replaces the log up to the snapshot.
     Install(LogSnapshot),
-    /// Entries up to this one are committed. Written along with other records,
-    /// so that a restarted voter knows them before it has heard a leader.
+    /// Entries up to this index are committed. Written along with other records, so that a
+    /// restarted voter knows them before it receives anything from a leader.
     Commit(Position),
 }
 
-/// What a restarted voter reads back from its disk.
+/// Contents of a voter's disk, as read on a restart.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DiskImage {
-    /// Term and vote.
+    /// Current term and the vote given in it.
     pub vote: (Term, Option<NodeId>),
-    /// The last snapshot.
+    /// Latest snapshot.
     pub snapshot: LogSnapshot,
-    /// The entries after it.
+    /// Entries after the snapshot.
     pub entries: Vec<LogEntry>,
-    /// The highest entry that is known to be committed.
+    /// Highest index known to be committed.
     pub commit: Position,
 }
 
 impl DiskImage {
-    /// Replays one record.
+    /// Applies one record.
     pub fn apply(&mut self, record: DiskRecord) {
         match record {
             DiskRecord::Vote(term, vote) => self.vote = (term, vote),
@@ -91,57 +92,57 @@
     }
 }
 
-/// A message between voters.
+/// Message between voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RaftMessage {
-    /// Asks whether a vote in `term` would be given.
+    /// Queries whether a vote in `term` would be granted.
     PreVote {
-        /// The term the candidate would open.
+        /// Term that the candidate would start.
         term: Term,
-        /// The candidate's last entry.
+        /// Candidate's last entry.
         last: LogMark,
     },
-    /// Answers a pre-vote.
+    /// Reply to a pre-vote.
     PreVoteReply {
-        /// The term asked about, or the voter's own when refused.
+        /// Term of the request, or the voter's own term if refused.
         term: Term,
-        /// Whether a vote would be given.
+        /// Whether a vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
-        /// The candidate's term.
+        /// Candidate's term.
         term: Term,
-        /// The candidate's last entry.
+        /// Candidate's last entry.
         last: LogMark,
-        /// The old leader asked for this election and gave up its lease.
+        /// Whether the previous leader requested this election and gave up its lease.
         handover: bool,
     },
-    /// Answers a vote.
+    /// Reply to a vote request.
     VoteReply {
-        /// The voter's term.
+        /// Voter's term.
         term: Term,
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Replicates entries; a heartbeat where there are none.
+    /// Replicates entries; a heartbeat if there are none.
     Append {
-        /// The leader's term.
+        /// Leader's term.
         term: Term,
-        /// The entry before the first one sent.
+        /// Entry before the first one in the message.
         prev: LogMark,
-        /// The entries.
+        /// Entries to append.
         entries: Vec<LogEntry>,
-        /// The leader's commit index.
+        /// Leader's commit index.
         commit: Position,
-        /// The leader's clock when it sent this; echoed for its lease.
+        /// Leader's clock at the time of sending; echoed to extend its lease.
         sent_ms: u64,
     },
-    /// Answers an append.
+    /// Reply to an append or install message.
     AppendReply {
-        /// The follower's term.
+        /// Follower's term.
         term: Term,
-        /// On success the last matching index, else where to try next.
+        /// Last matching index on success, else the index to try next.
         at: Position,
         /// Whether `prev` matched.
         matched: bool,
@@ -150,22 +151,22 @@
     },
     /// Replaces a follower's log that is too far behind.
     Install {
-        /// The leader's term.
+        /// Leader's term.
         term: Term,
-        /// The snapshot.
+        /// Snapshot to install.
         snapshot: LogSnapshot,
-        /// The leader's clock; echoed for its lease.
+        /// Leader's clock at the time of sending; echoed to extend its lease.
         sent_ms: u64,
     },
-    /// Asks the receiver to stand for election at once.
+    /// Requests that the receiver start an election at once.
     Handover {
-        /// The leader's term.
+        /// Leader's term.
         term: Term,
     },
 }
 
 impl RaftMessage {
-    /// The sender's term.
+    /// Returns the sender's term.
     pub fn term(&self) -> Term {
         match self {
             Self::PreVote { term, .. }
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -1,9 +1,9 @@
-//! The replicated log and the state that follows from it: agreement between voters,
-//! claims, the directory of replicas, who founds the site.
+//! The replicated log and the state derived from it: consensus between voters, claims, the
+//! directory of replicas, and the choice of the bootstrap host.
 //!
-//! Pure: messages, ticks and records read from disk enter; messages to send, records to
-//! sync and replies come out. Uses `table` and [`crate::ids`]. The files and sockets
-//! around it are in [`crate::control`].
+//! Pure: the inputs are messages, ticks and records read from disk; the outputs are messages to
+//! send, records to sync, and replies. Uses `table` and [`crate::ids`]. The surrounding file
+//! and socket I/O is in [`crate::control`].
 
 pub mod claims;
 pub mod crashes;
--- a/src/consensus/paxos.rs
+++ b/src/consensus/paxos.rs
@@ -1,10 +1,11 @@
-//! Which host founds a site, where no host that all were told of has a disk: agreed once,
-//! by hosts that remember only while they run.
+//! Agreement on the bootstrap host of a new site, for the case that none of the configured
+//! hosts has a disk. The agreement is reached once, by hosts that keep its state in memory
+//! only.
 //!
-//! Agreement on a single value (Lamport, "Paxos Made Simple", 2001) by a majority of the
-//! named hosts. One that has restarted cannot know what it recorded, so it takes no part
-//! any more: of three, one may be lost while the founder is named. With more, nobody is
-//! named rather than a second one.
+//! Single-value consensus (Lamport, "Paxos Made Simple", 2001) by a majority of the configured
+//! hosts. A restarted host cannot know what it accepted, so it no longer takes part: with three
+//! hosts, one may be lost before agreement. If more are lost, no host is chosen, rather than
+//! two.
 
 use std::collections::BTreeSet;
 
@@ -12,58 +13,59 @@
 
 use crate::ids::{HostName, Incarnation};
 
-/// A try to have a founder agreed on. No two are alike: each has the life of its maker.
+/// Ballot of one attempt to reach agreement. Unique, as it contains the incarnation of its
+/// proposer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PaxosBallot {
-    /// Counts up; first, as it decides which ballot goes before.
+    /// Round number. First field, as it takes precedence in the order of ballots.
     pub round: u64,
-    /// The process that tries.
+    /// Incarnation of the proposing process.
     pub incarnation: Incarnation,
 }
 
-/// What one named host asks of all.
+/// Request of one configured host to all of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PaxosRequest {
-    /// The named hosts, as the asker was told.
+    /// Configured hosts, as known to the proposer.
     pub hosts: BTreeSet<HostName>,
-    /// The try.
+    /// Ballot of this attempt.
     pub ballot: PaxosBallot,
-    /// Record this name; without one, promise to record nothing for lower ballots.
+    /// Value to accept; `None` asks for a promise to accept nothing for lower ballots.
     pub value: Option<HostName>,
 }
 
 impl PaxosRequest {
-    /// The second half of the same try.
+    /// Returns the accept request (phase 2) of the same ballot.
     pub fn accept(mut self, value: HostName) -> Self {
         self.value = Some(value);
         self
     }
 }
 
-/// What a named host answers.
+/// Reply of a configured host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PaxosReply {
-    /// Promised or recorded; with what stands recorded.
+    /// Promised or accepted; holds the accepted value, if any.
     Granted(Option<(PaxosBallot, HostName)>),
     /// A higher ballot was promised.
     Preempted(PaxosBallot),
-    /// This host does not know what it recorded, or was told of other hosts.
+    /// This host does not know what it accepted, or has a different set of configured hosts.
     Abstained,
 }
 
-/// One named host's part, from the site's first start until its process ends.
+/// Paxos state of one configured host, from the site's first start until its process ends.
 #[derive(Clone, Debug)]
 pub struct PaxosAcceptor {
     hosts: BTreeSet<HostName>,
     incarnation: Incarnation,
     promised: PaxosBallot,
     accepted: Option<(PaxosBallot, HostName)>,
-    /// The highest round that was tried or heard of.
+    /// Highest round attempted or observed.
     round: u64,
 }
 
 impl PaxosAcceptor {
-    /// A book with nothing in it; `incarnation` must be new with each process.
+    /// Creates an empty state; `incarnation` must be unique to each process.
     pub fn new(hosts: BTreeSet<HostName>, incarnation: Incarnation) -> Self {
         Self {
             hosts,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Answers a named host, this one among them.
+    /// Replies to a request of a configured host, possibly this one.
     pub fn respond(&mut self, request: &PaxosRequest) -> PaxosReply {
         if request.hosts != self.hosts {
             return PaxosReply::Abstained;
@@ -89,7 +91,7 @@
         PaxosReply::Granted(self.accepted.clone())
     }
 
-    /// Begins a try, above all that this host has heard of.
+    /// Starts a new attempt (phase 1) with a ballot above all observed ones.
     pub fn prepare(&mut self) -> PaxosRequest {
         self.round = self.round.max(self.promised.round) + 1;
         PaxosRequest {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Whether a majority granted what was asked; one answer a host.
+    /// Returns whether a majority granted the request; expects one reply per host.
     pub fn has_majority(&mut self, replies: &[PaxosReply]) -> bool {
         for reply in replies {
             if let PaxosReply::Preempted(ballot) = reply {
@@ -114,8 +116,8 @@
     }
 }
 
-/// The name that must be recorded after these promises: the newest that may be agreed on
-/// already, else `fresh`.
+/// Returns the value to accept after these promises: the accepted one with the highest ballot,
+/// as it may be agreed on already, else `fresh`.
 pub fn value_to_accept(replies: &[PaxosReply], fresh: &HostName) -> HostName {
     let accepted = replies.iter().filter_map(|reply| match reply {
         PaxosReply::Granted(accepted) => accepted.as_ref(),
--- a/src/consensus/raft.rs
+++ b/src/consensus/raft.rs
@@ -1,11 +1,10 @@
-//! The replicated log's agreement: terms, votes, leases and replication.
+//! Raft consensus for the replicated log: terms, votes, leases and replication.
 //!
-//! Pure: the caller passes in the time and messages, and takes [`Output`] out.
-//! The contract with the caller is one rule: everything in `Output::records`
-//! is synced to disk before any of `Output::messages` leaves.
+//! Pure: the caller passes in the time and messages, and takes [`Output`] out. The caller must
+//! sync everything in `Output::records` to disk before it sends any of `Output::messages`.
 //!
-//! Raft (Ongaro and Ousterhout, 2014) with pre-vote, leader stickiness, quorum
-//! leases, one-at-a-time changes of the voters, and leadership transfer.
+//! Implements Raft (Ongaro and Ousterhout, 2014) with pre-vote, leader stickiness, quorum
+//! leases, single-step membership changes, and leadership transfer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,50 +17,50 @@
 };
 use crate::ids::{NodeId, Position, Term};
 
-/// Most entries in one append message.
+/// Maximum number of entries in one append message.
 const MAX_APPEND_ENTRIES: usize = 512;
-/// Entries kept in memory beyond the snapshot, for followers that lag by less. Each
-/// compaction finds all followers a round trip behind; without these, each of them was sent
-/// the whole state: 5 MB a second a voter at 3,000 replicas, instead of the entries alone.
+/// Number of compacted entries kept in memory for followers that lag slightly. Compaction finds
+/// all followers one round trip behind; without these entries, each of them was sent the whole
+/// state: 5 MB/s per voter at 3,000 replicas.
 const MAX_RETAINED_ENTRIES: usize = 1024;
-/// Time that a snapshot is given to arrive before it is sent again, in milliseconds. Sent
-/// with each heartbeat, copies of several megabytes filled a leader's memory.
+/// Time allowed for a snapshot to arrive before it is sent again, in milliseconds. When sent
+/// with every heartbeat, copies of several megabytes filled the leader's memory.
 const SNAPSHOT_RESEND_MS: u64 = 1_000;
-/// A leader's lease is this many thousandths of the least election timeout, so
-/// it ends before a follower whose clock runs up to 10% fast may vote.
+/// Length of a leader's lease, in thousandths of the minimum election timeout. The lease ends
+/// before a follower whose clock runs up to 10% fast may vote.
 const LEASE_PER_MILLE: u64 = 850;
 
-/// Timing of elections, in milliseconds.
+/// Election timing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RaftTiming {
-    /// Least time without a leader before a voter calls an election; the
-    /// most is twice this.
+    /// Minimum time without a leader before a voter starts an election, in milliseconds; the
+    /// maximum is twice this.
     pub election_ms: u64,
-    /// Time between a leader's heartbeats.
+    /// Interval between a leader's heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
 }
 
-/// What the caller must do: sync the records, then send the messages, then
-/// apply what was committed.
+/// Actions for the caller, in this order: sync the records, send the messages, apply the
+/// committed entries.
 #[derive(Debug, Default, PartialEq)]
 pub struct Output {
-    /// To be synced first, in order.
+    /// Records to sync first, in order.
     pub records: Vec<DiskRecord>,
-    /// To be sent once the records are synced.
+    /// Messages to send once the records are synced.
     pub messages: Vec<(NodeId, RaftMessage)>,
-    /// A snapshot that replaces the state machine before `committed`.
+    /// Snapshot that replaces the state machine before `committed` is applied.
     pub restored: Option<LogSnapshot>,
     /// Entries to apply, in order.
     pub committed: Vec<LogEntry>,
 }
 
-/// Why a proposal was not taken.
+/// Reason why a proposal was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
-    /// Another voter may lead.
+    /// This voter is not the leader; holds the known leader, if any.
     NotLeader(Option<NodeId>),
-    /// A change of voters is still under way, or this one is not a single step.
+    /// A membership change is still in progress, or the proposed one is not a single step.
     VotersBusy,
 }
 
@@ -77,13 +76,13 @@
 struct Progress {
     matched: Position,
     next: Position,
-    /// The latest own clock that this follower has echoed.
+    /// Latest timestamp of the leader's own clock that this follower has echoed.
     echoed_ms: Option<u64>,
-    /// A snapshot is on its way until then.
+    /// Time until which a sent snapshot counts as in flight.
     install_until_ms: u64,
 }
 
-/// One voter, or one learner that is not a voter yet.
+/// Raft state of one voter, or of one learner that is not a voter yet.
 #[derive(Debug)]
 pub struct RaftCore {
     id: NodeId,
@@ -93,34 +92,35 @@
     vote: Option<NodeId>,
     snapshot: LogSnapshot,
     entries: Vec<LogEntry>,
-    /// The last entries that the snapshot holds: sent to followers, not looked at otherwise.
+    /// Latest entries already covered by the snapshot; used only to replicate to followers.
     retained: Vec<LogEntry>,
     commit: Position,
     delivered: Position,
-    /// The commit index on disk.
+    /// Commit index on disk.
     persisted_commit: Position,
-    /// When the commit index was last saved.
+    /// Time of the latest periodic check whether to persist the commit index.
     persisted_ms: u64,
     role: Role,
     leader: Option<NodeId>,
     leader_seen_ms: Option<u64>,
     election_due_ms: u64,
     heartbeat_due_ms: u64,
-    /// When this voter last became leader.
+    /// Time at which this voter last became leader.
     leader_since_ms: u64,
-    /// A voter that restarts may have promised a lease just before, and one that leads no
-    /// more is a part of the quorum that its own lease rested on.
+    /// Time until which this voter neither votes nor starts an election, except on a handover. Set after a restart,
+    /// since the voter may have confirmed a lease just before, and after stepping down, since
+    /// the voter belongs to the quorum behind its own lease.
     no_vote_until_ms: u64,
     granted: BTreeSet<NodeId>,
     progress: BTreeMap<NodeId, Progress>,
     learners: BTreeSet<NodeId>,
-    /// Last index and commit index that were sent to all.
+    /// Last index and commit index most recently sent to all followers.
     broadcast: (Position, Position),
     output: Output,
 }
 
 impl RaftCore {
-    /// Starts from what the disk holds. `seed` drives the election jitter.
+    /// Restores the state from a disk image. `seed` drives the election jitter.
     pub fn new(id: NodeId, timing: RaftTiming, image: DiskImage, now_ms: u64, seed: u64) -> Self {
         let start = image.snapshot.last.index;
         let mut core = Self {
@@ -155,49 +155,50 @@
         core
     }
 
-    /// This voter's identity.
+    /// Returns this voter's identity.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Whether this voter leads its term. Says nothing of other terms: see [`Self::may_decide`].
+    /// Returns whether this voter leads its current term. A newer term may exist; see
+    /// [`Self::may_decide`].
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// The leader as last heard.
+    /// Returns the last known leader.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// The commit index.
+    /// Returns the commit index.
     pub fn commit(&self) -> Position {
         self.commit
     }
 
-    /// The last entry of the log.
+    /// Returns the mark of the last log entry.
     pub fn last(&self) -> LogMark {
         self.entries
             .last()
             .map_or(self.snapshot.last, |entry| entry.mark)
     }
 
-    /// The entries after the snapshot, committed or not.
+    /// Returns the entries after the snapshot, committed or not.
     pub fn tail(&self) -> &[LogEntry] {
         &self.entries
     }
 
-    /// The number of entries after the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub fn tail_len(&self) -> usize {
         self.entries.len()
     }
 
-    /// The voters by the newest entry that names them, committed or not.
+    /// Returns the voters set by the newest membership entry, committed or not.
     pub fn voters(&self) -> &BTreeSet<NodeId> {
         let named = |entry: &'_ LogEntry| matches!(entry.payload, Payload::Voters(_));
         match self.entries.iter().rev().find(|e| named(e)) {
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Takes what is to be done; see the module's rule.
+    /// Takes the pending actions; see the module documentation for the order of sync and send.
     pub fn take_output(&mut self) -> Output {
         if !self.output.records.is_empty() {
             self.persist_commit();
@@ -224,16 +225,15 @@
         }
     }
 
-    /// Whether a decision taken now, from the committed state, is the newest there is:
-    /// this voter leads, a quorum confirmed it within the lease, and an entry of
-    /// its own term is committed.
+    /// Returns whether the committed state is guaranteed to be the newest: this voter leads, a
+    /// quorum confirmed it within the lease, and an entry of its own term is committed.
     pub fn may_decide(&self, now_ms: u64) -> bool {
         self.role == Role::Leader
             && self.term_at(self.commit) == Some(self.term)
             && now_ms < self.lease_until_ms(now_ms)
     }
 
-    /// When the current lease ends, in this voter's clock; zero without one.
+    /// Returns the end of the current lease on this voter's clock; 0 without a lease.
     pub fn lease_until_ms(&self, now_ms: u64) -> u64 {
         let lease_ms = self.timing.election_ms * LEASE_PER_MILLE / 1000;
         let mut echoes: Vec<u64> = self
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Appends a command where this voter leads, and returns its position.
+    /// Appends a command if this voter is the leader, and returns its log position.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<LogMark, ProposeError> {
         if self.role != Role::Leader {
             return Err(ProposeError::NotLeader(self.leader));
@@ -259,18 +259,17 @@
         Ok(self.append_own(Payload::Command(command)))
     }
 
-    /// Sends what was proposed or committed since the last call. Apart from
-    /// `propose`, so that many proposals share one sync and one message.
+    /// Sends what was proposed or committed since the last call. Separate from `propose`, so
+    /// that many proposals share one sync and one message.
     pub fn flush(&mut self, now_ms: u64) {
         let broadcast = (self.last().index, self.commit);
-        // With nothing new, an append would only draw an answer, which would
-        // draw the next append.
+        // With nothing new, an append would trigger a reply, and the reply the next append.
         if self.role == Role::Leader && self.broadcast != broadcast {
             self.replicate(now_ms);
         }
     }
 
-    /// Adds or removes one voter.
+    /// Proposes a set of voters that differs from the current one by one voter.
     pub fn propose_voters(&mut self, voters: BTreeSet<NodeId>) -> Result<LogMark, ProposeError> {
         if self.role != Role::Leader {
             return Err(ProposeError::NotLeader(self.leader));
@@ -286,7 +285,7 @@
         Ok(self.append_own(Payload::Voters(voters)))
     }
 
-    /// Replicates to a process that is not a voter yet.
+    /// Starts to replicate to a process that is not a voter yet.
     pub fn add_learner(&mut self, node: NodeId) {
         if self.role == Role::Leader && !self.voters().contains(&node) {
             self.learners.insert(node);
@@ -298,7 +297,7 @@
         }
     }
 
-    /// The learners that have caught up with the commit index.
+    /// Returns the learners that have caught up with the commit index.
     pub fn ready_learners(&self) -> Vec<NodeId> {
         let voters = self.voters();
         let caught_up = |node: &&NodeId| {
@@ -311,13 +310,13 @@
         self.learners.iter().filter(caught_up).copied().collect()
     }
 
-    /// Whether a voter has answered within one election timeout.
+    /// Returns whether a voter has replied within one election timeout.
     pub fn replied_recently(&self, node: NodeId, now_ms: u64) -> bool {
         let echoed = self.progress.get(&node).and_then(|p| p.echoed_ms);
         echoed.is_some_and(|at| at + self.timing.election_ms > now_ms)
     }
 
-    /// How long a leader has not heard from a voter, in milliseconds.
+    /// Returns the time since a voter last replied to this leader, in milliseconds.
     pub fn silence_ms(&self, node: NodeId, now_ms: u64) -> u64 {
         let echoed = self.progress.get(&node).and_then(|p| p.echoed_ms);
         let since_ms = echoed.unwrap_or(0).max(self.leader_since_ms);
@@ -327,7 +326,8 @@
         }
     }
 
-    /// How long this voter has not heard from a leader, in milliseconds.
+    /// Returns the time since this voter last received a message from a leader, in
+    /// milliseconds.
     pub fn leaderless_ms(&self, now_ms: u64) -> u64 {
         match self.role {
             Role::Leader => 0,
@@ -335,8 +335,8 @@
         }
     }
 
-    /// Gives up the lease and asks the most up-to-date voter to stand. Returns
-    /// whether there was one to ask.
+    /// Gives up the lease and asks the most up-to-date voter to start an election. Returns
+    /// whether there was such a voter.
     pub fn hand_over(&mut self, now_ms: u64) -> bool {
         if self.role != Role::Leader {
             return false;
@@ -361,7 +361,8 @@
         }
     }
 
-    /// Drops the log up to the last delivered entry, now held by `state`.
+    /// Compacts the log up to the last delivered entry; `state` is the encoded state machine at
+    /// that entry.
     pub fn compact(&mut self, state: Vec<u8>) {
         let index = self.delivered;
         let Some(term) = self.term_at(index) else {
@@ -381,9 +382,10 @@
         self.output.records.push(record);
     }
 
-    /// Lets time pass: elections, heartbeats and stepping down.
+    /// Advances time: starts elections, sends heartbeats, steps down.
     pub fn tick(&mut self, now_ms: u64) {
-        // With other records it costs no sync of its own; alone it waits a while.
+        // The commit index is saved along with other records at no extra sync; without other
+        // records it is saved at most once per heartbeat interval.
         if now_ms >= self.persisted_ms + self.timing.heartbeat_ms {
             self.persisted_ms = now_ms;
             self.persist_commit();
@@ -400,7 +402,7 @@
         }
     }
 
-    /// Handles a message.
+    /// Handles a message from another voter.
     pub fn receive(&mut self, now_ms: u64, from: NodeId, message: RaftMessage) {
         let speculative = matches!(
             message,
@@ -507,8 +509,9 @@
         self.election_due_ms = now_ms + least + self.rng.random_range(0..least.max(1));
     }
 
-    /// A voter that heard a leader lately, or may have before it restarted,
-    /// helps no other to power: the leader's lease rests on this.
+    /// Returns whether this voter must not help another one get elected: it has recently
+    /// received a message from a leader, may have done so before a restart, or holds a lease
+    /// itself. The leader's lease relies on this.
     fn is_bound_to_leader(&self, now_ms: u64) -> bool {
         let leader_valid_ms = self
             .leader_seen_ms
@@ -526,7 +529,7 @@
     }
 
     fn become_follower(&mut self, now_ms: u64) {
-        // What was allowed under the lease holds until its end: no help to others before.
+        // Decisions made under the lease stay valid until it ends; do not vote before then.
         if self.role == Role::Leader {
             let lease_ms = self.lease_until_ms(now_ms);
             self.no_vote_until_ms = self.no_vote_until_ms.max(lease_ms);
@@ -652,8 +655,8 @@
         mark
     }
 
-    /// Sends all that followers lack, and commits what needs no answer: all of it, where
-    /// the leader is its own quorum.
+    /// Sends followers the entries that they lack, and commits what needs no reply: everything,
+    /// if the leader alone is a quorum.
     fn replicate(&mut self, now_ms: u64) {
         self.heartbeat_due_ms = now_ms + self.timing.heartbeat_ms;
         self.broadcast = (self.last().index, self.commit);
@@ -681,7 +684,7 @@
         let (prev, entries) = match self.sendable_term_at(index) {
             Some(term) => (LogMark { term, index }, self.entries_after(index)),
             None if progress.install_until_ms <= now_ms => return self.send_install(now_ms, peer),
-            // A heartbeat, while a snapshot is on its way.
+            // While a snapshot is in flight, send only a heartbeat.
             None => return self.send_entries(now_ms, peer, self.snapshot.last, Vec::new()),
         };
         if let Some(progress) = self.progress.get_mut(&peer) {
@@ -713,14 +716,14 @@
         self.send(peer, message);
     }
 
-    /// The term of an entry that followers may be sent what comes after.
+    /// Returns the term of an entry if the entries after it can be sent to followers.
     fn sendable_term_at(&self, index: Position) -> Option<Term> {
         let retained = || self.retained.binary_search_by_key(&index, |e| e.mark.index);
         let known = self.term_at(index);
         known.or_else(|| retained().ok().map(|at| self.retained[at].mark.term))
     }
 
-    /// The next entries after one that [`Self::sendable_term_at`] knows.
+    /// Returns the next entries after one that [`Self::sendable_term_at`] knows.
     fn entries_after(&self, index: Position) -> Vec<LogEntry> {
         let from = self.retained.partition_point(|e| e.mark.index <= index);
         let all = self.retained[from..].iter().chain(&self.entries);
@@ -737,7 +740,7 @@
         }
     }
 
-    /// Takes `from` as the leader of `term` unless the term has passed.
+    /// Accepts `from` as the leader of `term`, unless the term is outdated.
     fn follow(&mut self, now_ms: u64, from: NodeId, term: Term) -> bool {
         if term < self.term {
             let message = RaftMessage::AppendReply {
@@ -785,7 +788,8 @@
         self.send(from, message);
     }
 
-    /// Where the leader should try next: before the whole term that clashed.
+    /// Returns the index for the leader to try next: before all entries of the conflicting
+    /// term.
     fn conflict_hint(&self, index: Position) -> Position {
         let last = self.last().index;
         if index > last {
@@ -867,12 +871,12 @@
                 progress.matched = progress.matched.max(at);
                 progress.next = progress.next.max(Position(at.0 + 1));
             }
-            // A late refusal must not take `next` below what has matched since.
+            // A late rejection must not move `next` below what has matched since.
             false => progress.next = Position(at.0.max(progress.matched.0) + 1),
         }
         let behind = progress.next <= last;
         self.advance_commit();
-        // A heartbeat's refusal, while a snapshot is on its way, would draw the next one.
+        // While a snapshot is in flight, a rejected heartbeat must not trigger another send.
         if (matched && behind) || (!matched && !installing) {
             self.send_append(now_ms, from);
         }
@@ -889,7 +893,8 @@
             .collect();
         matched.sort_unstable_by(|a, b| b.cmp(a));
         let agreed = matched[self.quorum() - 1];
-        // Only entries of the own term commit by count (Raft, section 5.4.2).
+        // Only entries of the leader's own term are committed by counting (Raft, section
+        // 5.4.2).
         if agreed > self.commit && self.term_at(agreed) == Some(self.term) {
             self.commit_up_to(agreed);
             let removed = !self.voters_at(self.commit).contains(&self.id);
--- a/src/consensus/replica.rs
+++ b/src/consensus/replica.rs
@@ -1,4 +1,4 @@
-//! One voter's whole logic: the log's agreement, and the state machine behind it.
+//! One voter of the replicated log: Raft and the state machine that it drives.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,21 +9,21 @@
 use crate::consensus::state::{Command, Reply, SiteState, Stamped};
 use crate::ids::{HostName, NodeId, Position, Term};
 
-/// Most voters where any host may enrol; more only slow each agreement.
+/// Maximum number of voters where any host may enrol; more would only slow down each commit.
 const MAX_VOTERS: usize = 9;
 
-/// What to do after a step; the records are synced before the messages leave.
+/// Actions for the caller after a step. Records must be synced before messages are sent.
 #[derive(Debug, Default)]
 pub struct ReplicaOutput {
-    /// To be synced first.
+    /// Records to sync first.
     pub records: Vec<DiskRecord>,
-    /// To be sent then.
+    /// Messages to send after the sync.
     pub messages: Vec<(NodeId, RaftMessage)>,
-    /// Replies to what was committed. They are given out after the sync too.
+    /// Replies to committed commands, to be delivered after the sync.
     pub replies: Vec<(LogMark, Reply)>,
 }
 
-/// One voter.
+/// One voter of the replicated log.
 #[derive(Debug)]
 pub struct LogReplica {
     raft: RaftCore,
@@ -32,7 +32,8 @@
 }
 
 impl LogReplica {
-    /// Starts from a disk. The log is compacted when its tail has `compact_after` entries.
+    /// Restores the voter from a disk image. The log is compacted once its tail exceeds
+    /// `compact_after` entries.
     pub fn new(
         id: NodeId,
         timing: RaftTiming,
@@ -53,7 +54,7 @@
         replica
     }
 
-    /// The image of a new site: its founding voters.
+    /// Returns the disk image of a new site with its initial voters.
     pub fn bootstrap_image(voters: BTreeSet<NodeId>) -> DiskImage {
         let mut image = DiskImage::default();
         image.snapshot.voters = voters;
@@ -61,7 +62,8 @@
         image
     }
 
-    /// Where disks are reached, by the state and by entries that may not be committed.
+    /// Returns the host of each voter's disk, from the state and from entries that may not be
+    /// committed yet.
     pub fn logged_hosts(&self) -> BTreeMap<NodeId, HostName> {
         let mut hosts = self.state.voter_hosts.clone();
         for entry in self.raft.tail() {
@@ -76,42 +78,41 @@
         hosts
     }
 
-    /// The log's agreement.
+    /// Returns the Raft state.
     pub fn raft(&self) -> &RaftCore {
         &self.raft
     }
 
-    /// The log's agreement, for changes of its members.
+    /// Returns the Raft state for membership changes.
     pub fn raft_mut(&mut self) -> &mut RaftCore {
         &mut self.raft
     }
 
-    /// The state as far as it is committed here.
+    /// Returns the state as committed at this voter.
     pub fn state(&self) -> &SiteState {
         &self.state
     }
 
-    /// The state, where nothing newer can exist elsewhere.
+    /// Returns the state if it is guaranteed to be the newest; see [`RaftCore::may_decide`].
     pub fn newest(&self, now_ms: u64) -> Option<&SiteState> {
         self.raft.may_decide(now_ms).then_some(&self.state)
     }
 
-    /// Whether entries are committed that the state does not hold yet: until the end
-    /// of this batch of steps, a read would miss what a leader before acknowledged.
+    /// Returns whether committed entries are not yet applied to the state. Until the end of
+    /// this batch of steps, a read would miss writes that a previous leader acknowledged.
     pub fn is_behind(&self) -> bool {
         self.state.position < self.raft.commit()
     }
 
-    /// Proposes a command where this voter leads.
+    /// Proposes a command if this voter is the leader.
     pub fn propose(&mut self, at_ms: u64, command: Command) -> Result<LogMark, ProposeError> {
         let stamped = Stamped { at_ms, command };
         let bytes = bincode::serialize(&stamped).expect("commands encode into memory");
         self.raft.propose(bytes)
     }
 
-    /// A host that came back with a blank disk takes its old disk's place: the
-    /// old one is removed first, then the new one added, one step at a time.
-    /// Returns whether a step was proposed.
+    /// Replaces the old disk of a host that came back with a blank one: first removes the old
+    /// voter, then adds the new one, one step at a time. Returns whether a step was proposed.
     pub fn replace_voter(
         &mut self,
         now_ms: u64,
@@ -136,11 +137,12 @@
         alive * 2 > voters.len() && self.raft.propose_voters(voters).is_ok()
     }
 
-    /// Where any host may enrol: takes one step towards a set of all live voters.
+    /// Proposes one membership step towards a set of all live voters, where any host may enrol.
+    /// Returns whether a step was proposed.
     ///
-    /// A disk that came to the host of another voter replaces it, a learner that
-    /// has caught up becomes a voter, and a set of an even size sheds a voter
-    /// that has been silent for `silent_ms`: its successor is in already.
+    /// A new disk on the host of another voter replaces that voter, a learner that has caught
+    /// up becomes a voter, and a set of even size removes a voter that has been silent for
+    /// `silent_ms`, whose successor has already joined.
     pub fn adjust_voters(
         &mut self,
         now_ms: u64,
@@ -177,17 +179,17 @@
         alive * 2 > voters.len() && self.raft.propose_voters(voters).is_ok()
     }
 
-    /// Handles a message.
+    /// Handles a message from another voter.
     pub fn receive(&mut self, now_ms: u64, from: NodeId, message: RaftMessage) {
         self.raft.receive(now_ms, from, message);
     }
 
-    /// Lets time pass.
+    /// Advances time.
     pub fn tick(&mut self, now_ms: u64) {
         self.raft.tick(now_ms);
     }
 
-    /// Ends a batch of steps: sends what was proposed, and applies what was committed.
+    /// Ends a batch of steps: sends proposed entries and applies committed ones.
     pub fn finish(&mut self, now_ms: u64) -> ReplicaOutput {
         self.raft.flush(now_ms);
         let mut all = ReplicaOutput::default();
@@ -209,12 +211,13 @@
         all
     }
 
-    /// The term that an awaited entry must still have, else it was replaced.
+    /// Returns the current term. A proposed entry whose mark has another term may have been
+    /// replaced.
     pub fn term(&self) -> Term {
         self.raft.term()
     }
 
-    /// How far the state has come.
+    /// Returns the log position up to which the state is applied.
     pub fn position(&self) -> Position {
         self.state.position
     }
@@ -227,7 +230,7 @@
         };
         match bincode::deserialize::<Stamped>(bytes) {
             Ok(stamped) => Some(self.state.apply(position, &stamped)),
-            // Every voter skips alike what none can read.
+            // All voters skip an undecodable command alike.
             Err(_) => {
                 self.state.skip(position);
                 None
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine: site, table, claims, members and homes.
+//! Replicated state machine: site, table, claims, members and homes.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -18,245 +18,246 @@
 use crate::table::rows::{EditResult, RowEdit, TableStore};
 use crate::table::site::SiteSpec;
 
-/// Changes remembered for members that fall behind; further back, they get a snapshot.
+/// Maximum number of journaled changes. Members that lag further behind get a snapshot.
 pub const MAX_JOURNAL_LEN: usize = 4096;
 
-/// What a process does for the system.
+/// Role of a member process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberRole {
-    /// Takes callers' requests.
+    /// Accepts callers' requests.
     Entry,
-    /// Keeps one target.
+    /// Controls one target.
     Agent,
 }
 
-/// A process that joined, in its current life.
+/// Member process in its current incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// Its job.
+    /// Role of the process.
     pub role: MemberRole,
-    /// This life.
+    /// Current incarnation.
     pub incarnation: Incarnation,
-    /// Where it listens, as `ip:port`.
+    /// Address on which it listens, as `ip:port`.
     pub address: String,
-    /// Its data hall.
+    /// Data hall of the process.
     pub hall: HallName,
-    /// It is leaving: no new work.
+    /// Whether it is shutting down and takes no new work.
     pub leaving: bool,
 }
 
-/// Where a model is in its life on a target.
+/// Lifecycle phase of a model on a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HomePhase {
-    /// Ordered, not yet reported resident.
+    /// Load ordered, not yet reported as resident.
     Loading,
-    /// Resident: requests may go there.
+    /// Resident: accepts requests.
     Ready,
-    /// Ordered out: no new requests.
+    /// Unload ordered: no new requests.
     Unloading,
 }
 
-/// One model on one target.
+/// State of one model on one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeInfo {
-    /// Where it is in its life.
+    /// Lifecycle phase.
     pub phase: HomePhase,
-    /// The log position of the order that led there.
+    /// Log position of the order that led to this phase.
     pub order: Position,
 }
 
-/// A move of a model, decided by placement.
+/// Direction of a model move decided by placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MoveKind {
-    /// Bring the model in.
+    /// Load the model.
     Load,
-    /// Take the model out.
+    /// Unload the model.
     Unload,
 }
 
-/// What an agent's report proved of a home.
+/// Finding of an agent's report about a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HomeReport {
     /// The model is resident.
     Resident,
-    /// The model is not there.
+    /// The model is not on the target.
     Absent,
 }
 
-/// A command of the log.
+/// Command in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Replaces the site where the generation is newer.
+    /// Replaces the site if the generation is newer.
     Site(SiteSpec),
-    /// An operator's edit.
+    /// Applies an operator's edit.
     Edit(RowEdit),
     /// Claims a call that may run at most once.
     Claim(ClaimRequest),
-    /// Ends a claim.
+    /// Records the outcome of a claim.
     Settle(ClaimKey, AttemptId, Settlement),
-    /// A process starts a life. Its old life, if any, ends.
+    /// Starts a new incarnation of a process. The previous one, if any, ends.
     Join(HostName, MemberRole, String, HallName),
-    /// A process whose life was taken for lost goes on with it, unless another
-    /// process has joined under its name since.
+    /// Continues an incarnation that was declared lost, unless another process has joined under
+    /// the same host name since.
     Rejoin(HostName, MemberRole, String, HallName, Incarnation),
-    /// A member plans to stop, or the platform says that its host will.
+    /// Announces that a member will stop: planned by itself or reported by the platform for its
+    /// host.
     Leave(HostName, Incarnation),
-    /// A member was silent for too long, or stopped.
+    /// Removes a member that was silent for too long, or that stopped.
     Lost(HostName, Incarnation),
-    /// Placement moves a model.
+    /// Starts a move of a model, decided by placement.
     Move(TargetName, ModelName, MoveKind),
-    /// An agent's report settles a move, or shows a model where none was known.
+    /// Completes a move by an agent's report, or adds a home that was not known.
     Home(TargetName, Incarnation, ModelName, HomeReport),
-    /// Replaces the configuration where the version is newer.
+    /// Replaces the configuration if the version is newer.
     Configure(Box<ConfigurationRecord>),
-    /// A replica registered, or told something new of itself.
+    /// Stores the record of a replica that registered or reported a change.
     Replica(Box<ReplicaRecord>),
-    /// A replica has not been heard from for too long.
+    /// Marks a replica that sent no heartbeat for too long.
     ReplicaSilent(ReplicaId),
-    /// A replica's life has ended; a later one goes on.
+    /// Ends an incarnation of a replica; does not affect a later one.
     ReplicaEnded(ReplicaIncarnation),
-    /// An order has brought an adapter to a replica, or taken it away.
+    /// Records that an order has loaded or unloaded an adapter.
     ReplicaAdapter(ReplicaId, ModelName, String, AdapterEffect),
-    /// An order is to bring an adapter to a replica.
+    /// Records that an adapter is about to be ordered to load.
     ReplicaAdapterOrdered(ReplicaId, ModelName, String),
-    /// No order on an adapter is under way at a replica any more.
+    /// Records that no order to load an adapter is in progress at a replica any more.
     ReplicaAdapterSettled(ReplicaId, ModelName, String),
-    /// An order takes a model from a replica.
+    /// Records an order to unload a model from a replica.
     ReplicaUnload(ReplicaId, ModelName),
-    /// An order brings a model to a replica.
+    /// Records an order to load a model into a replica.
     ReplicaLoad(ReplicaId, ModelName),
-    /// No order on a model is under way at a replica any more.
+    /// Records that no order on a model is in progress at a replica any more.
     ReplicaSettled(ReplicaId, ModelName),
-    /// A replica leaves, and serves on for a while.
+    /// Marks a replica as draining; it keeps serving for a while.
     ReplicaDrains(ReplicaId),
-    /// Where the host of a voter's disk is reached.
+    /// Records the host of a voter's disk.
     VoterHost(NodeId, HostName),
-    /// A replica ended while it ran these contents.
+    /// Records the crash of a replica and the contents it was running.
     Crashed(CrashReport),
-    /// A content ran to its end.
+    /// Records that a run of a content completed.
     ContentCleared(ContentDigest),
-    /// An operator lets a barred content be tried again.
+    /// Lifts the quarantine of a content at an operator's request.
     ContentLifted(ContentDigest),
-    /// An operator wants nothing more sent to the replicas of a data hall.
+    /// Stops sending requests to the replicas of a data hall, at an operator's request.
     Evacuate(HallName),
-    /// An operator takes an evacuated data hall back.
+    /// Reopens an evacuated data hall, at an operator's request.
     Restore(HallName),
 }
 
-/// The answer to [`Command::Configure`].
+/// Result of [`Command::Configure`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigureResult {
-    /// In force now, or already.
+    /// The configuration is in force, now or already before.
     Held,
     /// A higher version is in force: nothing changed.
     Superseded,
-    /// The version in force has other contents: nothing changed.
+    /// The version in force has different contents: nothing changed.
     Conflict,
 }
 
-/// A command with the proposer's clock.
+/// Command with the proposer's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamped {
-    /// The leader's wall clock, in milliseconds since the epoch. The state's
-    /// clock is the highest seen, so it never goes back.
+    /// Leader's wall clock, in milliseconds since the epoch. The state's clock is the highest
+    /// value so far, so it never goes back.
     pub at_ms: u64,
     /// The command.
     pub command: Command,
 }
 
-/// The answer to a command.
+/// Reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Nothing to say.
+    /// Empty reply.
     None,
-    /// To [`Command::Edit`].
+    /// Reply to [`Command::Edit`].
     Edit(EditResult),
-    /// To [`Command::Claim`].
+    /// Reply to [`Command::Claim`].
     Claim(ClaimReply),
-    /// To [`Command::Settle`]: whether this is the recorded end.
+    /// Reply to [`Command::Settle`]: whether the given outcome is the recorded one.
     Settled(bool),
-    /// To [`Command::Join`] and [`Command::Rejoin`].
+    /// Reply to [`Command::Join`] and [`Command::Rejoin`].
     Joined(Incarnation),
-    /// To [`Command::Rejoin`]: another process has taken the name.
+    /// Reply to [`Command::Rejoin`]: another process has joined under the same host name.
     Replaced,
-    /// To [`Command::Configure`].
+    /// Reply to [`Command::Configure`].
     Configured(ConfigureResult),
-    /// To [`Command::ContentLifted`]: whether the content was barred.
+    /// Reply to [`Command::ContentLifted`]: whether the content was quarantined.
     Lifted(bool),
 }
 
-/// One change of what members need to know.
+/// Change of the state that members follow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// The site was replaced.
     Site(SiteSpec),
-    /// A row was put or, with none, deleted.
+    /// A row was stored or, with `None`, deleted.
     Row(crate::ids::RowId, Option<crate::table::rows::Row>),
-    /// A member joined or changed or, with none, was lost.
+    /// A member joined or changed or, with `None`, was lost.
     Member(HostName, Option<MemberInfo>),
-    /// A home changed or, with none, ended.
+    /// A home changed or, with `None`, ended.
     Home(TargetName, ModelName, Option<HomeInfo>),
     /// The configuration was replaced.
     Configuration(Box<Configuration>),
-    /// A replica was put or, with none, ended.
+    /// A replica was stored or, with `None`, ended.
     Replica(ReplicaId, Option<ReplicaRecord>),
-    /// How often replicas have ended under these contents has changed.
+    /// The crash counts of these contents changed.
     Contents(CrashCounts),
-    /// A data hall was evacuated, or taken back.
+    /// A data hall was evacuated or reopened.
     Hall(HallName, HallStanding),
 }
 
-/// Whether requests may go to the replicas of a data hall.
+/// Whether the replicas of a data hall receive requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HallStanding {
-    /// They may.
+    /// Receives requests.
     Open,
-    /// An operator wants none sent there.
+    /// Evacuated by an operator: receives no requests.
     Evacuated,
 }
 
-/// How long the state remembers answered edits and claims, in milliseconds.
+/// Retention of answered edits, claims and suspect contents, in milliseconds.
 pub const RETENTION_MS: u64 = 24 * 3600 * 1000;
 
-/// Pruning scans all records, so it runs once a minute of the state's clock.
+/// Interval of pruning by the state's clock, in milliseconds: pruning scans all records.
 const PRUNE_INTERVAL_MS: u64 = 60_000;
 
-/// The replicated state.
+/// Replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteState {
-    /// The last applied entry.
+    /// Position of the last applied entry.
     pub position: Position,
-    /// The highest proposer's clock, in milliseconds since the epoch.
+    /// Highest proposer's clock, in milliseconds since the epoch.
     pub clock_ms: u64,
-    /// The catalogue and targets.
+    /// Catalogue and targets.
     pub site: SiteSpec,
     /// Rows and answered edits.
     pub table: TableStore,
-    /// Claims.
+    /// Claims of calls that may run at most once.
     pub claims: ClaimStore,
-    /// Members in their current lives.
+    /// Members in their current incarnations.
     pub members: BTreeMap<HostName, MemberInfo>,
-    /// The newest life of each host that ever joined.
+    /// Latest incarnation of each host that ever joined.
     pub incarnations: BTreeMap<HostName, Incarnation>,
     /// Homes by target.
     pub homes: BTreeMap<TargetName, BTreeMap<ModelName, HomeInfo>>,
-    /// Loads and unloads ordered so far.
+    /// Number of loads and unloads ordered so far.
     pub moves: u64,
-    /// When the last load was ordered, in the state's clock.
+    /// Time of the last load order, by the state's clock.
     pub last_load_ms: u64,
-    /// The configuration in force, once there is one.
+    /// Configuration in force, once there is one.
     pub configuration: Option<Box<ConfigurationRecord>>,
-    /// The replicas that registered.
+    /// Self-registered replicas.
     pub replicas: ReplicaDirectory,
-    /// Contents under which replicas ended.
+    /// Contents that were running when replicas crashed.
     pub crashes: CrashStore,
-    /// Data halls whose replicas are to get nothing more.
+    /// Data halls whose replicas receive no requests.
     pub evacuated: BTreeSet<HallName>,
-    /// Where voters' disks are reached.
+    /// Hosts of the voters' disks.
     pub voter_hosts: BTreeMap<NodeId, HostName>,
-    /// The last change of what members follow. Claims and the like move the
-    /// log, but not this.
+    /// Position of the last change that members follow. Other commands, such as claims, advance
+    /// the log only.
     changed: Position,
     journal: VecDeque<(Position, Change)>,
     journal_from: Position,
@@ -385,20 +386,20 @@
         }
     }
 
-    /// Notes an entry without a command.
+    /// Advances the position past an entry without a command.
     pub fn skip(&mut self, position: Position) {
         self.position = position;
     }
 
-    /// The changes after `cursor`, oldest first; none where the journal no
-    /// longer reaches back so far.
+    /// Returns the changes after `cursor`, oldest first; `None` if the journal no longer
+    /// reaches back that far.
     pub fn changes_after(&self, cursor: Position) -> Option<Vec<Change>> {
         if cursor < self.journal_from {
             return None;
         }
         let start = self.journal.partition_point(|(at, _)| *at <= cursor);
         let changes = self.journal.iter().skip(start).map(|(_, change)| change);
-        // Of a replica only its newest record counts.
+        // Keep only the newest record of each replica.
         let mut newest = BTreeSet::new();
         let mut kept: Vec<Change> = changes
             .rev()
@@ -412,12 +413,12 @@
         Some(kept)
     }
 
-    /// The last change of what members follow: their positions are measured by it.
+    /// Returns the position of the last change that members follow; measures how far they lag.
     pub fn changed(&self) -> Position {
         self.changed
     }
 
-    /// Everything a member needs to know, as changes from nothing.
+    /// Returns the complete state that members follow, as changes from an empty state.
     pub fn all_changes(&self) -> Vec<Change> {
         let site = std::iter::once(Change::Site(self.site.clone()));
         let rows = self.table.rows().iter();
@@ -444,7 +445,7 @@
         table.chain(fleet).collect()
     }
 
-    /// The agent that keeps `target`, by the host of the same name.
+    /// Returns the agent that controls `target`: the one on the host of the same name.
     pub fn agent_of(&self, target: &TargetName) -> Option<&MemberInfo> {
         let host = HostName(target.0.clone());
         let member = self.members.get(&host)?;
@@ -501,7 +502,7 @@
 
     fn configure(&mut self, record: &ConfigurationRecord) -> ConfigureResult {
         self.configuration = Some(Box::new(record.clone()));
-        // Only the newest one counts, and each is large.
+        // Keep only the newest configuration, as each one is large.
         let is_other = |change: &Change| !matches!(change, Change::Configuration(_));
         self.journal.retain(|(_, change)| is_other(change));
         let configuration = Box::new(record.configuration.clone());
@@ -509,10 +510,10 @@
         ConfigureResult::Held
     }
 
-    /// What a heartbeat changes. One for a service that the configuration doesn't name comes
-    /// from another writer, and could end the replica whose address it tells. A replica that
-    /// is known keeps being heard where its service is dropped, as it must learn that it may
-    /// leave.
+    /// Returns the effect of a heartbeat. One for a service that is not configured comes from
+    /// an unrelated sender, and could end the replica whose address it names. A known replica
+    /// is still observed after its service is removed from the configuration, as it must learn
+    /// that it may shut down.
     pub fn compare_heartbeat(&self, record: &ReplicaRecord) -> HeartbeatStatus {
         let configured = self.configuration.as_ref().map(|held| &held.configuration);
         let named = configured.is_none_or(|c| c.services.contains_key(&record.service));
@@ -527,14 +528,14 @@
         }
     }
 
-    /// How replicas of a service warm up, where they bear fewer requests meanwhile.
+    /// Returns the warm-up of a service whose replicas take fewer requests while they warm up.
     pub fn warm_up(&self, service: &ServiceName) -> Option<WarmupSpec> {
         let configured = self.configuration.as_ref().map(|held| &held.configuration);
         configured?.services.get(service)?.warm_up
     }
 
-    /// A record that tells of warming up only where that matters, as each heartbeat that does
-    /// is committed, and for no longer than it can last.
+    /// Limits the warm-up time of a record to the maximum of its service, and to 0 for a
+    /// service without a warm-up: each heartbeat that reports one is committed.
     fn with_warm_up<'a>(&self, record: &'a ReplicaRecord) -> Cow<'a, ReplicaRecord> {
         let spec = self.warm_up(&record.service);
         let max_ms = spec.map_or(0, |spec| spec.lasts_ms);
@@ -547,8 +548,8 @@
         }
     }
 
-    /// Takes the replicas of a data hall for cold: nobody has sent them anything for a while,
-    /// and those that turned cold shortly before may not have told yet.
+    /// Treats the replicas of a data hall as cold: they received no requests for a while, and
+    /// those that have just become cold may not have reported it yet.
     fn mark_hall_cold(&mut self, hall: &HallName) {
         let records = self.replicas.records().values();
         let there = records.filter(|record| record.hall == *hall);
@@ -647,7 +648,7 @@
         Reply::None
     }
 
-    /// What a lost target still holds is told by its next agent.
+    /// Removes the homes of a lost target; its next agent reports what the target still holds.
     fn drop_homes(&mut self, target: &TargetName) {
         let homes = self.homes.remove(target).unwrap_or_default();
         for model in homes.into_keys() {
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for the names and numbers that cross module and process borders.
+//! Newtypes for names and numbers that cross module and process boundaries.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// Borrows the name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -50,80 +50,81 @@
 }
 
 name_type!(
-    /// A partner: an organisation that owns rows of the table.
+    /// Name of a partner: an organisation that owns rows of the table.
     PartnerName
 );
 name_type!(
-    /// A client account of a whole configuration.
+    /// Name of a client account in a configuration.
     AccountName
 );
 name_type!(
-    /// A data hall: one failure domain of power and network.
+    /// Name of a data hall: one failure domain of power and network.
     HallName
 );
 name_type!(
-    /// A region: data halls near each other.
+    /// Name of a region: a group of data halls near each other.
     RegionName
 );
 name_type!(
-    /// A host that runs a process of the system.
+    /// Name of a host that runs a process of the system.
     HostName
 );
 name_type!(
-    /// A target: one model engine or plain service with memory of its own.
+    /// Name of a target: one model engine or plain service with its own memory.
     TargetName
 );
 name_type!(
-    /// A base model, adapter or plain service.
+    /// Name of a base model, an adapter or a plain service.
     ModelName
 );
 name_type!(
-    /// A service that replicas register for.
+    /// Name of a service that replicas register for.
     ServiceName
 );
 name_type!(
-    /// A replica that registered itself. Some have another id in each life, others start
-    /// again under the same: see [`ReplicaIncarnation`].
+    /// Id of a self-registered replica. Depending on the replica, a restart yields a new id or
+    /// reuses the old one; [`ReplicaIncarnation`] distinguishes the two runs.
     ReplicaId
 );
 name_type!(
-    /// A row of the table.
+    /// Id of a row of the table.
     RowId
 );
 name_type!(
-    /// An operator's idempotency key for one edit.
+    /// Operator's idempotency key for one edit.
     EditId
 );
 name_type!(
-    /// A caller's idempotency key for one call that may not be repeated.
+    /// Caller's idempotency key for one call that must not run more than once.
     CallKey
 );
 
 number_type!(
-    /// An index of the replicated log. Also the version of whatever that entry changed.
+    /// Index in the replicated log. Also serves as the version of the data that the log entry
+    /// changed.
     Position
 );
 number_type!(
-    /// A term of leadership.
+    /// Raft leadership term.
     Term
 );
 number_type!(
-    /// The identity of one voter's disk. A replaced disk gets another.
+    /// Identity of one voter's disk. A replacement disk gets a new one.
     NodeId
 );
 number_type!(
-    /// One life of an agent or entry: the log position at which it joined.
+    /// One run of an agent or entry process, identified by the log position at which it joined.
     Incarnation
 );
 
-/// One life of a replica. Some start again under the id that they had, and hold and know
-/// nothing of before.
+/// One run of a replica process. A restart may reuse the id, but keeps no state of the previous
+/// run.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaIncarnation {
-    /// Its id.
+    /// Replica id.
     pub id: ReplicaId,
-    /// When this life began, in milliseconds since the epoch by its own clock; 0 where it
-    /// does not tell, and has another id in each life.
+    /// Start time of this incarnation, in milliseconds since the epoch by the replica's clock;
+    /// 0 where the replica does not report it and uses a new id for each incarnation instead.
     pub started_ms: u64,
 }
 
@@ -133,16 +134,16 @@
     }
 }
 
-/// Names what a request asks, the same for all its repeats.
+/// Digest that identifies the content of a request: equal for all retries of it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ContentDigest(pub [u8; ContentDigest::LEN]);
 
 impl ContentDigest {
-    /// Its length in bytes: nobody finds a second content with the same name.
+    /// Length in bytes, long enough to rule out collisions in practice.
     pub const LEN: usize = 16;
 
-    /// Reads what [`fmt::Display`] writes.
+    /// Parses the output of [`fmt::Display`].
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.len() == Self::LEN * 2 && text.bytes().all(|b| b.is_ascii_hexdigit());
         let number = u128::from_str_radix(text, 16).ok().filter(|_| digits)?;
@@ -162,12 +163,12 @@
     }
 }
 
-/// One try at running a request on one target.
+/// Identifies one attempt to run a request on one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The entry process that made the attempt.
+    /// Entry process that made the attempt.
     pub entry: Incarnation,
-    /// Rises by one for each attempt of that process.
+    /// Counter that increases by one with each attempt of that process.
     pub number: u64,
 }
 
