--- a/src/clock.rs
+++ b/src/clock.rs
@@ -19,7 +19,7 @@
 
 /// Reads `CLOCK_BOOTTIME`, which counts suspended time, unlike `std::time::Instant`.
 fn since_boot() -> Duration {
-    let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the system has a clock since boot");
+    let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("CLOCK_BOOTTIME is readable");
     Duration::from(now) + Duration::from_millis(SUSPENDED_MS.load(Ordering::SeqCst))
 }
 
