--- a/benches/core.rs
+++ b/benches/core.rs
@@ -364,7 +364,7 @@
         let busy = (0..models)
             .map(|number| (ModelName(format!("model-{number}")), 3))
             .collect();
-        let beat = dunlinspring::placement::duties::AgentBeat {
+        let beat = dunlinspring::placement::target_controller::AgentBeat {
             host: HostName::from("target-00001"),
             life: Incarnation(1),
             position: Position(1),
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -22,7 +22,7 @@
 use crate::consensus::crashes::CrashReport;
 use crate::consensus::state::MemberRole;
 use crate::ids::{AttemptId, Incarnation, ModelName, Position, ReplicaId, ReplicaLife};
-use crate::placement::duties::AgentBeat;
+use crate::placement::target_controller::AgentBeat;
 use crate::process::crash_report;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::member::{self, SiteFollower};
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -11,13 +11,13 @@
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
 use crate::ids::{HostName, NodeId, Position, ReplicaId, Term};
-use crate::placement::crowd::{CrowdReport, WaitingTokens};
-use crate::placement::duties::{AgentBeat, EntryBeat};
+use crate::placement::congestion::{CrowdReport, WaitingTokens};
 use crate::placement::named_limits::{LimitPage, LimitReport};
 use crate::placement::order::{AdapterPlace, EngineOrder, OrderOutcome};
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::turns::{TurnAnswer, TurnAsk, TurnEnd};
+use crate::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnEnd};
+use crate::placement::target_controller::{AgentBeat, EntryBeat};
 use crate::process::wire::{
     AccountStatus, AgentOrders, ControlRefusal, ControlStatus, EntryOrders, Notice, TableStatus,
 };
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -17,13 +17,13 @@
 use crate::control::journal::{DiskJournal, JournalError, WriteCheck};
 use crate::control::outbox::PeerOutbox;
 use crate::ids::{HostName, NodeId, Position, ReplicaLife, TargetName, Term};
-use crate::placement::duties::{AgentBeat, EntryBeat, LeaderDuties};
 use crate::placement::fleet::FleetDuties;
 use crate::placement::named_limits::{LifeState, LimitPage, LimitReport};
 use crate::placement::order::{AdapterPlace, EngineOrder, OrderOutcome};
 use crate::placement::replica_rates::{PermitReply, PermitRequest, ReplicaRates};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::turns::{TurnAnswer, TurnAsk, TurnDesk};
+use crate::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnDesk};
+use crate::placement::target_controller::{AgentBeat, EntryBeat, LeaderDuties};
 use crate::process::settings::ControlSettings;
 use crate::process::wire::{
     self, AccountStatus, AgentOrders, ControlRefusal, ControlStatus, EntryOrders, LimitStatus,
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -15,7 +15,7 @@
 use crate::entry::caller;
 use crate::entry::flight_steps::CallerRequest;
 use crate::ids::{AttemptId, Incarnation, ModelName, Position, RowId};
-use crate::placement::duties::EntryBeat;
+use crate::placement::target_controller::EntryBeat;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::member::{self, SiteFollower};
 use crate::process::metrics::{MetricBook, MetricKey};
--- a/src/forward/book.rs
+++ b/src/forward/book.rs
@@ -17,7 +17,7 @@
 };
 use crate::forward::separation::AnswerMix;
 use crate::ids::{HallName, ReplicaId, ServiceName};
-use crate::placement::crowd::WaitingTokens;
+use crate::placement::congestion::WaitingTokens;
 use crate::routing::backoff::{BackoffBook, SendBar};
 use crate::routing::limited_peers::LimitedPeers;
 use crate::routing::permit_pace::PermitPace;
--- a/src/forward/crowd.rs
+++ b/src/forward/crowd.rs
@@ -5,7 +5,7 @@
 
 use crate::clock;
 use crate::forward::daemon::EntryCore;
-use crate::placement::crowd::CrowdReport;
+use crate::placement::congestion::CrowdReport;
 
 /// Longest time between two reports of an entry that has something waiting.
 const REGULAR: Duration = Duration::from_millis(500);
--- a/src/forward/request/crashes.rs
+++ b/src/forward/request/crashes.rs
@@ -11,7 +11,7 @@
 use crate::forward::turns::Clearance;
 use crate::forward::upstream::ExchangeError;
 use crate::ids::{ContentDigest, ReplicaId};
-use crate::placement::turns::TurnAsk;
+use crate::placement::suspect_leases::TurnAsk;
 use crate::routing::content::{self, ContentParts};
 
 use super::{Flight, Tried, asked_host};
--- a/src/forward/turns.rs
+++ b/src/forward/turns.rs
@@ -1,5 +1,5 @@
 //! Turns of suspect contents: an attempt asks the leader for its turn, and ends it once what
-//! it did is known. See [`crate::placement::turns`].
+//! it did is known. See [`crate::placement::suspect_leases`].
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::forward::crashes::CrashCase;
 use crate::forward::daemon::EntryCore;
 use crate::ids::ContentDigest;
-use crate::placement::turns::{TurnAnswer, TurnAsk, TurnEnd};
+use crate::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnEnd};
 use crate::process::{crash_report, daemon};
 
 /// Time for one question for a turn.
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -4,7 +4,7 @@
 //! Pure. Soft state only: a new leader starts with none, and gives no order
 //! until one of whoever led before can neither have arrived lately nor arrive any more.
 
-mod bring_ahead;
+mod preload_adapters;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
 use crate::consensus::state::{Command, SiteState};
 use crate::ids::{HostName, ModelName, ReplicaId, ReplicaLife, ServiceName, Term};
 use crate::placement::adapters::{AdapterOrders, WishAnswer};
-use crate::placement::crowd::{CrowdBound, CrowdReport, CrowdSums, WaitingTokens};
+use crate::placement::congestion::{CrowdBound, CrowdReport, CrowdSums, WaitingTokens};
 use crate::placement::demand::DemandBook;
 use crate::placement::fleet_plan::{self, PlanModel, PlanReplica, PlanStep};
 use crate::placement::order::{AdapterPlace, EngineOrder, OrderKind, OrderOutcome};
--- a/src/placement/fleet/bring_ahead.rs
+++ b/src/placement/fleet/preload_adapters.rs
@@ -1,11 +1,11 @@
-//! The leader's orders for adapters that are nowhere; see [`crate::placement::ahead`].
+//! The leader's orders for adapters that are nowhere; see [`crate::placement::preload`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::consensus::directory::ReplicaRecord;
 use crate::consensus::state::{Command, SiteState};
 use crate::ids::{ModelName, ServiceName};
-use crate::placement::ahead::{self, AheadReplica, MissingAdapters};
+use crate::placement::preload::{self, AheadReplica, MissingAdapters};
 use crate::table::configuration::EngineSpec;
 
 use super::{FleetDuties, open_records};
@@ -36,7 +36,7 @@
             .into_iter()
             .filter_map(|record| self.ahead_replica(state, record, engine, now_ms));
         let mut replicas: Vec<AheadReplica> = replicas.collect();
-        for place in ahead::plan_ahead(&missing, &mut replicas, most) {
+        for place in preload::plan_ahead(&missing, &mut replicas, most) {
             self.adapters.bring(place.clone(), now_ms);
             let (id, model) = (place.replica, place.model);
             let command = Command::ReplicaAdapterOrdered(id, model, place.adapter);
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -5,17 +5,17 @@
 //! `table`, `consensus` and `admission`.
 
 pub mod adapters;
-pub mod ahead;
-pub mod crowd;
+pub mod congestion;
 pub mod demand;
-pub mod duties;
 pub mod fleet;
 pub mod fleet_plan;
 pub mod moves;
 pub mod named_limits;
 pub mod named_rate;
 pub mod order;
+pub mod preload;
 pub mod rate_limit;
 pub mod replica_rates;
 pub mod report;
-pub mod turns;
+pub mod suspect_leases;
+pub mod target_controller;
--- a/src/process/wire.rs
+++ b/src/process/wire.rs
@@ -15,13 +15,13 @@
     AccountName, AttemptId, HallName, HostName, Incarnation, NodeId, Position, ReplicaId, RowId,
     Term,
 };
-use crate::placement::crowd::{CrowdReport, WaitingTokens};
-use crate::placement::duties::{AgentBeat, EntryBeat};
+use crate::placement::congestion::{CrowdReport, WaitingTokens};
 use crate::placement::named_limits::{LimitPage, LimitReport};
 use crate::placement::order::AdapterPlace;
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::turns::{TurnAnswer, TurnAsk, TurnEnd};
+use crate::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnEnd};
+use crate::placement::target_controller::{AgentBeat, EntryBeat};
 use crate::routing::authority::FreshnessProof;
 use crate::routing::view::SyncPage;
 use crate::table::accounts::QuotaSpec;
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -6,7 +6,7 @@
 };
 use dunlinspring::consensus::state::{Change, Command, Reply, SiteState, Stamped};
 use dunlinspring::ids::{ContentDigest, Position, ReplicaId, ReplicaLife};
-use dunlinspring::placement::turns::{TurnAnswer, TurnAsk, TurnDesk, TurnEnd};
+use dunlinspring::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnDesk, TurnEnd};
 use dunlinspring::routing::suspects::SuspectBook;
 
 const DAY_MS: u64 = 24 * 3600 * 1000;
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -10,7 +10,7 @@
     Choice, ChoicePolicy, EngineBounds, LoadReport, Need, ReplicaBook, TryEnd,
 };
 use dunlinspring::ids::{HallName, HostName, ModelName, ReplicaId, ServiceName};
-use dunlinspring::placement::crowd::{CrowdBound, CrowdReport, CrowdSums, WaitingTokens};
+use dunlinspring::placement::congestion::{CrowdBound, CrowdReport, CrowdSums, WaitingTokens};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support_place::flat_place;
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -4,8 +4,8 @@
 
 use dunlinspring::consensus::state::{Command, MemberRole, MoveKind, SiteState, Stamped};
 use dunlinspring::ids::*;
-use dunlinspring::placement::duties::{AgentBeat, DutyPolicy, LeaderDuties};
 use dunlinspring::placement::moves::{self, DemandBook, PlacePolicy};
+use dunlinspring::placement::target_controller::{AgentBeat, DutyPolicy, LeaderDuties};
 use dunlinspring::table::rows::{RowChange, RowEdit, RowFields, Urgency};
 use dunlinspring::table::site::{ModelKind, ModelSpec, SiteSpec, TargetSpec};
 
--- a/tests/forward_parts.rs
+++ b/tests/forward_parts.rs
@@ -14,7 +14,7 @@
 use dunlinspring::forward::events::EventCutter;
 use dunlinspring::forward::head::{self, Framing, HeadError};
 use dunlinspring::ids::{HallName, ModelName, ReplicaId, ServiceName};
-use dunlinspring::placement::crowd::WaitingTokens;
+use dunlinspring::placement::congestion::WaitingTokens;
 use dunlinspring::table::configuration::{
     Configuration, ConfigurationError, RouteIndex, RouteKind, RouteSpec, ServiceSpec, slack_ranks,
 };
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -83,7 +83,7 @@
 mutant agent-stops-without-drain src/agent/shell.rs 's/while !shared\.gate\(\)\.is_idle\(\) \{/while false \&\& !shared.gate().is_idle() {/' failures planned_stops_cut_nothing_off
 mutant entry-never-stale src/entry/shell.rs 's/confirmed \+ self\.settings\.stale_ms < clock::monotonic_ms\(\)/false \&\& confirmed + self.settings.stale_ms < clock::monotonic_ms()/' failures an_entry_that_is_cut_off
 mutant leaving-target-takes-work 'src/admission/gate.rs src/routing/view.rs' 's/_ if self\.leaving => Some\(RefuseCause::Leaving\),/_ if false \&\& self.leaving => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_leaving_target_gets_no_new_work
-mutant silence-of-a-freeze-is-loss src/placement/duties.rs 's/self\.decided_ms \+ self\.policy\.loss_ms \/ 2 < now_ms/false \&\& self.decided_ms < now_ms/' duties a_leader_that_was_frozen
+mutant silence-of-a-freeze-is-loss src/placement/target_controller.rs 's/self\.decided_ms \+ self\.policy\.loss_ms \/ 2 < now_ms/false \&\& self.decided_ms < now_ms/' duties a_leader_that_was_frozen
 mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.outstanding\(\) as f64\)\.max\(0\.0\)/depth/' quota what_entries_hold_is_a_part_of_the_bucket
 mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.until_ms \{/if now_ms == u64::MAX {/' quota what_is_held_lapses_and_what_did_not_run_is_given_back
 mutant doubled-ask-draws-twice src/table/quota.rs 's/let known = ask\.number <= newest\.0;/let known = false;/' quota a_doubled_ask_draws_once_and_a_late_answer_is_dropped
@@ -104,11 +104,11 @@
 mutant lone-leader-waits src/consensus/raft.rs 's/(peers\.contains\(node\)\);)\n        self\.advance_commit\(\);/$1/' raft a_leader_that_is_its_own_quorum_commits_what_a_heartbeat_sends_first
 mutant crowd-not-heeded src/forward/book.rs 's/tokens: tokens\.saturating_sub\(own/tokens: 0 * tokens.saturating_sub(own/' crowd entries_that_know_of_each_other_keep_no_queue_that_makes_all_late
 mutant own-counted-as-crowd src/forward/book.rs 's/own\.get\(id\)\.copied\(\)\.unwrap_or\(0\)/0 * own.get(id).copied().unwrap_or(0)/' forward_parts a_home_that_others_crowd_takes_no_more
-mutant silent-entry-counts src/placement/crowd.rs 's/        self\.lapse\(now_ms, bound\);\n//' crowd an_entry_that_falls_silent_counts_no_more
+mutant silent-entry-counts src/placement/congestion.rs 's/        self\.lapse\(now_ms, bound\);\n//' crowd an_entry_that_falls_silent_counts_no_more
 mutant third-end-bars-nothing src/consensus/crashes.rs 's/MAX_CRASHES\.\. => Self::Barred,/MAX_CRASHES.. => Self::Suspect(2),/' crashes the_third_end_bars_a_content_whoever_tells_of_each
 mutant one-end-counts-twice src/consensus/crashes.rs 's/ \&\& !record\.crashes\.contains\(\&report\.replica\)//' crashes the_third_end_bars_a_content_whoever_tells_of_each
-mutant turns-for-all src/placement/turns.rs 's/return TurnAnswer::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
-mutant suspects-together src/placement/turns.rs 's/\*\*content != ask\.content \&\& turn\.replica == ask\.replica/**content != ask.content \&\& false/' crashes suspects_are_kept_apart
+mutant turns-for-all src/placement/suspect_leases.rs 's/return TurnAnswer::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
+mutant suspects-together src/placement/suspect_leases.rs 's/\*\*content != ask\.content \&\& turn\.replica == ask\.replica/**content != ask.content \&\& false/' crashes suspects_are_kept_apart
 mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.life\.id, connection\);\s+)Probe::Lives/$1Probe::Ended/' forwarding a_connection_that_breaks_off_is_no_crash
 mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.born_ms > known\.born_ms => BeatNews::New,\n//' replica_born a_new_life_is_heard_though_its_numbers_begin_anew
 mutant pause-not-kept src/routing/backoff.rs 's/note if now_ms < note\.until_ms => /note if false \&\& now_ms < note.until_ms => /' backoff a_named_time_brings_two_requests_at_most
