--- a/benches/core.rs
+++ b/benches/core.rs
@@ -11,7 +11,7 @@
 use dunlinspring::admission::queue::QueuePolicy;
 use dunlinspring::consensus::state::*;
 use dunlinspring::ids::*;
-use dunlinspring::placement::moves::{self, DemandBook, PlacePolicy};
+use dunlinspring::placement::moves::{self, DemandTracker, PlacementPolicy};
 use dunlinspring::routing::route::{self, LoadBook, RouteAsk, RouteChoice, RoutePolicy};
 use dunlinspring::routing::view;
 use dunlinspring::table::accounts::{AccountBook, AccountSpec, QuotaSpec, QuotaUnit};
@@ -163,14 +163,14 @@
 fn place(c: &mut Criterion) {
     let mut group = c.benchmark_group("placement_round");
     group.sample_size(10);
-    let policy = PlacePolicy {
+    let policy = PlacementPolicy {
         move_price: 1.0,
         spread: 2,
         by_demand: true,
     };
     for (models, targets) in [(26, 20), (260, 200), (260, 1000), (260, 10_000)] {
         let state = filled(models, targets);
-        let demand = DemandBook::default();
+        let demand = DemandTracker::default();
         let name = format!("{models}x{targets}");
         group.bench_function(BenchmarkId::from_parameter(name), |b| {
             b.iter(|| black_box(moves::plan(&state, &policy, &demand, state.clock_ms)));
@@ -364,7 +364,7 @@
         let busy = (0..models)
             .map(|number| (ModelName(format!("model-{number}")), 3))
             .collect();
-        let beat = dunlinspring::placement::target_controller::AgentBeat {
+        let beat = dunlinspring::placement::target_controller::AgentHeartbeat {
             host: HostName::from("target-00001"),
             life: Incarnation(1),
             position: Position(1),
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -12,7 +12,7 @@
 use dunlinspring::cli::load::{self, LoadPhase, LoadPlan};
 use dunlinspring::consensus::state::*;
 use dunlinspring::ids::*;
-use dunlinspring::placement::moves::{self, DemandBook, PlacePolicy};
+use dunlinspring::placement::moves::{self, DemandTracker, PlacementPolicy};
 use dunlinspring::routing::retry::{RetryBudget, RetryPolicy};
 use dunlinspring::routing::route::{self, LoadBook, RouteAsk, RouteChoice, RoutePolicy};
 use dunlinspring::table::rows::{RowChange, RowEdit, RowFields, Urgency};
@@ -284,7 +284,7 @@
 
 /// Demand moves between models every 30 rounds: moves, and the part of demand
 /// that finds its homes crowded beyond 16 requests.
-fn placing(policy: &PlacePolicy, seed: u64) -> (f64, f64) {
+fn placing(policy: &PlacementPolicy, seed: u64) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut state = SiteState::default();
     let run = |state: &mut SiteState, command: Command| {
@@ -320,7 +320,7 @@
         };
         run(&mut state, Command::Edit(edit));
     }
-    let mut demand = DemandBook::default();
+    let mut demand = DemandTracker::default();
     let mut levels = BTreeMap::new();
     let (mut crowded, mut asked) = (0.0, 0.0);
     let mut start = 0;
@@ -379,7 +379,7 @@
 }
 
 fn measure_placing() {
-    let policy = |price: f64, by_demand: bool| PlacePolicy {
+    let policy = |price: f64, by_demand: bool| PlacementPolicy {
         move_price: price,
         spread: 1,
         by_demand,
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -22,7 +22,7 @@
 use crate::consensus::crashes::CrashReport;
 use crate::consensus::state::MemberRole;
 use crate::ids::{AttemptId, Incarnation, ModelName, Position, ReplicaId, ReplicaLife};
-use crate::placement::target_controller::AgentBeat;
+use crate::placement::target_controller::AgentHeartbeat;
 use crate::process::crash_report;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::member::{self, SiteFollower};
@@ -212,7 +212,7 @@
     }
 }
 
-fn make_beat(agent: &AgentShared, stopped: bool) -> AgentBeat {
+fn make_beat(agent: &AgentShared, stopped: bool) -> AgentHeartbeat {
     let position = agent.follower.position();
     let gate = agent.gate();
     let ledger = gate.ledger();
@@ -221,7 +221,7 @@
     let loaded = ledger.models();
     let loaded = loaded.map(|(model, phase)| (model.clone(), phase == HoldPhase::Resident));
     let known = ledger.is_open() || agent.settings.memory_mib == 0;
-    AgentBeat {
+    AgentHeartbeat {
         host: agent.settings.common.host.clone(),
         life: agent.life,
         position,
@@ -233,7 +233,10 @@
     }
 }
 
-async fn send_beat(agent: &AgentShared, beat: AgentBeat) -> Result<AgentOrders, peers::PeerError> {
+async fn send_beat(
+    agent: &AgentShared,
+    beat: AgentHeartbeat,
+) -> Result<AgentOrders, peers::PeerError> {
     agent
         .link
         .decide("agent_beat", BEAT_TIME, |client, context| {
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -11,13 +11,15 @@
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
 use crate::ids::{HostName, NodeId, Position, ReplicaId, Term};
-use crate::placement::congestion::{CrowdReport, WaitingTokens};
+use crate::placement::congestion::{QueueReport, QueuedTokens};
 use crate::placement::named_limits::{LimitPage, LimitReport};
-use crate::placement::order::{AdapterPlace, EngineOrder, OrderOutcome};
+use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnEnd};
-use crate::placement::target_controller::{AgentBeat, EntryBeat};
+use crate::placement::suspect_leases::{
+    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
+};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::process::wire::{
     AccountStatus, AgentOrders, ControlRefusal, ControlStatus, EntryOrders, Notice, TableStatus,
 };
@@ -48,9 +50,9 @@
         answer: Answer<SyncPage>,
     },
     /// An agent's beat.
-    Agent(AgentBeat, Answer<AgentOrders>),
+    Agent(AgentHeartbeat, Answer<AgentOrders>),
     /// An entry's beat.
-    Entry(EntryBeat, Answer<EntryOrders>),
+    Entry(EntryHeartbeat, Answer<EntryOrders>),
     /// The table.
     Table(Answer<TableStatus>),
     /// A claim.
@@ -88,13 +90,13 @@
     /// An entry's report; for the leader.
     Report(EntryReport, Answer<ReportReply>),
     /// What an entry has waiting at replicas; for the leader.
-    Crowd(CrowdReport, Answer<WaitingTokens>),
+    Crowd(QueueReport, Answer<QueuedTokens>),
     /// An entry's wish; for the leader.
-    Wish(AdapterPlace, Answer<bool>),
+    Wish(AdapterPlacement, Answer<bool>),
     /// An entry asks for the turn of a suspect content; for the leader.
-    Turn(TurnAsk, Answer<TurnAnswer>),
+    Turn(SuspectLeaseRequest, Answer<SuspectLeaseReply>),
     /// A turn has ended; for the leader.
-    TurnEnded(TurnEnd, Answer<()>),
+    TurnEnded(SuspectLeaseRelease, Answer<()>),
     /// Whether one request may go to a replica that takes few; for the leader.
     Permit(PermitRequest, Answer<PermitReply>),
     /// What an entry heard of replicas' limits; for the leader.
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -23,13 +23,15 @@
 use crate::consensus::state::{Command, Reply};
 use crate::control::founding;
 use crate::ids::{HallName, HostName, Incarnation, NodeId, Position, ReplicaId};
-use crate::placement::congestion::{CrowdReport, WaitingTokens};
+use crate::placement::congestion::{QueueReport, QueuedTokens};
 use crate::placement::named_limits::{LimitPage, LimitReport};
-use crate::placement::order::AdapterPlace;
+use crate::placement::order::AdapterPlacement;
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnEnd};
-use crate::placement::target_controller::{AgentBeat, EntryBeat};
+use crate::placement::suspect_leases::{
+    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
+};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::process::daemon::{self, DaemonError};
 use crate::process::metrics::{MetricBook, MetricKey};
 use crate::process::peers::{self, ControlLink, PeerError, SiteSecret};
@@ -333,11 +335,19 @@
         Err(self.elsewhere())
     }
 
-    async fn agent_beat(self, _: Context, _: AgentBeat) -> Result<AgentOrders, ControlRefusal> {
+    async fn agent_beat(
+        self,
+        _: Context,
+        _: AgentHeartbeat,
+    ) -> Result<AgentOrders, ControlRefusal> {
         Err(self.elsewhere())
     }
 
-    async fn entry_beat(self, _: Context, _: EntryBeat) -> Result<EntryOrders, ControlRefusal> {
+    async fn entry_beat(
+        self,
+        _: Context,
+        _: EntryHeartbeat,
+    ) -> Result<EntryOrders, ControlRefusal> {
         Err(self.elsewhere())
     }
 
@@ -392,19 +402,23 @@
         Err(self.elsewhere())
     }
 
-    async fn crowd(self, _: Context, _: CrowdReport) -> Result<WaitingTokens, ControlRefusal> {
+    async fn crowd(self, _: Context, _: QueueReport) -> Result<QueuedTokens, ControlRefusal> {
         Err(self.elsewhere())
     }
 
-    async fn wish(self, _: Context, _: AdapterPlace) -> Result<bool, ControlRefusal> {
+    async fn wish(self, _: Context, _: AdapterPlacement) -> Result<bool, ControlRefusal> {
         Err(self.elsewhere())
     }
 
-    async fn turn(self, _: Context, _: TurnAsk) -> Result<TurnAnswer, ControlRefusal> {
+    async fn turn(
+        self,
+        _: Context,
+        _: SuspectLeaseRequest,
+    ) -> Result<SuspectLeaseReply, ControlRefusal> {
         Err(self.elsewhere())
     }
 
-    async fn end_turn(self, _: Context, _: TurnEnd) -> Result<(), ControlRefusal> {
+    async fn end_turn(self, _: Context, _: SuspectLeaseRelease) -> Result<(), ControlRefusal> {
         Err(self.elsewhere())
     }
 
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -25,13 +25,15 @@
 use crate::control::outbox::{OpenPeer, PeerOutbox};
 use crate::control::voter::ControlLoop;
 use crate::ids::{HostName, NodeId, Position, ReplicaId};
-use crate::placement::congestion::{CrowdReport, WaitingTokens};
+use crate::placement::congestion::{QueueReport, QueuedTokens};
 use crate::placement::named_limits::{LimitPage, LimitReport};
-use crate::placement::order::{AdapterPlace, EngineOrder};
+use crate::placement::order::{AdapterPlacement, EngineOrder};
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnEnd};
-use crate::placement::target_controller::{AgentBeat, EntryBeat};
+use crate::placement::suspect_leases::{
+    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
+};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::process::daemon::{self, DaemonError};
 use crate::process::metrics::{MetricBook, MetricKey};
 use crate::process::peers::{self, ControlLink, PeerPool, SiteSecret};
@@ -415,13 +417,21 @@
             .await
     }
 
-    async fn agent_beat(self, _: Context, beat: AgentBeat) -> Result<AgentOrders, ControlRefusal> {
+    async fn agent_beat(
+        self,
+        _: Context,
+        beat: AgentHeartbeat,
+    ) -> Result<AgentOrders, ControlRefusal> {
         self.handle
             .ask(|answer| ControlEvent::Agent(beat, answer))
             .await
     }
 
-    async fn entry_beat(self, _: Context, beat: EntryBeat) -> Result<EntryOrders, ControlRefusal> {
+    async fn entry_beat(
+        self,
+        _: Context,
+        beat: EntryHeartbeat,
+    ) -> Result<EntryOrders, ControlRefusal> {
         self.handle
             .ask(|answer| ControlEvent::Entry(beat, answer))
             .await
@@ -484,25 +494,29 @@
             .await
     }
 
-    async fn crowd(self, _: Context, report: CrowdReport) -> Result<WaitingTokens, ControlRefusal> {
+    async fn crowd(self, _: Context, report: QueueReport) -> Result<QueuedTokens, ControlRefusal> {
         self.handle
             .ask(|answer| ControlEvent::Crowd(report, answer))
             .await
     }
 
-    async fn wish(self, _: Context, wish: AdapterPlace) -> Result<bool, ControlRefusal> {
+    async fn wish(self, _: Context, wish: AdapterPlacement) -> Result<bool, ControlRefusal> {
         self.handle
             .ask(|answer| ControlEvent::Wish(wish, answer))
             .await
     }
 
-    async fn turn(self, _: Context, ask: TurnAsk) -> Result<TurnAnswer, ControlRefusal> {
+    async fn turn(
+        self,
+        _: Context,
+        ask: SuspectLeaseRequest,
+    ) -> Result<SuspectLeaseReply, ControlRefusal> {
         self.handle
             .ask(|answer| ControlEvent::Turn(ask, answer))
             .await
     }
 
-    async fn end_turn(self, _: Context, end: TurnEnd) -> Result<(), ControlRefusal> {
+    async fn end_turn(self, _: Context, end: SuspectLeaseRelease) -> Result<(), ControlRefusal> {
         self.handle
             .ask(|answer| ControlEvent::TurnEnded(end, answer))
             .await
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -17,13 +17,13 @@
 use crate::control::journal::{DiskJournal, JournalError, WriteCheck};
 use crate::control::outbox::PeerOutbox;
 use crate::ids::{HostName, NodeId, Position, ReplicaLife, TargetName, Term};
-use crate::placement::fleet::FleetDuties;
-use crate::placement::named_limits::{LifeState, LimitPage, LimitReport};
-use crate::placement::order::{AdapterPlace, EngineOrder, OrderOutcome};
-use crate::placement::replica_rates::{PermitReply, PermitRequest, ReplicaRates};
+use crate::placement::fleet::FleetController;
+use crate::placement::named_limits::{IncarnationState, LimitPage, LimitReport};
+use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
+use crate::placement::replica_rates::{PermitReply, PermitRequest, ReplicaRateLimits};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnDesk};
-use crate::placement::target_controller::{AgentBeat, EntryBeat, LeaderDuties};
+use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeases};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat, TargetController};
 use crate::process::settings::ControlSettings;
 use crate::process::wire::{
     self, AccountStatus, AgentOrders, ControlRefusal, ControlStatus, EntryOrders, LimitStatus,
@@ -94,11 +94,11 @@
     settings: ControlSettings,
     replica: LogReplica,
     journal: DiskJournal,
-    duties: Option<LeaderDuties>,
-    fleet: Option<FleetDuties>,
+    duties: Option<TargetController>,
+    fleet: Option<FleetController>,
     quotas: Option<QuotaGrantor>,
-    turns: Option<TurnDesk>,
-    rates: Option<ReplicaRates>,
+    turns: Option<SuspectLeases>,
+    rates: Option<ReplicaRateLimits>,
     /// The newest configuration that a leader confirmed, and when this host asked.
     confirmed: Option<(u64, u64)>,
     orders: Option<mpsc::UnboundedSender<EngineOrder>>,
@@ -405,7 +405,7 @@
         }
     }
 
-    fn tell_fleet<T>(&mut self, answer: Answer<T>, tell: impl FnOnce(&mut FleetDuties) -> T) {
+    fn tell_fleet<T>(&mut self, answer: Answer<T>, tell: impl FnOnce(&mut FleetController) -> T) {
         let told = match &mut self.fleet {
             Some(fleet) => Ok(tell(fleet)),
             None => Err(self.not_leader()),
@@ -444,7 +444,7 @@
         Ok(make(quotas, book))
     }
 
-    fn on_wish(&mut self, now_ms: u64, wish: &AdapterPlace) -> Result<bool, ControlRefusal> {
+    fn on_wish(&mut self, now_ms: u64, wish: &AdapterPlacement) -> Result<bool, ControlRefusal> {
         let (Some(state), Some(fleet)) = (self.replica.newest(now_ms), &mut self.fleet) else {
             return Err(self.not_leader());
         };
@@ -455,7 +455,11 @@
         Ok(soon)
     }
 
-    fn on_turn(&mut self, now_ms: u64, ask: &TurnAsk) -> Result<TurnAnswer, ControlRefusal> {
+    fn on_turn(
+        &mut self,
+        now_ms: u64,
+        ask: &SuspectLeaseRequest,
+    ) -> Result<SuspectLeaseReply, ControlRefusal> {
         let (Some(state), Some(turns)) = (self.replica.newest(now_ms), &mut self.turns) else {
             return Err(self.not_leader());
         };
@@ -487,7 +491,7 @@
     fn use_rates<T>(
         &mut self,
         now_ms: u64,
-        make: impl FnOnce(&mut ReplicaRates, &SiteState) -> T,
+        make: impl FnOnce(&mut ReplicaRateLimits, &SiteState) -> T,
     ) -> Result<T, ControlRefusal> {
         match (self.replica.newest(now_ms), &mut self.rates) {
             (Some(state), Some(rates)) => Ok(make(rates, state)),
@@ -577,7 +581,7 @@
         }
     }
 
-    fn on_agent(&mut self, now_ms: u64, beat: &AgentBeat, answer: Answer<AgentOrders>) {
+    fn on_agent(&mut self, now_ms: u64, beat: &AgentHeartbeat, answer: Answer<AgentOrders>) {
         let (Some(state), Some(duties)) = (self.replica.newest(now_ms), &mut self.duties) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
@@ -596,7 +600,7 @@
         }
     }
 
-    fn on_entry(&mut self, now_ms: u64, beat: &EntryBeat, answer: Answer<EntryOrders>) {
+    fn on_entry(&mut self, now_ms: u64, beat: &EntryHeartbeat, answer: Answer<EntryOrders>) {
         let (Some(state), Some(duties)) = (self.replica.newest(now_ms), &mut self.duties) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
@@ -690,12 +694,12 @@
             true => {
                 let policy = self.settings.duties.policy();
                 let state = self.replica.state();
-                self.duties = Some(LeaderDuties::new(policy, state, term, now_ms));
+                self.duties = Some(TargetController::new(policy, state, term, now_ms));
                 let holder = self.settings.common.host.clone();
-                let fleet = FleetDuties::new(self.settings.fleet, holder, term, now_ms);
+                let fleet = FleetController::new(self.settings.fleet, holder, term, now_ms);
                 self.fleet = Some(fleet);
-                self.turns = Some(TurnDesk::default());
-                self.rates = Some(ReplicaRates::new(term, now_ms));
+                self.turns = Some(SuspectLeases::default());
+                self.rates = Some(ReplicaRateLimits::new(term, now_ms));
                 self.quotas = Some(match term {
                     FIRST_TERM => QuotaGrantor::of_first_leader(now_ms),
                     _ => QuotaGrantor::new(now_ms),
@@ -862,11 +866,11 @@
 
 /// An entry's report, without figures where one cannot be true: the entry still counts
 /// among those that report.
-fn life_state(state: &SiteState, life: &ReplicaLife) -> LifeState {
+fn life_state(state: &SiteState, life: &ReplicaLife) -> IncarnationState {
     match state.replicas.records().get(&life.id) {
-        Some(record) if record.born_ms > life.born_ms => LifeState::Over,
-        Some(_) => LifeState::Known,
-        None => LifeState::Unknown,
+        Some(record) if record.born_ms > life.born_ms => IncarnationState::Over,
+        Some(_) => IncarnationState::Known,
+        None => IncarnationState::Unknown,
     }
 }
 
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -15,7 +15,7 @@
 use crate::entry::caller;
 use crate::entry::flight_steps::CallerRequest;
 use crate::ids::{AttemptId, Incarnation, ModelName, Position, RowId};
-use crate::placement::target_controller::EntryBeat;
+use crate::placement::target_controller::EntryHeartbeat;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::member::{self, SiteFollower};
 use crate::process::metrics::{MetricBook, MetricKey};
@@ -238,7 +238,7 @@
     }
 }
 
-fn make_beat(entry: &EntryShared, stopped: bool) -> (u64, EntryBeat) {
+fn make_beat(entry: &EntryShared, stopped: bool) -> (u64, EntryHeartbeat) {
     let limits = {
         let view = entry.follower.view();
         let rows = view.rows.iter();
@@ -250,7 +250,7 @@
     let mut state = entry.state();
     let now_ms = clock::monotonic_ms();
     let (asked, claims) = state.shares.ask(now_ms, |row| limits.get(row).copied());
-    let beat = EntryBeat {
+    let beat = EntryHeartbeat {
         host: entry.settings.common.host.clone(),
         life: entry.life,
         position,
@@ -262,7 +262,10 @@
     (asked, beat)
 }
 
-async fn send_beat(entry: &EntryShared, beat: &EntryBeat) -> Result<EntryOrders, peers::PeerError> {
+async fn send_beat(
+    entry: &EntryShared,
+    beat: &EntryHeartbeat,
+) -> Result<EntryOrders, peers::PeerError> {
     entry
         .link
         .decide("entry_beat", BEAT_TIME, |client, context| {
--- a/src/forward/book.rs
+++ b/src/forward/book.rs
@@ -17,7 +17,7 @@
 };
 use crate::forward::separation::AnswerMix;
 use crate::ids::{HallName, ReplicaId, ServiceName};
-use crate::placement::congestion::WaitingTokens;
+use crate::placement::congestion::QueuedTokens;
 use crate::routing::backoff::{BackoffBook, SendBar};
 use crate::routing::limited_peers::LimitedPeers;
 use crate::routing::permit_pace::PermitPace;
@@ -203,7 +203,7 @@
     }
 
     /// What own requests have waiting, by replica.
-    pub fn waiting(&self) -> WaitingTokens {
+    pub fn waiting(&self) -> QueuedTokens {
         let tokens = |note: &ReplicaNote| note.waiting_tokens.iter().sum::<u64>();
         let all = self.notes.iter().map(|(id, note)| (id, tokens(note)));
         let waiting = all.filter(|(_, tokens)| *tokens > 0);
@@ -211,7 +211,7 @@
     }
 
     /// Takes the leader's word on crowded replicas; `own` is what this entry had told.
-    pub fn follow_crowd(&mut self, now_ms: u64, own: &WaitingTokens, crowded: &WaitingTokens) {
+    pub fn follow_crowd(&mut self, now_ms: u64, own: &QueuedTokens, crowded: &QueuedTokens) {
         self.crowd_until_ms = now_ms + CROWD_MS;
         for (id, note) in &mut self.notes {
             let told = crowded.get(id).map(|tokens| CrowdNote {
--- a/src/forward/crowd.rs
+++ b/src/forward/crowd.rs
@@ -5,7 +5,7 @@
 
 use crate::clock;
 use crate::forward::daemon::EntryCore;
-use crate::placement::congestion::CrowdReport;
+use crate::placement::congestion::QueueReport;
 
 /// Longest time between two reports of an entry that has something waiting.
 const REGULAR: Duration = Duration::from_millis(500);
@@ -29,7 +29,7 @@
         if empty && told_empty {
             continue;
         }
-        let report = CrowdReport {
+        let report = QueueReport {
             host: core.host().clone(),
             waiting,
         };
--- a/src/forward/daemon.rs
+++ b/src/forward/daemon.rs
@@ -28,7 +28,7 @@
 use crate::forward::unknown_headers::UnknownHeaders;
 use crate::forward::upstream::ConnectionPool;
 use crate::ids::{HallName, HostName, ModelName, RegionName, ReplicaId};
-use crate::placement::order::AdapterPlace;
+use crate::placement::order::AdapterPlacement;
 use crate::placement::report::EntryReport;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::follow::ControlFollower;
@@ -181,8 +181,8 @@
     routing: RefCell<Option<Rc<Routing>>>,
     busy: RefCell<BTreeMap<ModelName, u32>>,
     lately: RefCell<BTreeMap<ModelName, f64>>,
-    adapters: RefCell<BTreeSet<AdapterPlace>>,
-    wishes: RefCell<BTreeMap<AdapterPlace, u64>>,
+    adapters: RefCell<BTreeSet<AdapterPlacement>>,
+    wishes: RefCell<BTreeMap<AdapterPlacement, u64>>,
     /// What is drawn of accounts' quotas.
     pub quotas: QuotaClient,
     /// A replica is crowded, as far as this entry sees.
@@ -743,15 +743,15 @@
     }
 }
 
-fn adapter_place(replica: &ReplicaId, need: &Need) -> Option<AdapterPlace> {
-    Some(AdapterPlace {
+fn adapter_place(replica: &ReplicaId, need: &Need) -> Option<AdapterPlacement> {
+    Some(AdapterPlacement {
         replica: replica.clone(),
         model: need.model.clone()?,
         adapter: need.adapter.clone()?,
     })
 }
 
-async fn ask_adapter(core: Rc<EntryCore>, wish: AdapterPlace) {
+async fn ask_adapter(core: Rc<EntryCore>, wish: AdapterPlacement) {
     let link = core.follower.link();
     let asked = link
         .decide("wish", REPORT_TIME, |client, context| {
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -7,7 +7,7 @@
 use crate::forward::daemon::EntryCore;
 use crate::ids::ReplicaLife;
 use crate::placement::named_limits::{LimitPage, PermitStamp};
-use crate::placement::named_rate::NamedRate;
+use crate::placement::named_rate::AdvertisedRate;
 
 /// Least time between two reports.
 const PAUSE: Duration = Duration::from_millis(50);
@@ -61,7 +61,12 @@
 
 impl EntryCore {
     /// An answer of a replica names a limit.
-    pub fn hear_limit(&self, replica: &ReplicaLife, rate: NamedRate, permit: Option<PermitStamp>) {
+    pub fn hear_limit(
+        &self,
+        replica: &ReplicaLife,
+        rate: AdvertisedRate,
+        permit: Option<PermitStamp>,
+    ) {
         let now_ms = clock::monotonic_ms();
         let mut book = self.book.borrow_mut();
         if book.limits_mut().hear(now_ms, replica, rate, permit) {
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -8,7 +8,7 @@
 use crate::forward::daemon::EntryCore;
 use crate::ids::{ReplicaId, ReplicaLife};
 use crate::placement::named_limits::PermitStamp;
-use crate::placement::rate_limit::PERMIT_MS;
+use crate::placement::rate_limit::PERMIT_VALIDITY_MS;
 use crate::placement::replica_rates::{PermitRefusal, PermitReply, PermitRequest};
 use crate::process::peers::PeerError;
 use crate::routing::permit_pace::ASK_MS;
@@ -67,7 +67,7 @@
         self.changed.notify_waiters();
         granted.map(|stamp| RatePermit {
             replica: request.replica,
-            until_ms: asked_ms + PERMIT_MS,
+            until_ms: asked_ms + PERMIT_VALIDITY_MS,
             stamp,
         })
     }
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -12,7 +12,7 @@
 use crate::forward::permits::RatePermit;
 use crate::ids::ReplicaId;
 use crate::placement::named_limits::PermitStamp;
-use crate::placement::named_rate::NamedRate;
+use crate::placement::named_rate::AdvertisedRate;
 use crate::routing::backoff::{AskedPause, ClaimEnd, SendClaim};
 
 use super::Flight;
@@ -68,8 +68,8 @@
 }
 
 /// The rate that a head names.
-fn named_rate(core: &EntryCore, head: &ResponseHead) -> Option<NamedRate> {
-    NamedRate::parse(head::find_all(&head.headers, core.names.limit))
+fn named_rate(core: &EntryCore, head: &ResponseHead) -> Option<AdvertisedRate> {
+    AdvertisedRate::parse(head::find_all(&head.headers, core.names.limit))
 }
 
 /// Counts headers that this system does not know, with one line for each name.
--- a/src/forward/request/crashes.rs
+++ b/src/forward/request/crashes.rs
@@ -11,7 +11,7 @@
 use crate::forward::turns::Clearance;
 use crate::forward::upstream::ExchangeError;
 use crate::ids::{ContentDigest, ReplicaId};
-use crate::placement::suspect_leases::TurnAsk;
+use crate::placement::suspect_leases::SuspectLeaseRequest;
 use crate::routing::content::{self, ContentParts};
 
 use super::{Flight, Tried, asked_host};
@@ -49,7 +49,7 @@
             return Clearance::Go(None);
         }
         let content = self.content();
-        let ask = TurnAsk {
+        let ask = SuspectLeaseRequest {
             content,
             replica: replica.clone(),
             // Another one each time: the end of a turn that it had may still be on its way.
--- a/src/forward/turns.rs
+++ b/src/forward/turns.rs
@@ -8,7 +8,9 @@
 use crate::forward::crashes::CrashCase;
 use crate::forward::daemon::EntryCore;
 use crate::ids::ContentDigest;
-use crate::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnEnd};
+use crate::placement::suspect_leases::{
+    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
+};
 use crate::process::{crash_report, daemon};
 
 /// Time for one question for a turn.
@@ -19,7 +21,7 @@
 /// The turn of one attempt; ends when it is dropped.
 pub struct TurnGuard {
     core: Rc<EntryCore>,
-    end: TurnEnd,
+    end: SuspectLeaseRelease,
     /// What is being found out of a replica that broke off under it.
     pub case: Option<Rc<CrashCase>>,
     /// It ran to its end.
@@ -65,13 +67,13 @@
 
 impl EntryCore {
     /// Asks whether an attempt of a content may go to a replica.
-    pub async fn clear_turn(self: &Rc<Self>, ask: TurnAsk) -> Clearance {
+    pub async fn clear_turn(self: &Rc<Self>, ask: SuspectLeaseRequest) -> Clearance {
         match self.crashes.standing(&ask.content) {
             ContentStanding::Harmless => return Clearance::Go(None),
             ContentStanding::Barred => return Clearance::Barred,
             ContentStanding::Suspect(_) => {}
         }
-        let end = TurnEnd {
+        let end = SuspectLeaseRelease {
             content: ask.content,
             ticket: ask.ticket,
         };
@@ -89,10 +91,10 @@
             cleared: false,
         };
         match asked {
-            Ok(TurnAnswer::Go) => Clearance::Go(Some(guard())),
-            Ok(TurnAnswer::Wait) => Clearance::Wait,
-            Ok(TurnAnswer::Elsewhere) => Clearance::Elsewhere,
-            Ok(TurnAnswer::Barred) => Clearance::Barred,
+            Ok(SuspectLeaseReply::Granted) => Clearance::Go(Some(guard())),
+            Ok(SuspectLeaseReply::Wait) => Clearance::Wait,
+            Ok(SuspectLeaseReply::Elsewhere) => Clearance::Elsewhere,
+            Ok(SuspectLeaseReply::Barred) => Clearance::Barred,
             Err(error) => {
                 tracing::debug!(%error, content = %end.content, "a turn was not asked");
                 // It may have been given all the same.
--- a/src/placement/adapters.rs
+++ b/src/placement/adapters.rs
@@ -5,17 +5,17 @@
 
 use crate::consensus::directory::{ReplicaDirectory, ReplicaRecord};
 use crate::ids::{ModelName, ReplicaId};
-use crate::placement::order::{AdapterPlace, OrderKind, OrderOutcome};
+use crate::placement::order::{AdapterPlacement, OrderKind, OrderOutcome};
 
 /// What becomes of a wish.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WishAnswer {
+pub enum AdapterDecision {
     /// It is there, or on its way.
     Known,
     /// It is to be ordered in.
     Load,
     /// This one is to be ordered out first.
-    Evict(AdapterPlace),
+    Evict(AdapterPlacement),
     /// Not there, and not soon.
     Refused,
 }
@@ -52,7 +52,7 @@
 
 /// Room of a replica for further adapters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AdapterRoom {
+pub struct AdapterCapacity {
     /// So many more may be on their way to it.
     pub may_come: usize,
     /// So many of its places are free.
@@ -62,8 +62,8 @@
 /// Orders on adapters that are under way, and when adapters were used.
 #[derive(Clone, Debug, Default)]
 pub struct AdapterOrders {
-    pending: BTreeMap<AdapterPlace, PendingOrder>,
-    used_ms: BTreeMap<AdapterPlace, u64>,
+    pending: BTreeMap<AdapterPlacement, PendingOrder>,
+    used_ms: BTreeMap<AdapterPlacement, u64>,
     busy_ms: BTreeMap<ReplicaId, u64>,
     /// The orders of the leader before have been taken over.
     adopted: bool,
@@ -71,7 +71,7 @@
 
 impl AdapterOrders {
     /// An adapter was used.
-    pub fn note_used(&mut self, place: AdapterPlace, now_ms: u64) {
+    pub fn note_used(&mut self, place: AdapterPlacement, now_ms: u64) {
         self.used_ms.insert(place, now_ms);
     }
 
@@ -81,38 +81,38 @@
         record: &ReplicaRecord,
         slots: usize,
         replicas: &ReplicaDirectory,
-        wish: &AdapterPlace,
+        wish: &AdapterPlacement,
         now_ms: u64,
-    ) -> WishAnswer {
+    ) -> AdapterDecision {
         let Some(held) = record.models.get(&wish.model) else {
-            return WishAnswer::Refused;
+            return AdapterDecision::Refused;
         };
         match self.pending.get(wish) {
-            Some(order) if order.kind == OrderKind::Load => return WishAnswer::Known,
-            Some(_) => return WishAnswer::Refused,
-            None if held.contains(&wish.adapter) => return WishAnswer::Known,
+            Some(order) if order.kind == OrderKind::Load => return AdapterDecision::Known,
+            Some(_) => return AdapterDecision::Refused,
+            None if held.contains(&wish.adapter) => return AdapterDecision::Known,
             None if replicas.is_adapter_going(&record.id, &wish.model, &wish.adapter) => {
-                return WishAnswer::Refused;
+                return AdapterDecision::Refused;
             }
             None => {}
         }
         match self.room(record, slots, replicas, now_ms) {
-            room if room.may_come == 0 => WishAnswer::Refused,
+            room if room.may_come == 0 => AdapterDecision::Refused,
             room if room.free_places > 0 => {
                 self.bring(wish.clone(), now_ms);
-                WishAnswer::Load
+                AdapterDecision::Load
             }
             _ => self.evict(record, now_ms),
         }
     }
 
-    fn evict(&mut self, record: &ReplicaRecord, now_ms: u64) -> WishAnswer {
+    fn evict(&mut self, record: &ReplicaRecord, now_ms: u64) -> AdapterDecision {
         match self.least_used(record, now_ms) {
             Some(victim) => {
                 self.open(victim.clone(), OrderKind::Unload, now_ms);
-                WishAnswer::Evict(victim)
+                AdapterDecision::Evict(victim)
             }
-            None => WishAnswer::Refused,
+            None => AdapterDecision::Refused,
         }
     }
 
@@ -124,33 +124,38 @@
         slots: usize,
         replicas: &ReplicaDirectory,
         now_ms: u64,
-    ) -> AdapterRoom {
+    ) -> AdapterCapacity {
         let busy_ms = self.busy_ms.get(&record.id);
         let may_come = match busy_ms.is_some_and(|until_ms| *until_ms > now_ms) {
             true => 0,
             false => AT_ONCE.saturating_sub(self.coming(&record.id)),
         };
         let free_places = slots.saturating_sub(self.taken(record, replicas));
-        AdapterRoom {
+        AdapterCapacity {
             may_come,
             free_places,
         }
     }
 
     /// Begins to bring an adapter for which there is [`Self::room`].
-    pub fn bring(&mut self, place: AdapterPlace, now_ms: u64) {
+    pub fn bring(&mut self, place: AdapterPlacement, now_ms: u64) {
         self.open(place, OrderKind::Load, now_ms);
     }
 
     /// Adapters that are on their way in.
-    pub fn loads(&self) -> impl Iterator<Item = &AdapterPlace> {
+    pub fn loads(&self) -> impl Iterator<Item = &AdapterPlacement> {
         let loads = self.pending.iter();
         let loads = loads.filter(|(_, order)| order.kind == OrderKind::Load);
         loads.map(|(place, _)| place)
     }
 
     /// An engine answered. Returns whether the order holds.
-    pub fn on_outcome(&mut self, place: &AdapterPlace, outcome: OrderOutcome, now_ms: u64) -> bool {
+    pub fn on_outcome(
+        &mut self,
+        place: &AdapterPlacement,
+        outcome: OrderOutcome,
+        now_ms: u64,
+    ) -> bool {
         let Some(order) = self.pending.get_mut(place) else {
             return false;
         };
@@ -194,7 +199,7 @@
 
     /// The loads that are to be sent and whose places are committed. Whoever leads next
     /// must know of a place before an order takes it.
-    pub fn take_due(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<AdapterPlace> {
+    pub fn take_due(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<AdapterPlacement> {
         let mut due = Vec::new();
         for (place, order) in &mut self.pending {
             let goes = replicas.is_leaving(&place.replica, &place.model);
@@ -209,7 +214,7 @@
 
     /// Forgets what shows in the directory, or counts no more, and takes over the
     /// orders of the leader before. Returns places whose orders are settled.
-    pub fn settle(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<AdapterPlace> {
+    pub fn settle(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<AdapterPlacement> {
         let records = replicas.records();
         self.adopt(replicas, now_ms);
         self.pending.retain(|place, order| {
@@ -251,7 +256,7 @@
         }
     }
 
-    fn open(&mut self, place: AdapterPlace, kind: OrderKind, now_ms: u64) {
+    fn open(&mut self, place: AdapterPlacement, kind: OrderKind, now_ms: u64) {
         let order = PendingOrder {
             kind,
             until_ms: None,
@@ -278,14 +283,14 @@
         let pending = pending.filter(|place| place.replica == record.id);
         let ordered = replicas.adapters_ordered(&record.id);
         let ordered = ordered.map(|(model, adapter)| place_of(&record.id, model, adapter));
-        let ordered: BTreeSet<AdapterPlace> = pending.chain(ordered).collect();
+        let ordered: BTreeSet<AdapterPlacement> = pending.chain(ordered).collect();
         held + ordered.iter().filter(|place| !holds(record, place)).count()
     }
 
-    fn least_used(&self, record: &ReplicaRecord, now_ms: u64) -> Option<AdapterPlace> {
+    fn least_used(&self, record: &ReplicaRecord, now_ms: u64) -> Option<AdapterPlacement> {
         let held = record.models.iter();
         let held = held.flat_map(|(model, names)| names.iter().map(move |name| (model, name)));
-        let places = held.map(|(model, name)| AdapterPlace {
+        let places = held.map(|(model, name)| AdapterPlacement {
             replica: record.id.clone(),
             model: model.clone(),
             adapter: name.clone(),
@@ -303,23 +308,23 @@
 fn coming_places<'a>(
     replicas: &'a ReplicaDirectory,
     id: &'a ReplicaId,
-) -> impl Iterator<Item = AdapterPlace> + 'a {
+) -> impl Iterator<Item = AdapterPlacement> + 'a {
     let coming = replicas.adapters_coming(id);
     coming.map(|(model, adapter)| place_of(id, model, adapter))
 }
 
-fn place_of(id: &ReplicaId, model: &ModelName, adapter: &str) -> AdapterPlace {
-    AdapterPlace {
+fn place_of(id: &ReplicaId, model: &ModelName, adapter: &str) -> AdapterPlacement {
+    AdapterPlacement {
         replica: id.clone(),
         model: model.clone(),
         adapter: adapter.to_owned(),
     }
 }
 
-fn is_coming(replicas: &ReplicaDirectory, place: &AdapterPlace) -> bool {
+fn is_coming(replicas: &ReplicaDirectory, place: &AdapterPlacement) -> bool {
     coming_places(replicas, &place.replica).any(|coming| coming == *place)
 }
 
-fn holds(record: &ReplicaRecord, place: &AdapterPlace) -> bool {
+fn holds(record: &ReplicaRecord, place: &AdapterPlacement) -> bool {
     record.holds_adapter(&place.model, &place.adapter)
 }
--- a/src/placement/congestion.rs
+++ b/src/placement/congestion.rs
@@ -22,30 +22,30 @@
 const REPORT_MS: u64 = 2_000;
 
 /// Tokens of prompts that wait, by replica.
-pub type WaitingTokens = BTreeMap<ReplicaId, u64>;
+pub type QueuedTokens = BTreeMap<ReplicaId, u64>;
 
 /// What one entry's requests have waiting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrowdReport {
+pub struct QueueReport {
     /// The entry's host.
     pub host: HostName,
     /// Replicas at which nothing waits are left out.
-    pub waiting: WaitingTokens,
+    pub waiting: QueuedTokens,
 }
 
 /// The last report of an entry.
 #[derive(Debug)]
 struct HeardReport {
     heard_ms: u64,
-    waiting: WaitingTokens,
+    waiting: QueuedTokens,
 }
 
 /// The leader's sums over all entries.
 #[derive(Debug, Default)]
-pub struct CrowdSums {
+pub struct QueueTotals {
     entries: BTreeMap<HostName, HeardReport>,
     swept_ms: u64,
-    sums: WaitingTokens,
+    sums: QueuedTokens,
     /// By tokens, so that the most crowded are found without a look at all replicas.
     ranked: BTreeSet<(u64, ReplicaId)>,
     /// Since when each crowded replica has been so, without a pause.
@@ -54,16 +54,21 @@
 
 /// From when on a replica counts as crowded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CrowdBound {
+pub struct CongestionThreshold {
     /// Tokens that wait there.
     pub tokens: u64,
     /// For so long without a pause, in milliseconds.
     pub for_ms: u64,
 }
 
-impl CrowdSums {
+impl QueueTotals {
     /// Takes an entry's report in place of its last one. Returns the most crowded replicas.
-    pub fn take(&mut self, now_ms: u64, report: CrowdReport, bound: CrowdBound) -> WaitingTokens {
+    pub fn take(
+        &mut self,
+        now_ms: u64,
+        report: QueueReport,
+        bound: CongestionThreshold,
+    ) -> QueuedTokens {
         self.lapse(now_ms, bound);
         // First what is new: a replica that is crowded by both reports stays so.
         for (id, tokens) in &report.waiting {
@@ -89,7 +94,7 @@
     }
 
     /// Forgets entries that have fallen silent, once in a while.
-    fn lapse(&mut self, now_ms: u64, bound: CrowdBound) {
+    fn lapse(&mut self, now_ms: u64, bound: CongestionThreshold) {
         if now_ms < self.swept_ms + REPORT_MS {
             return;
         }
@@ -103,7 +108,7 @@
         }
     }
 
-    fn forget(&mut self, now_ms: u64, bound: CrowdBound, waiting: &WaitingTokens) {
+    fn forget(&mut self, now_ms: u64, bound: CongestionThreshold, waiting: &QueuedTokens) {
         for (id, tokens) in waiting {
             self.change(now_ms, bound, id, |sum| sum.saturating_sub(*tokens));
         }
@@ -113,7 +118,7 @@
     fn change(
         &mut self,
         now_ms: u64,
-        bound: CrowdBound,
+        bound: CongestionThreshold,
         id: &ReplicaId,
         change: impl FnOnce(u64) -> u64,
     ) {
--- a/src/placement/demand.rs
+++ b/src/placement/demand.rs
@@ -6,12 +6,12 @@
 
 /// Demand of each model in concurrent requests: rises at once, falls slowly.
 #[derive(Clone, Debug)]
-pub struct DemandBook {
+pub struct DemandTracker {
     levels: BTreeMap<ModelName, f64>,
     fall: f64,
 }
 
-impl Default for DemandBook {
+impl Default for DemandTracker {
     fn default() -> Self {
         Self::falling(FALL)
     }
@@ -22,7 +22,7 @@
 /// Part of the way that a higher sample takes the level up.
 const RISE: f64 = 0.5;
 
-impl DemandBook {
+impl DemandTracker {
     /// No demand yet; `fall` of a level remains after each quieter sample.
     pub fn falling(fall: f64) -> Self {
         Self {
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -13,11 +13,11 @@
 use crate::consensus::directory::{AdapterEffect, ReplicaDirectory, ReplicaPhase, ReplicaRecord};
 use crate::consensus::state::{Command, SiteState};
 use crate::ids::{HostName, ModelName, ReplicaId, ReplicaLife, ServiceName, Term};
-use crate::placement::adapters::{AdapterOrders, WishAnswer};
-use crate::placement::congestion::{CrowdBound, CrowdReport, CrowdSums, WaitingTokens};
-use crate::placement::demand::DemandBook;
+use crate::placement::adapters::{AdapterDecision, AdapterOrders};
+use crate::placement::congestion::{CongestionThreshold, QueueReport, QueueTotals, QueuedTokens};
+use crate::placement::demand::DemandTracker;
 use crate::placement::fleet_plan::{self, PlanModel, PlanReplica, PlanStep};
-use crate::placement::order::{AdapterPlace, EngineOrder, OrderKind, OrderOutcome};
+use crate::placement::order::{AdapterPlacement, EngineOrder, OrderKind, OrderOutcome};
 use crate::placement::report::EntryReport;
 use crate::table::configuration::EngineSpec;
 
@@ -108,7 +108,7 @@
 
 /// The leader's soft state.
 #[derive(Debug)]
-pub struct FleetDuties {
+pub struct FleetController {
     policy: FleetPolicy,
     holder: HostName,
     term: Term,
@@ -117,8 +117,8 @@
     since_ms: u64,
     heard: BTreeMap<ReplicaId, u64>,
     entries: BTreeMap<String, EntryNote>,
-    crowd: CrowdSums,
-    demand: DemandBook,
+    crowd: QueueTotals,
+    demand: DemandTracker,
     sampled_ms: u64,
     round_due_ms: u64,
     ahead_due_ms: u64,
@@ -181,7 +181,7 @@
     records.filter(move |record| record.service == *service && open(record))
 }
 
-impl FleetDuties {
+impl FleetController {
     /// A new leader's duties.
     pub fn new(policy: FleetPolicy, holder: HostName, term: Term, now_ms: u64) -> Self {
         Self {
@@ -192,8 +192,8 @@
             since_ms: now_ms,
             heard: BTreeMap::new(),
             entries: BTreeMap::new(),
-            crowd: CrowdSums::default(),
-            demand: DemandBook::falling(policy.demand_fall),
+            crowd: QueueTotals::default(),
+            demand: DemandTracker::falling(policy.demand_fall),
             sampled_ms: now_ms,
             round_due_ms: now_ms,
             ahead_due_ms: now_ms,
@@ -235,8 +235,8 @@
     }
 
     /// What an entry has waiting at replicas. Returns the most crowded ones.
-    pub fn on_crowd(&mut self, now_ms: u64, report: CrowdReport) -> WaitingTokens {
-        let bound = CrowdBound {
+    pub fn on_crowd(&mut self, now_ms: u64, report: QueueReport) -> QueuedTokens {
+        let bound = CongestionThreshold {
             tokens: self.policy.crowded_tokens,
             for_ms: self.policy.crowded_ms,
         };
@@ -260,7 +260,7 @@
         &mut self,
         state: &SiteState,
         now_ms: u64,
-        wish: &AdapterPlace,
+        wish: &AdapterPlacement,
     ) -> (bool, Option<EngineOrder>) {
         let record = state.replicas.records().get(&wish.replica);
         let configuration = state.configuration.as_ref().map(|held| &held.configuration);
@@ -279,15 +279,15 @@
             .adapters
             .decide(record, slots, &state.replicas, wish, now_ms)
         {
-            WishAnswer::Known => (true, None),
-            WishAnswer::Refused => (false, None),
-            WishAnswer::Load => {
+            AdapterDecision::Known => (true, None),
+            AdapterDecision::Refused => (false, None),
+            AdapterDecision::Load => {
                 let (id, model) = (wish.replica.clone(), wish.model.clone());
                 let command = Command::ReplicaAdapterOrdered(id, model, wish.adapter.clone());
                 self.proposed.push(command);
                 (true, None)
             }
-            WishAnswer::Evict(place) => {
+            AdapterDecision::Evict(place) => {
                 let adapter = Some(place.adapter.as_str());
                 (
                     true,
@@ -309,7 +309,7 @@
         }
         match &order.adapter {
             Some(adapter) => {
-                let place = AdapterPlace {
+                let place = AdapterPlacement {
                     replica: order.replica.clone(),
                     model: order.model.clone(),
                     adapter: adapter.clone(),
--- a/src/placement/fleet/preload_adapters.rs
+++ b/src/placement/fleet/preload_adapters.rs
@@ -5,15 +5,15 @@
 use crate::consensus::directory::ReplicaRecord;
 use crate::consensus::state::{Command, SiteState};
 use crate::ids::{ModelName, ServiceName};
-use crate::placement::preload::{self, AheadReplica, MissingAdapters};
+use crate::placement::preload::{self, MissingAdapters, PreloadReplica};
 use crate::table::configuration::EngineSpec;
 
-use super::{FleetDuties, open_records};
+use super::{FleetController, open_records};
 
 /// Adapters on their way in from which none are brought before somebody asks: wishes go first.
 const MAX_AHEAD: usize = 32;
 
-impl FleetDuties {
+impl FleetController {
     /// Brings adapters that are nowhere to a home of their model, before somebody asks.
     pub(super) fn bring_ahead(
         &mut self,
@@ -35,8 +35,8 @@
         let replicas = records
             .into_iter()
             .filter_map(|record| self.ahead_replica(state, record, engine, now_ms));
-        let mut replicas: Vec<AheadReplica> = replicas.collect();
-        for place in preload::plan_ahead(&missing, &mut replicas, most) {
+        let mut replicas: Vec<PreloadReplica> = replicas.collect();
+        for place in preload::plan_preloads(&missing, &mut replicas, most) {
             self.adapters.bring(place.clone(), now_ms);
             let (id, model) = (place.replica, place.model);
             let command = Command::ReplicaAdapterOrdered(id, model, place.adapter);
@@ -78,13 +78,13 @@
         record: &ReplicaRecord,
         engine: &EngineSpec,
         now_ms: u64,
-    ) -> Option<AheadReplica> {
+    ) -> Option<PreloadReplica> {
         if record.cold_ms > 0 || !self.takes_adapters(state, record) {
             return None;
         }
         let slots = engine.adapter_slots as usize;
         let room = self.adapters.room(record, slots, &state.replicas, now_ms);
-        Some(AheadReplica {
+        Some(PreloadReplica {
             id: record.id.clone(),
             models: record.models.keys().cloned().collect(),
             free_places: room.free_places,
--- a/src/placement/moves.rs
+++ b/src/placement/moves.rs
@@ -5,13 +5,13 @@
 
 use crate::consensus::state::{HomeInfo, HomePhase, MoveKind, SiteState};
 use crate::ids::{HallName, ModelName, TargetName};
-pub use crate::placement::demand::DemandBook;
+pub use crate::placement::demand::DemandTracker;
 use crate::table::packing::{self, Layout};
 use crate::table::site::{ModelKind, SiteSpec};
 
 /// How moves are decided.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlacePolicy {
+pub struct PlacementPolicy {
     /// Relief that a load for demand must bring, in concurrent requests a
     /// home. High: few moves; low: follow demand closely.
     pub move_price: f64,
@@ -26,7 +26,7 @@
 
 /// A decided move.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlaceMove {
+pub struct PlacementMove {
     /// The target.
     pub target: TargetName,
     /// The model.
@@ -41,11 +41,11 @@
 /// committed, and a repair must not wait for that.
 pub fn plan(
     state: &SiteState,
-    policy: &PlacePolicy,
-    demand: &DemandBook,
+    policy: &PlacementPolicy,
+    demand: &DemandTracker,
     wall_ms: u64,
-) -> Vec<PlaceMove> {
-    let mut board = PlaceBoard::new(state);
+) -> Vec<PlacementMove> {
+    let mut board = PlacementSnapshot::new(state);
     let mut moves = Vec::new();
     let wanted = packing::resident_set(&state.site, state.table.models());
     // Bases come before the adapters that need them, large ones before small:
@@ -93,9 +93,9 @@
     }
 }
 
-fn limit_loads(moves: Vec<PlaceMove>, permits: usize) -> Vec<PlaceMove> {
+fn limit_loads(moves: Vec<PlacementMove>, permits: usize) -> Vec<PlacementMove> {
     let mut left = permits;
-    let allowed = |step: &PlaceMove| match step.kind {
+    let allowed = |step: &PlacementMove| match step.kind {
         MoveKind::Unload => true,
         MoveKind::Load if left > 0 => {
             left -= 1;
@@ -106,21 +106,21 @@
     moves.into_iter().filter(allowed).collect()
 }
 
-struct BoardTarget<'a> {
+struct TargetSnapshot<'a> {
     hall: &'a HallName,
     free_mib: u64,
     homes: BTreeMap<&'a ModelName, HomeInfo>,
 }
 
-struct PlaceBoard<'a> {
+struct PlacementSnapshot<'a> {
     site: &'a SiteSpec,
-    targets: BTreeMap<&'a TargetName, BoardTarget<'a>>,
+    targets: BTreeMap<&'a TargetName, TargetSnapshot<'a>>,
     /// Homes of each model that are not on their way out, kept along: counting
     /// them anew would cost models × targets.
     counts: BTreeMap<&'a ModelName, usize>,
 }
 
-impl<'a> PlaceBoard<'a> {
+impl<'a> PlacementSnapshot<'a> {
     /// Only targets with a live agent that stays, in halls that are open.
     fn new(state: &'a SiteState) -> Self {
         let mut targets = BTreeMap::new();
@@ -142,7 +142,7 @@
                 .filter_map(|model| state.site.models.get(*model))
                 .map(|spec| spec.weights_mib)
                 .sum();
-            let board = BoardTarget {
+            let board = TargetSnapshot {
                 hall: &spec.hall,
                 free_mib: spec.room_mib().saturating_sub(taken),
                 homes,
@@ -175,7 +175,7 @@
         spec.map_or(0, |spec| spec.weights_mib)
     }
 
-    fn is_home(board: &BoardTarget<'_>, model: &ModelName) -> bool {
+    fn is_home(board: &TargetSnapshot<'_>, model: &ModelName) -> bool {
         let home = board.homes.get(model);
         home.is_some_and(|home| home.phase != HomePhase::Unloading)
     }
@@ -203,7 +203,7 @@
             .map(|(target, _)| *target)
     }
 
-    fn load(&mut self, target: &'a TargetName, model: &ModelName, moves: &mut Vec<PlaceMove>) {
+    fn load(&mut self, target: &'a TargetName, model: &ModelName, moves: &mut Vec<PlacementMove>) {
         let mib = self.mib(model);
         if let Some((name, _)) = self.site.models.get_key_value(model)
             && let Some(board) = self.targets.get_mut(target)
@@ -225,7 +225,7 @@
         &mut self,
         model: &ModelName,
         wanted: &BTreeSet<&'a ModelName>,
-        moves: &mut Vec<PlaceMove>,
+        moves: &mut Vec<PlacementMove>,
     ) {
         match (self.fitting(model), self.base_of(model)) {
             (Some(target), _) => self.load(target, model, moves),
@@ -243,13 +243,13 @@
     fn fitting_family(&self, base: &ModelName, adapter: &ModelName) -> Option<&'a TargetName> {
         let mib = self.mib(base) + self.mib(adapter);
         let fits =
-            |board: &BoardTarget<'_>| !board.homes.contains_key(base) && board.free_mib >= mib;
+            |board: &TargetSnapshot<'_>| !board.homes.contains_key(base) && board.free_mib >= mib;
         let boards = self.targets.iter().filter(|(_, board)| fits(board));
         let best = boards.max_by_key(|(_, board)| board.free_mib);
         best.map(|(target, _)| *target)
     }
 
-    fn add_spare(&mut self, model: &ModelName, moves: &mut Vec<PlaceMove>) {
+    fn add_spare(&mut self, model: &ModelName, moves: &mut Vec<PlacementMove>) {
         if let Some(target) = self.fitting(model) {
             self.load(target, model, moves);
         }
@@ -259,7 +259,7 @@
     /// home. A base goes only without its adapters.
     fn is_dispensable(
         &self,
-        board: &BoardTarget<'a>,
+        board: &TargetSnapshot<'a>,
         model: &ModelName,
         wanted: &BTreeSet<&'a ModelName>,
     ) -> bool {
@@ -272,7 +272,7 @@
     }
 
     /// Whether adapters of the model are on the target.
-    fn carries(&self, board: &BoardTarget<'a>, model: &ModelName) -> bool {
+    fn carries(&self, board: &TargetSnapshot<'a>, model: &ModelName) -> bool {
         let mut neighbours = board.homes.keys();
         neighbours.any(|other| self.base_of(other) == Some(model))
     }
@@ -280,7 +280,7 @@
     /// The homes on a target that may go, each by itself, those missed least first.
     fn dispensable(
         &self,
-        board: &BoardTarget<'a>,
+        board: &TargetSnapshot<'a>,
         wanted: &BTreeSet<&'a ModelName>,
     ) -> Vec<&'a ModelName> {
         let homes = board.homes.iter();
@@ -298,7 +298,7 @@
         &mut self,
         model: &ModelName,
         wanted: &BTreeSet<&'a ModelName>,
-        moves: &mut Vec<PlaceMove>,
+        moves: &mut Vec<PlacementMove>,
     ) {
         let need = self.mib(model);
         let base = self.base_of(model);
@@ -333,13 +333,18 @@
         }
     }
 
-    fn unloading_mib(&self, board: &BoardTarget<'_>) -> u64 {
+    fn unloading_mib(&self, board: &TargetSnapshot<'_>) -> u64 {
         let homes = board.homes.iter();
         let leaving = homes.filter(|(_, home)| home.phase == HomePhase::Unloading);
         leaving.map(|(model, _)| self.mib(model)).sum()
     }
 
-    fn unload(&mut self, target: &'a TargetName, model: &'a ModelName, moves: &mut Vec<PlaceMove>) {
+    fn unload(
+        &mut self,
+        target: &'a TargetName,
+        model: &'a ModelName,
+        moves: &mut Vec<PlacementMove>,
+    ) {
         if let Some(board) = self.targets.get_mut(target)
             && let Some(home) = board.homes.get_mut(model)
         {
@@ -355,7 +360,7 @@
         &mut self,
         model: &ModelName,
         wanted: &BTreeSet<&'a ModelName>,
-        moves: &mut Vec<PlaceMove>,
+        moves: &mut Vec<PlacementMove>,
     ) -> bool {
         let need = self.mib(model);
         let base = self.base_of(model);
@@ -391,7 +396,7 @@
 
     /// Goes over, step by step, to a layout that is known to fit, always
     /// loading before unloading.
-    fn follow_packing(&mut self, wanted: &BTreeSet<&'a ModelName>, moves: &mut Vec<PlaceMove>) {
+    fn follow_packing(&mut self, wanted: &BTreeSet<&'a ModelName>, moves: &mut Vec<PlacementMove>) {
         let live = self.targets.keys().copied();
         let Ok(layout) = packing::pack_live(self.site, live, wanted.iter().copied()) else {
             return;
@@ -427,7 +432,7 @@
         &mut self,
         layout: &Layout,
         wanted: &BTreeSet<&'a ModelName>,
-        moves: &mut Vec<PlaceMove>,
+        moves: &mut Vec<PlacementMove>,
     ) {
         let targets: Vec<&'a TargetName> = self.targets.keys().copied().collect();
         for target in targets {
@@ -446,7 +451,7 @@
 
     /// A ring of models that wait for each other's room: one of them gets a
     /// further home wherever there is any.
-    fn borrow_room(&mut self, layout: &Layout, moves: &mut Vec<PlaceMove>) {
+    fn borrow_room(&mut self, layout: &Layout, moves: &mut Vec<PlacementMove>) {
         let mut stuck = Vec::new();
         for (target, board) in &self.targets {
             let short = board.free_mib < self.missing(layout, target);
@@ -470,11 +475,11 @@
     /// Returns whether free room is spoken for.
     fn follow_demand(
         &mut self,
-        policy: &PlacePolicy,
-        demand: &DemandBook,
+        policy: &PlacementPolicy,
+        demand: &DemandTracker,
         ordered: &[&'a ModelName],
         wanted: &BTreeSet<&'a ModelName>,
-        moves: &mut Vec<PlaceMove>,
+        moves: &mut Vec<PlacementMove>,
     ) -> bool {
         let relief = |board: &Self, model: &ModelName| {
             let homes = board.homes(model) as f64;
@@ -492,7 +497,7 @@
         let Some((gain, model)) = crowded else {
             return false;
         };
-        let pending = |board: &BoardTarget<'_>| self.unloading_mib(board) > 0;
+        let pending = |board: &TargetSnapshot<'_>| self.unloading_mib(board) > 0;
         match self.fitting(model) {
             Some(target) => self.load(target, model, moves),
             // The room that was made before comes first.
@@ -508,10 +513,10 @@
         &mut self,
         model: &ModelName,
         gain: f64,
-        policy: &PlacePolicy,
-        demand: &DemandBook,
+        policy: &PlacementPolicy,
+        demand: &DemandTracker,
         wanted: &BTreeSet<&'a ModelName>,
-        moves: &mut Vec<PlaceMove>,
+        moves: &mut Vec<PlacementMove>,
     ) -> bool {
         let need = self.mib(model);
         let base = self.base_of(model);
@@ -552,8 +557,8 @@
     }
 }
 
-fn place(target: &TargetName, model: &ModelName, kind: MoveKind) -> PlaceMove {
-    PlaceMove {
+fn place(target: &TargetName, model: &ModelName, kind: MoveKind) -> PlacementMove {
+    PlacementMove {
         target: target.clone(),
         model: model.clone(),
         kind,
--- a/src/placement/named_limits.rs
+++ b/src/placement/named_limits.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{ReplicaLife, Term};
-use crate::placement::named_rate::NamedRate;
+use crate::placement::named_rate::AdvertisedRate;
 
 /// How long an ended limit is remembered, and one whose replica the log does not know, in
 /// milliseconds. What was heard longer ago is not believed: its end may be forgotten.
@@ -32,11 +32,11 @@
 
 /// An answer that names a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitNotice {
+pub struct LimitObservation {
     /// The replica.
     pub replica: ReplicaLife,
     /// What it takes.
-    pub rate: NamedRate,
+    pub rate: AdvertisedRate,
     /// Time since the answer came, in milliseconds.
     pub age_ms: u64,
     /// Of the request that was answered, where it needed one.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// Answers with a limit.
-    pub named: Vec<LimitNotice>,
+    pub named: Vec<LimitObservation>,
     /// Answers without one any more.
     pub ended: Vec<LimitEnd>,
     /// The changes that it has.
@@ -78,7 +78,7 @@
     /// The replica.
     pub replica: ReplicaLife,
     /// None where it names no limit any more.
-    pub rate: Option<NamedRate>,
+    pub rate: Option<AdvertisedRate>,
 }
 
 /// Changes for an entry.
@@ -94,7 +94,7 @@
 
 #[derive(Debug, Default)]
 struct LimitNote {
-    rate: Option<NamedRate>,
+    rate: Option<AdvertisedRate>,
     /// When this rate was heard of first.
     named_ms: u64,
     /// When the request was permitted whose answer showed the end or a higher rate: answers that
@@ -108,7 +108,7 @@
 
 /// All limits that one leader knows.
 #[derive(Debug)]
-pub struct NamedLimits {
+pub struct AdvertisedLimits {
     term: Term,
     since_ms: u64,
     notes: BTreeMap<ReplicaLife, LimitNote>,
@@ -119,7 +119,7 @@
     forgotten: u64,
 }
 
-impl NamedLimits {
+impl AdvertisedLimits {
     /// Nothing is known yet by a leader of this term, who leads since `now_ms`.
     pub fn new(term: Term, now_ms: u64) -> Self {
         Self {
@@ -133,7 +133,7 @@
     }
 
     /// The rate that a replica names.
-    pub fn rate(&self, replica: &ReplicaLife) -> Option<NamedRate> {
+    pub fn rate(&self, replica: &ReplicaLife) -> Option<AdvertisedRate> {
         self.notes.get(replica)?.rate
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// An answer named a limit. Returns whether the replica takes less than was known.
-    pub fn name(&mut self, now_ms: u64, notice: &LimitNotice) -> bool {
+    pub fn name(&mut self, now_ms: u64, notice: &LimitObservation) -> bool {
         if notice.age_ms >= KEPT_MS {
             return false;
         }
@@ -262,13 +262,13 @@
 
     /// Forgets limits that ended long ago, and those of lives that are over;
     /// `life_of` looks a life up in the log.
-    pub fn prune(&mut self, now_ms: u64, life_of: impl Fn(&ReplicaLife) -> LifeState) {
+    pub fn prune(&mut self, now_ms: u64, life_of: impl Fn(&ReplicaLife) -> IncarnationState) {
         let mut over = Vec::new();
         for (replica, note) in &mut self.notes {
             let kept_ms = match (note.rate, life_of(replica)) {
-                (None, _) | (Some(_), LifeState::Unknown) => KEPT_MS,
-                (Some(_), LifeState::Over) => 0,
-                (Some(_), LifeState::Known) => {
+                (None, _) | (Some(_), IncarnationState::Unknown) => KEPT_MS,
+                (Some(_), IncarnationState::Over) => 0,
+                (Some(_), IncarnationState::Known) => {
                     note.kept_since_ms = now_ms;
                     continue;
                 }
@@ -287,7 +287,7 @@
 
 /// What the log tells of a replica's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeState {
+pub enum IncarnationState {
     /// It lives.
     Known,
     /// The replica has started again.
--- a/src/placement/named_rate.rs
+++ b/src/placement/named_rate.rs
@@ -10,12 +10,12 @@
 
 /// A rate, as the time between two requests. A longer gap is the stricter rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct NamedRate {
+pub struct AdvertisedRate {
     /// Time between two requests, in microseconds.
     pub gap_us: u64,
 }
 
-impl NamedRate {
+impl AdvertisedRate {
     /// Reads the values of a header, in requests a second: the lowest counts. None where no
     /// value is a finite number from 0 on.
     pub fn parse<'a>(values: impl Iterator<Item = &'a str>) -> Option<Self> {
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -91,7 +91,7 @@
 
 /// An adapter on a replica: wanted, used, or ordered there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct AdapterPlace {
+pub struct AdapterPlacement {
     /// The replica.
     pub replica: ReplicaId,
     /// The base model, which is there.
--- a/src/placement/preload.rs
+++ b/src/placement/preload.rs
@@ -9,10 +9,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{ModelName, ReplicaId};
-use crate::placement::order::AdapterPlace;
+use crate::placement::order::AdapterPlacement;
 
 /// Places of a replica that are left to wishes.
-pub const SPARE_PLACES: usize = 2;
+pub const RESERVED_SLOTS: usize = 2;
 
 /// The adapters of a model that are nowhere.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 
 /// A replica that adapters may be brought to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AheadReplica {
+pub struct PreloadReplica {
     /// Its id.
     pub id: ReplicaId,
     /// The models that it holds.
@@ -47,18 +47,18 @@
     pub may_come: usize,
 }
 
-impl AheadReplica {
+impl PreloadReplica {
     fn has_place(&self) -> bool {
-        self.free_places > SPARE_PLACES && self.may_come > 0
+        self.free_places > RESERVED_SLOTS && self.may_come > 0
     }
 }
 
 /// What is brought where, `most` at a time, in the order of what is `missing`.
-pub fn plan_ahead(
+pub fn plan_preloads(
     missing: &[MissingAdapters],
-    replicas: &mut [AheadReplica],
+    replicas: &mut [PreloadReplica],
     most: usize,
-) -> Vec<AdapterPlace> {
+) -> Vec<AdapterPlacement> {
     let homes = homes_by_model(replicas);
     let mut places = Vec::new();
     for MissingAdapters { model, names } in missing {
@@ -74,7 +74,7 @@
             let home = &mut replicas[*home];
             home.free_places -= 1;
             home.may_come -= 1;
-            places.push(AdapterPlace {
+            places.push(AdapterPlacement {
                 replica: home.id.clone(),
                 model: model.clone(),
                 adapter: adapter.clone(),
@@ -86,7 +86,7 @@
 
 /// The numbers of the replicas that hold each model: a look at all of them for each adapter
 /// would cost adapters × replicas.
-fn homes_by_model(replicas: &[AheadReplica]) -> BTreeMap<ModelName, Vec<usize>> {
+fn homes_by_model(replicas: &[PreloadReplica]) -> BTreeMap<ModelName, Vec<usize>> {
     let mut homes: BTreeMap<ModelName, Vec<usize>> = BTreeMap::new();
     for (number, replica) in replicas.iter().enumerate() {
         for model in &replica.models {
--- a/src/placement/rate_limit.rs
+++ b/src/placement/rate_limit.rs
@@ -2,7 +2,7 @@
 //! entries together.
 //!
 //! An entry asks for each request, right before it leaves, and may use the permit for
-//! [`PERMIT_MS`] only: what a replica gets in any span is then bounded by its rate, whatever
+//! [`PERMIT_VALIDITY_MS`] only: what a replica gets in any span is then bounded by its rate, whatever
 //! happens to entries in between. Without a leader nobody sends to such a replica.
 //!
 //! Pure, and soft state: a new leader waits until nothing that the one before gave can count
@@ -14,7 +14,7 @@
 
 /// How long a permit may be used from before it was asked for, in milliseconds: a call between
 /// halls, and the opening of a connection.
-pub const PERMIT_MS: u64 = 250;
+pub const PERMIT_VALIDITY_MS: u64 = 250;
 /// The span in which arrivals at a replica that warms up are counted, in milliseconds.
 const SPAN_MS: u64 = 1_000;
 /// Requests that may go at once, where none went for a while.
@@ -81,7 +81,7 @@
     /// The limiter of a leader that leads since `now_ms`.
     pub fn new(now_ms: u64) -> Self {
         Self {
-            opens_ms: now_ms + SPAN_MS + PERMIT_MS,
+            opens_ms: now_ms + SPAN_MS + PERMIT_VALIDITY_MS,
             buckets: BTreeMap::new(),
         }
     }
--- a/src/placement/replica_rates.rs
+++ b/src/placement/replica_rates.rs
@@ -9,9 +9,10 @@
 
 use crate::ids::{ReplicaLife, ServiceName, Term};
 use crate::placement::named_limits::{
-    LifeState, LimitCursor, LimitNotice, LimitPage, LimitReport, NamedLimits, PermitStamp,
+    AdvertisedLimits, IncarnationState, LimitCursor, LimitObservation, LimitPage, LimitReport,
+    PermitStamp,
 };
-use crate::placement::named_rate::NamedRate;
+use crate::placement::named_rate::AdvertisedRate;
 use crate::placement::rate_limit::RateLimiter;
 use crate::table::configuration::WarmupSpec;
 
@@ -32,7 +33,7 @@
     /// It names a limit, as far as the entry knows.
     pub is_limited: bool,
     /// The last answer with a limit that the entry heard.
-    pub named: Option<LimitNotice>,
+    pub named: Option<LimitObservation>,
     /// The changes of limits that the entry has.
     pub cursor: LimitCursor,
 }
@@ -52,22 +53,22 @@
     /// Time until the entry asks again, in milliseconds.
     pub wait_ms: u64,
     /// The limit that the replica names, as the leader knows it.
-    pub rate: Option<NamedRate>,
+    pub rate: Option<AdvertisedRate>,
 }
 
 /// Rates and limits as one leader knows them.
 #[derive(Debug)]
-pub struct ReplicaRates {
-    limits: NamedLimits,
+pub struct ReplicaRateLimits {
+    limits: AdvertisedLimits,
     limiter: RateLimiter,
     prune_due_ms: u64,
 }
 
-impl ReplicaRates {
+impl ReplicaRateLimits {
     /// Those of a leader of this term, who leads since `now_ms`.
     pub fn new(term: Term, now_ms: u64) -> Self {
         Self {
-            limits: NamedLimits::new(term, now_ms),
+            limits: AdvertisedLimits::new(term, now_ms),
             limiter: RateLimiter::new(now_ms),
             prune_due_ms: now_ms,
         }
@@ -133,14 +134,14 @@
     }
 
     /// Forgets what is over, once in a while.
-    pub fn prune(&mut self, now_ms: u64, life_of: impl Fn(&ReplicaLife) -> LifeState) {
+    pub fn prune(&mut self, now_ms: u64, life_of: impl Fn(&ReplicaLife) -> IncarnationState) {
         if now_ms >= self.prune_due_ms {
             self.prune_due_ms = now_ms + PRUNE_EVERY_MS;
             self.limits.prune(now_ms, life_of);
         }
     }
 
-    fn name(&mut self, now_ms: u64, notice: &LimitNotice) {
+    fn name(&mut self, now_ms: u64, notice: &LimitObservation) {
         if !self.limits.name(now_ms, notice) {
             return;
         }
--- a/src/placement/report.rs
+++ b/src/placement/report.rs
@@ -7,7 +7,7 @@
 
 use crate::ids::ModelName;
 use crate::placement::named_limits::{LimitCursor, LimitPage};
-use crate::placement::order::AdapterPlace;
+use crate::placement::order::AdapterPlacement;
 
 /// What an entry asks of the leader and tells it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
     /// Requests of each model under way, waiting or refused lately.
     pub busy: BTreeMap<ModelName, f64>,
     /// Adapters in use by replica.
-    pub adapters: BTreeSet<AdapterPlace>,
+    pub adapters: BTreeSet<AdapterPlacement>,
     /// The changes of replicas' limits that it has.
     pub limits: LimitCursor,
 }
--- a/src/placement/suspect_leases.rs
+++ b/src/placement/suspect_leases.rs
@@ -16,13 +16,13 @@
 use crate::ids::{ContentDigest, ReplicaId};
 
 /// Longest turn, in milliseconds: an entry that ended tells of no end.
-const MAX_TURN_MS: u64 = 60_000;
+const MAX_SUSPECT_LEASE_MS: u64 = 60_000;
 /// Crashes from which a suspect shares a replica with no other suspect.
 const APART_CRASHES: u8 = 2;
 
 /// An entry asks for the turn of one attempt at a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TurnAsk {
+pub struct SuspectLeaseRequest {
     /// What it asks.
     pub content: ContentDigest,
     /// Where it is to run.
@@ -37,7 +37,7 @@
 
 /// An attempt has ended, and what it has done is known; or it never left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TurnEnd {
+pub struct SuspectLeaseRelease {
     /// What it asked.
     pub content: ContentDigest,
     /// The attempt.
@@ -46,9 +46,9 @@
 
 /// What the leader says to an ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TurnAnswer {
+pub enum SuspectLeaseReply {
     /// It may run there now.
-    Go,
+    Granted,
     /// Another attempt of the same content runs.
     Wait,
     /// Another suspect runs there: another replica is better.
@@ -67,23 +67,28 @@
 
 /// The turns that are taken.
 #[derive(Debug, Default)]
-pub struct TurnDesk {
+pub struct SuspectLeases {
     taken: BTreeMap<ContentDigest, TakenTurn>,
 }
 
-impl TurnDesk {
+impl SuspectLeases {
     /// Answers an ask; `standing` is what the log says of its content.
-    pub fn ask(&mut self, now_ms: u64, standing: ContentStanding, ask: &TurnAsk) -> TurnAnswer {
+    pub fn ask(
+        &mut self,
+        now_ms: u64,
+        standing: ContentStanding,
+        ask: &SuspectLeaseRequest,
+    ) -> SuspectLeaseReply {
         self.taken.retain(|_, turn| turn.until_ms > now_ms);
         let crashes = match standing {
             // Its entry has not heard yet that it was cleared.
-            ContentStanding::Harmless => return TurnAnswer::Go,
-            ContentStanding::Barred => return TurnAnswer::Barred,
+            ContentStanding::Harmless => return SuspectLeaseReply::Granted,
+            ContentStanding::Barred => return SuspectLeaseReply::Barred,
             ContentStanding::Suspect(crashes) => crashes,
         };
         let holder = self.taken.get(&ask.content);
         if holder.is_some_and(|turn| turn.ticket != ask.ticket) {
-            return TurnAnswer::Wait;
+            return SuspectLeaseReply::Wait;
         }
         let beside = self
             .taken
@@ -92,23 +97,23 @@
         let most = beside.map(|(_, turn)| turn.crashes).max();
         match most {
             Some(most) if !ask.insists || most.max(crashes) >= APART_CRASHES => {
-                TurnAnswer::Elsewhere
+                SuspectLeaseReply::Elsewhere
             }
             _ => {
                 let turn = TakenTurn {
                     ticket: ask.ticket,
                     replica: ask.replica.clone(),
                     crashes,
-                    until_ms: now_ms + ask.lasts_ms.min(MAX_TURN_MS),
+                    until_ms: now_ms + ask.lasts_ms.min(MAX_SUSPECT_LEASE_MS),
                 };
                 self.taken.insert(ask.content, turn);
-                TurnAnswer::Go
+                SuspectLeaseReply::Granted
             }
         }
     }
 
     /// Ends a turn.
-    pub fn end(&mut self, end: TurnEnd) {
+    pub fn end(&mut self, end: SuspectLeaseRelease) {
         let taken = self.taken.get(&end.content);
         if taken.is_some_and(|turn| turn.ticket == end.ticket) {
             self.taken.remove(&end.content);
--- a/src/placement/target_controller.rs
+++ b/src/placement/target_controller.rs
@@ -8,13 +8,13 @@
 use crate::admission::gate::TargetPlan;
 use crate::consensus::state::{Command, HomePhase, HomeReport, SiteState};
 use crate::ids::{HostName, Incarnation, ModelName, Position, RowId, TargetName, Term};
-use crate::placement::moves::{self, DemandBook, PlacePolicy};
+use crate::placement::moves::{self, DemandTracker, PlacementPolicy};
 use crate::table::limits::{LimitClaim, ShareGrantor};
 use crate::table::site::ModelKind;
 
 /// Settings of the leader's duties.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct DutyPolicy {
+pub struct ControllerPolicy {
     /// Silence after which a member is lost, in milliseconds.
     pub loss_ms: u64,
     /// Lease of a target's plan, in milliseconds; shorter than `loss_ms`.
@@ -22,7 +22,7 @@
     /// Time between placement rounds, in milliseconds.
     pub round_ms: u64,
     /// How models are placed.
-    pub place: PlacePolicy,
+    pub place: PlacementPolicy,
 }
 
 /// What a member told last.
@@ -36,7 +36,7 @@
 
 /// An agent's beat.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct AgentBeat {
+pub struct AgentHeartbeat {
     /// The agent's host, which is also its target's name.
     pub host: HostName,
     /// Its life.
@@ -57,7 +57,7 @@
 
 /// An entry's beat.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct EntryBeat {
+pub struct EntryHeartbeat {
     /// The entry's host.
     pub host: HostName,
     /// Its life.
@@ -76,12 +76,12 @@
 
 /// The leader's soft state.
 #[derive(Debug)]
-pub struct LeaderDuties {
-    policy: DutyPolicy,
+pub struct TargetController {
+    policy: ControllerPolicy,
     term: Term,
     since_ms: u64,
     notes: BTreeMap<HostName, MemberNote>,
-    demand: DemandBook,
+    demand: DemandTracker,
     grantor: ShareGrantor,
     round_due_ms: u64,
     /// Hosts that the platform's list names as leaving.
@@ -92,15 +92,15 @@
     pending: Position,
 }
 
-impl LeaderDuties {
+impl TargetController {
     /// A new leader's duties.
-    pub fn new(policy: DutyPolicy, state: &SiteState, term: Term, now_ms: u64) -> Self {
+    pub fn new(policy: ControllerPolicy, state: &SiteState, term: Term, now_ms: u64) -> Self {
         Self {
             policy,
             term,
             since_ms: now_ms,
             notes: BTreeMap::new(),
-            demand: DemandBook::default(),
+            demand: DemandTracker::default(),
             grantor: ShareGrantor::new(state.site.limits, now_ms),
             round_due_ms: now_ms + policy.round_ms,
             platform_leaving: BTreeSet::new(),
@@ -115,7 +115,12 @@
     }
 
     /// Takes an agent's beat; returns the commands that it proves.
-    pub fn on_agent(&mut self, state: &SiteState, now_ms: u64, beat: &AgentBeat) -> Vec<Command> {
+    pub fn on_agent(
+        &mut self,
+        state: &SiteState,
+        now_ms: u64,
+        beat: &AgentHeartbeat,
+    ) -> Vec<Command> {
         if !is_current(state, &beat.host, beat.life) {
             return Vec::new();
         }
@@ -134,7 +139,7 @@
         &mut self,
         state: &SiteState,
         now_ms: u64,
-        beat: &EntryBeat,
+        beat: &EntryHeartbeat,
     ) -> (BTreeMap<RowId, u32>, Vec<Command>) {
         if !is_current(state, &beat.host, beat.life) {
             return (BTreeMap::new(), Vec::new());
@@ -215,7 +220,7 @@
         &self,
         state: &SiteState,
         target: &TargetName,
-        beat: &AgentBeat,
+        beat: &AgentHeartbeat,
     ) -> TargetPlan {
         TargetPlan {
             term: self.term,
@@ -332,7 +337,7 @@
 fn wanted_models(
     state: &SiteState,
     target: &TargetName,
-    beat: &AgentBeat,
+    beat: &AgentHeartbeat,
 ) -> Option<BTreeMap<ModelName, u64>> {
     let none = BTreeMap::new();
     let homes = state.homes.get(target).unwrap_or(&none);
@@ -354,7 +359,7 @@
 /// What the agent's account proves of its homes, given the plan it acts on.
 fn home_reports(
     state: &SiteState,
-    beat: &AgentBeat,
+    beat: &AgentHeartbeat,
     holds: &BTreeMap<ModelName, bool>,
 ) -> Vec<Command> {
     let target = TargetName(beat.host.0.clone());
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -17,8 +17,8 @@
 use crate::consensus::raft::RaftTiming;
 use crate::ids::{HallName, HostName, ModelName, PartnerName};
 use crate::placement::fleet::FleetPolicy;
-use crate::placement::moves::PlacePolicy;
-use crate::placement::target_controller::DutyPolicy;
+use crate::placement::moves::PlacementPolicy;
+use crate::placement::target_controller::ControllerPolicy;
 use crate::process::peers::SiteSecret;
 use crate::routing::retry::RetryPolicy;
 use crate::routing::route::RoutePolicy;
@@ -144,12 +144,12 @@
 
 impl DutySettings {
     /// As the leader's duties take it.
-    pub fn policy(&self) -> DutyPolicy {
-        DutyPolicy {
+    pub fn policy(&self) -> ControllerPolicy {
+        ControllerPolicy {
             loss_ms: self.loss_ms,
             lease_ms: self.lease_ms,
             round_ms: self.round_ms,
-            place: PlacePolicy {
+            place: PlacementPolicy {
                 move_price: self.move_price,
                 spread: self.spread,
                 by_demand: self.by_demand,
--- a/src/process/wire.rs
+++ b/src/process/wire.rs
@@ -15,13 +15,15 @@
     AccountName, AttemptId, HallName, HostName, Incarnation, NodeId, Position, ReplicaId, RowId,
     Term,
 };
-use crate::placement::congestion::{CrowdReport, WaitingTokens};
+use crate::placement::congestion::{QueueReport, QueuedTokens};
 use crate::placement::named_limits::{LimitPage, LimitReport};
-use crate::placement::order::AdapterPlace;
+use crate::placement::order::AdapterPlacement;
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnEnd};
-use crate::placement::target_controller::{AgentBeat, EntryBeat};
+use crate::placement::suspect_leases::{
+    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
+};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::routing::authority::FreshnessProof;
 use crate::routing::view::SyncPage;
 use crate::table::accounts::QuotaSpec;
@@ -185,9 +187,9 @@
     /// Commits a command.
     async fn propose(command: Command) -> Result<(Position, Reply), ControlRefusal>;
     /// An agent's beat.
-    async fn agent_beat(beat: AgentBeat) -> Result<AgentOrders, ControlRefusal>;
+    async fn agent_beat(beat: AgentHeartbeat) -> Result<AgentOrders, ControlRefusal>;
     /// An entry's beat.
-    async fn entry_beat(beat: EntryBeat) -> Result<EntryOrders, ControlRefusal>;
+    async fn entry_beat(beat: EntryHeartbeat) -> Result<EntryOrders, ControlRefusal>;
     /// The table, by a linearizable read.
     async fn table() -> Result<TableStatus, ControlRefusal>;
     /// Looks a claim up, by a linearizable read.
@@ -212,13 +214,13 @@
     /// An entry's report on demand; for the leader.
     async fn report(report: EntryReport) -> Result<ReportReply, ControlRefusal>;
     /// What an entry has waiting at replicas; the leader tells which ones are crowded.
-    async fn crowd(report: CrowdReport) -> Result<WaitingTokens, ControlRefusal>;
+    async fn crowd(report: QueueReport) -> Result<QueuedTokens, ControlRefusal>;
     /// An entry wants an adapter; the leader tells whether it comes soon.
-    async fn wish(wish: AdapterPlace) -> Result<bool, ControlRefusal>;
+    async fn wish(wish: AdapterPlacement) -> Result<bool, ControlRefusal>;
     /// An entry asks for the turn of an attempt of a suspect content; for the leader.
-    async fn turn(ask: TurnAsk) -> Result<TurnAnswer, ControlRefusal>;
+    async fn turn(ask: SuspectLeaseRequest) -> Result<SuspectLeaseReply, ControlRefusal>;
     /// An attempt that had a turn has ended; for the leader.
-    async fn end_turn(end: TurnEnd) -> Result<(), ControlRefusal>;
+    async fn end_turn(end: SuspectLeaseRelease) -> Result<(), ControlRefusal>;
     /// Asks the leader whether one request may go to a replica that takes few.
     async fn permit(request: PermitRequest) -> Result<PermitReply, ControlRefusal>;
     /// What an entry heard of the limits that replicas name; for the leader.
--- a/src/routing/limited_peers.rs
+++ b/src/routing/limited_peers.rs
@@ -10,14 +10,14 @@
 
 use crate::ids::ReplicaLife;
 use crate::placement::named_limits::{
-    LimitCursor, LimitEnd, LimitNotice, LimitPage, LimitReport, LimitState, PermitStamp,
+    LimitCursor, LimitEnd, LimitObservation, LimitPage, LimitReport, LimitState, PermitStamp,
 };
-use crate::placement::named_rate::NamedRate;
+use crate::placement::named_rate::AdvertisedRate;
 
 /// The last answer with a limit.
 #[derive(Clone, Copy, Debug)]
 struct HeardLimit {
-    rate: NamedRate,
+    rate: AdvertisedRate,
     at_ms: u64,
     permit: Option<PermitStamp>,
     /// The leader has weighed it.
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 struct LimitNote {
     /// As the leader told.
-    known: Option<NamedRate>,
+    known: Option<AdvertisedRate>,
     /// When it told so.
     known_ms: u64,
     heard: Option<HeardLimit>,
@@ -50,7 +50,7 @@
         &mut self,
         now_ms: u64,
         peer: &ReplicaLife,
-        rate: NamedRate,
+        rate: AdvertisedRate,
         permit: Option<PermitStamp>,
     ) -> bool {
         let note = self.notes.entry(peer.clone()).or_default();
@@ -90,9 +90,9 @@
     }
 
     /// The last answer of a peer that named a limit, for the leader.
-    pub fn last_notice(&self, now_ms: u64, peer: &ReplicaLife) -> Option<LimitNotice> {
+    pub fn last_notice(&self, now_ms: u64, peer: &ReplicaLife) -> Option<LimitObservation> {
         let heard = self.notes.get(peer)?.heard?;
-        Some(LimitNotice {
+        Some(LimitObservation {
             replica: peer.clone(),
             rate: heard.rate,
             age_ms: now_ms.saturating_sub(heard.at_ms),
--- a/src/routing/permit_pace.rs
+++ b/src/routing/permit_pace.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::placement::named_rate::NamedRate;
+use crate::placement::named_rate::AdvertisedRate;
 use crate::placement::replica_rates::PermitRefusal;
 
 /// Time after which a question gets no answer any more, in milliseconds.
@@ -19,7 +19,7 @@
 struct PaceNote {
     refused_until_ms: u64,
     /// The limit under which it was refused.
-    rate: Option<NamedRate>,
+    rate: Option<AdvertisedRate>,
     /// When each question that has no answer was asked.
     asking: Vec<u64>,
     granted: bool,
@@ -76,7 +76,7 @@
     }
 
     /// A peer names another limit: what was refused under the one before says nothing.
-    pub fn follow(&mut self, id: &Id, rate: Option<NamedRate>) {
+    pub fn follow(&mut self, id: &Id, rate: Option<AdvertisedRate>) {
         if self.notes.get(id).is_some_and(|note| note.rate != rate) {
             self.notes.remove(id);
         }
--- a/tests/ahead.rs
+++ b/tests/ahead.rs
@@ -12,9 +12,11 @@
 use dunlinspring::forward::book::{Choice, EngineBounds, Need, ReplicaBook};
 use dunlinspring::forward::need::ChoicePolicy;
 use dunlinspring::ids::{HallName, HostName, ModelName, ReplicaId, ServiceName, Term};
-use dunlinspring::placement::fleet::{FleetDuties, FleetPolicy};
+use dunlinspring::placement::fleet::{FleetController, FleetPolicy};
 use dunlinspring::placement::order::OrderOutcome;
-use dunlinspring::placement::preload::{AheadReplica, MissingAdapters, SPARE_PLACES, plan_ahead};
+use dunlinspring::placement::preload::{
+    MissingAdapters, PreloadReplica, RESERVED_SLOTS, plan_preloads,
+};
 use dunlinspring::table::configuration::{EngineModel, EngineSpec, ServiceSpec};
 use support_place::flat_place;
 use support_replicas::ready_replica;
@@ -77,7 +79,7 @@
 
 /// A leader's rounds, whose orders are all taken. Returns how many it gave.
 fn lead(state: &mut SiteState, for_ms: u64) -> usize {
-    let mut duties = FleetDuties::new(FleetPolicy::default(), HostName::from("c"), Term(1), 0);
+    let mut duties = FleetController::new(FleetPolicy::default(), HostName::from("c"), Term(1), 0);
     let mut given = 0;
     for now_ms in (0..for_ms).step_by(50) {
         let ids: Vec<ReplicaId> = state.replicas.records().keys().cloned().collect();
@@ -145,7 +147,7 @@
     for record in state.replicas.records().values() {
         let held: usize = record.models.values().map(BTreeSet::len).sum();
         assert!(
-            held + SPARE_PLACES <= SLOTS as usize,
+            held + RESERVED_SLOTS <= SLOTS as usize,
             "{}: {held}",
             record.id
         );
@@ -154,10 +156,10 @@
 
 #[test]
 fn where_places_are_short_the_most_wanted_models_come_first() {
-    let home = AheadReplica {
+    let home = PreloadReplica {
         id: ReplicaId::from("r"),
         models: BTreeSet::from([model(1), model(2)]),
-        free_places: SPARE_PLACES + 2,
+        free_places: RESERVED_SLOTS + 2,
         may_come: 4,
     };
     let none = BTreeSet::new();
@@ -169,18 +171,18 @@
     .into_iter()
     .flatten()
     .collect();
-    let places = plan_ahead(&missing, &mut [home.clone()], 9);
+    let places = plan_preloads(&missing, &mut [home.clone()], 9);
     let named: Vec<(ModelName, &str)> = places
         .iter()
         .map(|place| (place.model.clone(), place.adapter.as_str()))
         .collect();
     assert_eq!(named, [(model(2), "a1"), (model(1), "a2")]);
-    assert_eq!(plan_ahead(&missing, &mut [home.clone()], 1).len(), 1);
-    let full = AheadReplica {
+    assert_eq!(plan_preloads(&missing, &mut [home.clone()], 1).len(), 1);
+    let full = PreloadReplica {
         may_come: 0,
         ..home
     };
-    assert_eq!(plan_ahead(&missing, &mut [full], 9), []);
+    assert_eq!(plan_preloads(&missing, &mut [full], 9), []);
     let all = BTreeSet::from(["a1", "a2"]);
     assert_eq!(MissingAdapters::of(&model(1), 2, &all), None);
 }
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -6,7 +6,9 @@
 };
 use dunlinspring::consensus::state::{Change, Command, Reply, SiteState, Stamped};
 use dunlinspring::ids::{ContentDigest, Position, ReplicaId, ReplicaLife};
-use dunlinspring::placement::suspect_leases::{TurnAnswer, TurnAsk, TurnDesk, TurnEnd};
+use dunlinspring::placement::suspect_leases::{
+    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest, SuspectLeases,
+};
 use dunlinspring::routing::suspects::SuspectBook;
 
 const DAY_MS: u64 = 24 * 3600 * 1000;
@@ -127,8 +129,8 @@
     assert!(all.contains(&whole));
 }
 
-fn ask(number: u64, replica: &str, ticket: u64) -> TurnAsk {
-    TurnAsk {
+fn ask(number: u64, replica: &str, ticket: u64) -> SuspectLeaseRequest {
+    SuspectLeaseRequest {
         content: content(number),
         replica: ReplicaId::from(replica),
         ticket,
@@ -141,54 +143,96 @@
 
 #[test]
 fn one_attempt_of_a_suspect_runs_at_a_time() {
-    let mut desk = TurnDesk::default();
-    assert_eq!(desk.ask(0, SUSPECT, &ask(1, "a", 11)), TurnAnswer::Go);
-    assert_eq!(desk.ask(1, SUSPECT, &ask(1, "b", 12)), TurnAnswer::Wait);
+    let mut desk = SuspectLeases::default();
+    assert_eq!(
+        desk.ask(0, SUSPECT, &ask(1, "a", 11)),
+        SuspectLeaseReply::Granted
+    );
+    assert_eq!(
+        desk.ask(1, SUSPECT, &ask(1, "b", 12)),
+        SuspectLeaseReply::Wait
+    );
     // The same attempt asks again where its answer was lost.
-    assert_eq!(desk.ask(2, SUSPECT, &ask(1, "a", 11)), TurnAnswer::Go);
-    let end = |ticket| TurnEnd {
+    assert_eq!(
+        desk.ask(2, SUSPECT, &ask(1, "a", 11)),
+        SuspectLeaseReply::Granted
+    );
+    let end = |ticket| SuspectLeaseRelease {
         content: content(1),
         ticket,
     };
     desk.end(end(12));
-    assert_eq!(desk.ask(3, SUSPECT, &ask(1, "b", 12)), TurnAnswer::Wait);
+    assert_eq!(
+        desk.ask(3, SUSPECT, &ask(1, "b", 12)),
+        SuspectLeaseReply::Wait
+    );
     desk.end(end(11));
-    assert_eq!(desk.ask(4, SUSPECT, &ask(1, "b", 12)), TurnAnswer::Go);
+    assert_eq!(
+        desk.ask(4, SUSPECT, &ask(1, "b", 12)),
+        SuspectLeaseReply::Granted
+    );
     // An entry that ended tells of no end.
-    assert_eq!(desk.ask(1_003, SUSPECT, &ask(1, "b", 13)), TurnAnswer::Wait);
-    assert_eq!(desk.ask(1_004, SUSPECT, &ask(1, "b", 13)), TurnAnswer::Go);
+    assert_eq!(
+        desk.ask(1_003, SUSPECT, &ask(1, "b", 13)),
+        SuspectLeaseReply::Wait
+    );
+    assert_eq!(
+        desk.ask(1_004, SUSPECT, &ask(1, "b", 13)),
+        SuspectLeaseReply::Granted
+    );
 }
 
 #[test]
 fn what_is_barred_or_cleared_by_now_needs_no_turn() {
-    let mut desk = TurnDesk::default();
+    let mut desk = SuspectLeases::default();
     let (barred, cleared) = (ContentStanding::Barred, ContentStanding::Harmless);
-    assert_eq!(desk.ask(0, SUSPECT, &ask(1, "a", 11)), TurnAnswer::Go);
-    assert_eq!(desk.ask(0, barred, &ask(1, "a", 12)), TurnAnswer::Barred);
-    assert_eq!(desk.ask(0, cleared, &ask(1, "a", 12)), TurnAnswer::Go);
+    assert_eq!(
+        desk.ask(0, SUSPECT, &ask(1, "a", 11)),
+        SuspectLeaseReply::Granted
+    );
+    assert_eq!(
+        desk.ask(0, barred, &ask(1, "a", 12)),
+        SuspectLeaseReply::Barred
+    );
+    assert_eq!(
+        desk.ask(0, cleared, &ask(1, "a", 12)),
+        SuspectLeaseReply::Granted
+    );
 }
 
 #[test]
 fn suspects_are_kept_apart() {
-    let mut desk = TurnDesk::default();
+    let mut desk = SuspectLeases::default();
     let twice = ContentStanding::Suspect(2);
-    let insists = |ask: TurnAsk| TurnAsk {
+    let insists = |ask: SuspectLeaseRequest| SuspectLeaseRequest {
         insists: true,
         ..ask
     };
-    assert_eq!(desk.ask(0, SUSPECT, &ask(1, "a", 1)), TurnAnswer::Go);
-    assert_eq!(desk.ask(0, SUSPECT, &ask(2, "a", 2)), TurnAnswer::Elsewhere);
-    assert_eq!(desk.ask(0, SUSPECT, &ask(2, "b", 2)), TurnAnswer::Go);
+    assert_eq!(
+        desk.ask(0, SUSPECT, &ask(1, "a", 1)),
+        SuspectLeaseReply::Granted
+    );
+    assert_eq!(
+        desk.ask(0, SUSPECT, &ask(2, "a", 2)),
+        SuspectLeaseReply::Elsewhere
+    );
+    assert_eq!(
+        desk.ask(0, SUSPECT, &ask(2, "b", 2)),
+        SuspectLeaseReply::Granted
+    );
     // Where there is no other replica, one crash is no reason to wait; two are.
     assert_eq!(
         desk.ask(0, SUSPECT, &insists(ask(3, "a", 3))),
-        TurnAnswer::Go
+        SuspectLeaseReply::Granted
     );
     let apart = desk.ask(0, twice, &insists(ask(4, "a", 4)));
-    assert_eq!(apart, TurnAnswer::Elsewhere);
-    assert_eq!(desk.ask(0, twice, &ask(4, "c", 4)), TurnAnswer::Go);
+    assert_eq!(apart, SuspectLeaseReply::Elsewhere);
+    assert_eq!(
+        desk.ask(0, twice, &ask(4, "c", 4)),
+        SuspectLeaseReply::Granted
+    );
     let beside = desk.ask(0, SUSPECT, &insists(ask(5, "c", 5)));
-    assert_eq!(beside, TurnAnswer::Elsewhere);
+    assert_eq!(beside, SuspectLeaseReply::Elsewhere);
 }
 
 #[test]
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -10,32 +10,34 @@
     Choice, ChoicePolicy, EngineBounds, LoadReport, Need, ReplicaBook, TryEnd,
 };
 use dunlinspring::ids::{HallName, HostName, ModelName, ReplicaId, ServiceName};
-use dunlinspring::placement::congestion::{CrowdBound, CrowdReport, CrowdSums, WaitingTokens};
+use dunlinspring::placement::congestion::{
+    CongestionThreshold, QueueReport, QueueTotals, QueuedTokens,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support_place::flat_place;
 use support_replicas::ready_replica;
 
-fn report(entry: usize, waiting: WaitingTokens) -> CrowdReport {
-    CrowdReport {
+fn report(entry: usize, waiting: QueuedTokens) -> QueueReport {
+    QueueReport {
         host: HostName(format!("entry-{entry}")),
         waiting,
     }
 }
 
 /// So many tokens, at once.
-fn least(tokens: u64) -> CrowdBound {
-    CrowdBound { tokens, for_ms: 0 }
+fn least(tokens: u64) -> CongestionThreshold {
+    CongestionThreshold { tokens, for_ms: 0 }
 }
 
-fn tokens(id: &str, tokens: u64) -> WaitingTokens {
-    WaitingTokens::from([(ReplicaId::from(id), tokens)])
+fn tokens(id: &str, tokens: u64) -> QueuedTokens {
+    QueuedTokens::from([(ReplicaId::from(id), tokens)])
 }
 
 #[test]
 fn the_most_crowded_are_told_and_no_more_than_a_few() {
-    let mut sums = CrowdSums::default();
-    let many: WaitingTokens = (0..100)
+    let mut sums = QueueTotals::default();
+    let many: QueuedTokens = (0..100)
         .map(|number| (ReplicaId(format!("r{number:02}")), 5_000 + number))
         .collect();
     sums.take(0, report(1, many), least(5_000));
@@ -44,17 +46,17 @@
     assert_eq!(crowded[&ReplicaId::from("r00")], 14_000);
     assert!(crowded.contains_key(&ReplicaId::from("r99")));
     assert!(!crowded.contains_key(&ReplicaId::from("r01")));
-    let left = sums.take(2, report(1, WaitingTokens::new()), least(5_000));
+    let left = sums.take(2, report(1, QueuedTokens::new()), least(5_000));
     assert_eq!(left, tokens("r00", 9_000));
 }
 
 #[test]
 fn a_queue_is_told_once_it_stands() {
-    let bound = CrowdBound {
+    let bound = CongestionThreshold {
         tokens: 5_000,
         for_ms: 500,
     };
-    let mut sums = CrowdSums::default();
+    let mut sums = QueueTotals::default();
     let mut told = |now_ms: u64, waiting: u64| {
         let crowded = sums.take(now_ms, report(1, tokens("a", waiting)), bound);
         !crowded.is_empty()
@@ -71,19 +73,19 @@
 
 #[test]
 fn an_entry_that_falls_silent_counts_no_more() {
-    let mut sums = CrowdSums::default();
+    let mut sums = QueueTotals::default();
     sums.take(0, report(1, tokens("a", 9_000)), least(1));
     let both = sums.take(1_900, report(2, tokens("a", 5_000)), least(1));
     assert_eq!(both, tokens("a", 14_000));
     let left = sums.take(3_800, report(2, tokens("a", 5_000)), least(1));
     assert_eq!(left, tokens("a", 5_000));
     // What stood by its word alone stands no more.
-    let bound = CrowdBound {
+    let bound = CongestionThreshold {
         tokens: 9_000,
         for_ms: 500,
     };
     sums.take(4_000, report(3, tokens("b", 9_000)), bound);
-    sums.take(6_100, report(2, WaitingTokens::new()), bound);
+    sums.take(6_100, report(2, QueuedTokens::new()), bound);
     let again = sums.take(6_200, report(2, tokens("b", 9_000)), bound);
     assert!(again.is_empty());
 }
@@ -91,11 +93,11 @@
 #[test]
 fn sums_are_those_of_the_last_reports() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut sums = CrowdSums::default();
-    let mut last = vec![WaitingTokens::new(); 6];
+    let mut sums = QueueTotals::default();
+    let mut last = vec![QueuedTokens::new(); 6];
     for _ in 0..2_000 {
         let entry = rng.random_range(0..last.len());
-        let mut new = WaitingTokens::new();
+        let mut new = QueuedTokens::new();
         for id in ["a", "b", "c", "d"] {
             if rng.random_bool(0.5) {
                 new.insert(ReplicaId::from(id), rng.random_range(1..50));
@@ -103,7 +105,7 @@
         }
         last[entry] = new.clone();
         let crowded = sums.take(0, report(entry, new), least(1));
-        let mut whole = WaitingTokens::new();
+        let mut whole = QueuedTokens::new();
         for (id, tokens) in last.iter().flatten() {
             *whole.entry(id.clone()).or_default() += tokens;
         }
@@ -118,7 +120,7 @@
 /// Tokens that the home reads in a millisecond.
 const READS: u64 = 19;
 const ENTRIES: usize = 31;
-const BOUND: CrowdBound = CrowdBound {
+const BOUND: CongestionThreshold = CongestionThreshold {
     tokens: 4_000,
     for_ms: 500,
 };
@@ -136,7 +138,7 @@
     books: Vec<ReplicaBook>,
     /// By entry: when it reported last, and whether it sees a crowd since.
     reported: Vec<(u64, bool)>,
-    sums: CrowdSums,
+    sums: QueueTotals,
     told: bool,
     queue: VecDeque<SentRequest>,
     busy_until_ms: u64,
@@ -175,7 +177,7 @@
         Self {
             books: vec![book; ENTRIES],
             reported: vec![(0, false); ENTRIES],
-            sums: CrowdSums::default(),
+            sums: QueueTotals::default(),
             told,
             queue: VecDeque::new(),
             busy_until_ms: 0,
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -4,24 +4,26 @@
 
 use dunlinspring::consensus::state::{Command, MemberRole, MoveKind, SiteState, Stamped};
 use dunlinspring::ids::*;
-use dunlinspring::placement::moves::{self, DemandBook, PlacePolicy};
-use dunlinspring::placement::target_controller::{AgentBeat, DutyPolicy, LeaderDuties};
+use dunlinspring::placement::moves::{self, DemandTracker, PlacementPolicy};
+use dunlinspring::placement::target_controller::{
+    AgentHeartbeat, ControllerPolicy, TargetController,
+};
 use dunlinspring::table::rows::{RowChange, RowEdit, RowFields, Urgency};
 use dunlinspring::table::site::{ModelKind, ModelSpec, SiteSpec, TargetSpec};
 
-const POLICY: DutyPolicy = DutyPolicy {
+const POLICY: ControllerPolicy = ControllerPolicy {
     loss_ms: 1000,
     lease_ms: 800,
     round_ms: 100,
-    place: PlacePolicy {
+    place: PlacementPolicy {
         move_price: 1.0,
         spread: 2,
         by_demand: true,
     },
 };
 
-fn beat() -> AgentBeat {
-    AgentBeat {
+fn beat() -> AgentHeartbeat {
+    AgentHeartbeat {
         host: HostName::from("t1"),
         life: Incarnation(1),
         position: Position(1),
@@ -39,7 +41,7 @@
     let (host, hall) = (HostName::from("t1"), HallName::from("north"));
     let command = Command::Join(host.clone(), MemberRole::Agent, String::new(), hall);
     state.apply(Position(1), &Stamped { at_ms: 0, command });
-    let mut duties = LeaderDuties::new(POLICY, &state, Term(1), 0);
+    let mut duties = TargetController::new(POLICY, &state, Term(1), 0);
     let mut now_ms = 0;
     while now_ms < 3000 {
         now_ms += 100;
@@ -118,7 +120,7 @@
         state.apply(position, &Stamped { at_ms, command });
     }
     // Nothing is committed from here on; only time passes.
-    let demand = DemandBook::default();
+    let demand = DemandTracker::default();
     let soon = moves::plan(&state, &POLICY.place, &demand, 50_700);
     assert_eq!(soon, [], "before the store's gap is over");
     let due = moves::plan(&state, &POLICY.place, &demand, 50_714);
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -17,9 +17,9 @@
     EditId, HallName, HostName, ModelName, PartnerName, Position, ReplicaId, RowId, ServiceName,
     TargetName, Term,
 };
-use dunlinspring::placement::fleet::{FleetDuties, FleetPolicy};
-use dunlinspring::placement::moves::{self, DemandBook, PlacePolicy};
-use dunlinspring::placement::order::{AdapterPlace, OrderKind};
+use dunlinspring::placement::fleet::{FleetController, FleetPolicy};
+use dunlinspring::placement::moves::{self, DemandTracker, PlacementPolicy};
+use dunlinspring::placement::order::{AdapterPlacement, OrderKind};
 use dunlinspring::routing::view::{SiteView, page_after};
 use dunlinspring::table::configuration::{EngineModel, EngineSpec, ServiceSpec};
 use dunlinspring::table::rows::{RowChange, RowEdit, RowFields, Urgency};
@@ -159,7 +159,7 @@
 
 fn orders_of(
     state: &mut SiteState,
-    duties: &mut FleetDuties,
+    duties: &mut FleetController,
     from_ms: u64,
 ) -> Vec<(OrderKind, ReplicaId)> {
     let mut orders = Vec::new();
@@ -187,7 +187,7 @@
         order_transit_ms: 0,
         ..FleetPolicy::default()
     };
-    let mut duties = FleetDuties::new(policy, HostName::from("c"), Term(1), 0);
+    let mut duties = FleetController::new(policy, HostName::from("c"), Term(1), 0);
     assert_eq!(orders_of(&mut state, &mut duties, 4_000), []);
     evacuate(&mut state);
     let orders = orders_of(&mut state, &mut duties, 8_000);
@@ -196,7 +196,7 @@
         *kind == OrderKind::Load && *id == ReplicaId::from("new-1")
     };
     assert!(orders.iter().all(elsewhere), "{orders:?}");
-    let wish = AdapterPlace {
+    let wish = AdapterPlacement {
         replica: ReplicaId::from("old-1"),
         model: ModelName::from(MODEL),
         adapter: "a1".to_owned(),
@@ -269,12 +269,12 @@
         0,
         Command::Home(old.clone(), life, model.clone(), there),
     );
-    let policy = PlacePolicy {
+    let policy = PlacementPolicy {
         move_price: 1.0,
         spread: 1,
         by_demand: false,
     };
-    let plan = |state: &SiteState| moves::plan(state, &policy, &DemandBook::default(), 60_000);
+    let plan = |state: &SiteState| moves::plan(state, &policy, &DemandTracker::default(), 60_000);
     let homes = |state: &SiteState| {
         let mut view = SiteView::default();
         view.follow(&page_after(state, view.position));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,10 +10,10 @@
 };
 use dunlinspring::consensus::state::{Command, SiteState, Stamped};
 use dunlinspring::ids::{HallName, HostName, ModelName, Position, ReplicaId, ServiceName, Term};
-use dunlinspring::placement::adapters::{AdapterOrders, WishAnswer};
-use dunlinspring::placement::fleet::{FleetDuties, FleetPolicy};
+use dunlinspring::placement::adapters::{AdapterDecision, AdapterOrders};
+use dunlinspring::placement::fleet::{FleetController, FleetPolicy};
 use dunlinspring::placement::fleet_plan::{PlanModel, PlanReplica, plan};
-use dunlinspring::placement::order::{AdapterPlace, EngineOrder, OrderKind, OrderOutcome};
+use dunlinspring::placement::order::{AdapterPlacement, EngineOrder, OrderKind, OrderOutcome};
 use dunlinspring::placement::report::EntryReport;
 use dunlinspring::table::configuration::{
     Configuration, ConfigurationRecord, EngineModel, EngineSpec, ServiceSpec,
@@ -45,7 +45,7 @@
 /// A state that applies commands as they are proposed.
 struct World {
     state: SiteState,
-    duties: FleetDuties,
+    duties: FleetController,
     orders: Vec<EngineOrder>,
 }
 
@@ -124,13 +124,13 @@
     }
 }
 
-fn leader(term: u64, now_ms: u64) -> FleetDuties {
+fn leader(term: u64, now_ms: u64) -> FleetController {
     // Orders are at once where they go, unless a test is about their way.
     let policy = FleetPolicy {
         order_transit_ms: 0,
         ..FleetPolicy::default()
     };
-    FleetDuties::new(policy, HostName::from("c1"), Term(term), now_ms)
+    FleetController::new(policy, HostName::from("c1"), Term(term), now_ms)
 }
 
 fn busy(model: &str, level: f64) -> EntryReport {
@@ -166,7 +166,7 @@
 #[test]
 fn a_new_leader_waits_for_the_last_order_of_the_one_before_to_arrive() {
     let mut world = World::new(&["a"]);
-    world.duties = FleetDuties::new(FleetPolicy::default(), HostName::from("c1"), Term(1), 0);
+    world.duties = FleetController::new(FleetPolicy::default(), HostName::from("c1"), Term(1), 0);
     world.beat(&record("r1", 1, &[]));
     world.rounds(0, 3_900);
     assert!(world.orders.is_empty());
@@ -617,8 +617,8 @@
     assert_eq!(idle.orders[0].kind, OrderKind::Unload);
 }
 
-fn place(adapter: &str) -> AdapterPlace {
-    AdapterPlace {
+fn place(adapter: &str) -> AdapterPlacement {
+    AdapterPlacement {
         replica: ReplicaId::from("r1"),
         model: ModelName::from("a"),
         adapter: adapter.to_owned(),
@@ -633,40 +633,40 @@
     directory.put(&record, 0);
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("x"), 0),
-        WishAnswer::Load
+        AdapterDecision::Load
     );
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("y"), 0),
-        WishAnswer::Load
+        AdapterDecision::Load
     );
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("z"), 0),
-        WishAnswer::Refused
+        AdapterDecision::Refused
     );
     assert!(!orders.on_outcome(&place("x"), OrderOutcome::Unknown, 0));
     orders.settle(&directory, 12_000);
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("z"), 12_000),
-        WishAnswer::Refused
+        AdapterDecision::Refused
     );
     // However long that is: only an answer shows that the try before is over.
     orders.settle(&directory, 60_000);
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("z"), 60_000),
-        WishAnswer::Refused
+        AdapterDecision::Refused
     );
     // Another order is under way: nothing is said of the try before.
     assert!(!orders.on_outcome(&place("x"), OrderOutcome::Busy, 60_000));
     orders.settle(&directory, 61_000);
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("z"), 61_000),
-        WishAnswer::Refused
+        AdapterDecision::Refused
     );
     assert!(!orders.on_outcome(&place("x"), OrderOutcome::Refused, 61_000));
     orders.settle(&directory, 62_000);
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("z"), 62_000),
-        WishAnswer::Load
+        AdapterDecision::Load
     );
 }
 
@@ -678,7 +678,7 @@
     let (id, model) = (ReplicaId::from("r1"), ModelName::from("a"));
     let held = directory.records()[&id].clone();
     let answer = orders.decide(&held, 1, &directory, &place("x"), 0);
-    assert_eq!(answer, WishAnswer::Load);
+    assert_eq!(answer, AdapterDecision::Load);
     directory.order_adapter(&id, &model, "x");
     assert_eq!(orders.take_due(&directory, 0), [place("x")]);
     orders.on_outcome(&place("x"), OrderOutcome::Unknown, 0);
@@ -759,9 +759,9 @@
     orders.note_used(place("y"), 9_500);
     assert_eq!(
         orders.decide(&full, 2, &directory, &place("z"), 10_000),
-        WishAnswer::Refused
+        AdapterDecision::Refused
     );
-    let evict = WishAnswer::Evict(place("x"));
+    let evict = AdapterDecision::Evict(place("x"));
     assert_eq!(
         orders.decide(&full, 2, &directory, &place("z"), 11_000),
         evict
@@ -842,7 +842,7 @@
         &place("a2"),
         10_000,
     );
-    assert_eq!(evicted, WishAnswer::Evict(place("a1")));
+    assert_eq!(evicted, AdapterDecision::Evict(place("a1")));
     assert!(orders.on_outcome(&place("a1"), OrderOutcome::Taken, 10_000));
     replicas.set_adapter(&held.id, &model, "a1", AdapterEffect::Goes, 10_000);
     for now_ms in (10_100..25_000).step_by(100) {
@@ -858,8 +858,8 @@
             &place("a2"),
             now_ms,
         );
-        assert_ne!(answer, WishAnswer::Load, "at {now_ms}");
-        if answer == WishAnswer::Evict(place("a1")) {
+        assert_ne!(answer, AdapterDecision::Load, "at {now_ms}");
+        if answer == AdapterDecision::Evict(place("a1")) {
             return;
         }
     }
--- a/tests/forward_parts.rs
+++ b/tests/forward_parts.rs
@@ -14,7 +14,7 @@
 use dunlinspring::forward::events::EventCutter;
 use dunlinspring::forward::head::{self, Framing, HeadError};
 use dunlinspring::ids::{HallName, ModelName, ReplicaId, ServiceName};
-use dunlinspring::placement::congestion::WaitingTokens;
+use dunlinspring::placement::congestion::QueuedTokens;
 use dunlinspring::table::configuration::{
     Configuration, ConfigurationError, RouteIndex, RouteKind, RouteSpec, ServiceSpec, slack_ranks,
 };
@@ -567,8 +567,8 @@
 }
 
 /// What the leader says waits at home `a`, of all entries.
-fn crowd(tokens: u64) -> WaitingTokens {
-    WaitingTokens::from([(ReplicaId::from("a"), tokens)])
+fn crowd(tokens: u64) -> QueuedTokens {
+    QueuedTokens::from([(ReplicaId::from("a"), tokens)])
 }
 
 /// A home at which one request of 100 tokens was answered at once, and one after so long.
@@ -586,7 +586,7 @@
 #[test]
 fn a_home_that_others_crowd_takes_no_more() {
     let mut book = answered_once(5.0);
-    let (none, need) = (WaitingTokens::new(), need("m", None));
+    let (none, need) = (QueuedTokens::new(), need("m", None));
     // At 0.05 ms a token 480 ms are 9,600 tokens, its own among them.
     book.follow_crowd(1_000, &none, &crowd(9_000));
     assert_eq!(choose(&book, &need), send("a"));
@@ -628,5 +628,5 @@
     let slow = answered_once(2_000.0);
     assert!(slow.is_crowding(&id, &need, ahead));
     known.end(1_000, &id, &need, false, TryEnd::Neutral);
-    assert_eq!(known.waiting(), WaitingTokens::new());
+    assert_eq!(known.waiting(), QueuedTokens::new());
 }
--- a/tests/fuzz/place.rs
+++ b/tests/fuzz/place.rs
@@ -5,7 +5,7 @@
 
 use dunlinspring::consensus::state::*;
 use dunlinspring::ids::*;
-use dunlinspring::placement::moves::{self, DemandBook, PlacePolicy};
+use dunlinspring::placement::moves::{self, DemandTracker, PlacementPolicy};
 use dunlinspring::table::limits::LimitPolicy;
 use dunlinspring::table::packing;
 use dunlinspring::table::rows::{RowChange, RowEdit, RowFields, Urgency};
@@ -22,7 +22,7 @@
 /// Rounds in which a site with room must get every model home.
 const REPAIR_ROUNDS: usize = 80;
 
-const POLICY: PlacePolicy = PlacePolicy {
+const POLICY: PlacementPolicy = PlacementPolicy {
     move_price: 1.0,
     spread: 2,
     by_demand: true,
@@ -85,7 +85,7 @@
 
 pub struct PlaceWorld {
     state: SiteState,
-    demand: DemandBook,
+    demand: DemandTracker,
     levels: BTreeMap<ModelName, f64>,
     edits: u64,
 }
@@ -281,7 +281,7 @@
     fn init_test((): &()) -> PlaceWorld {
         let mut world = PlaceWorld {
             state: SiteState::default(),
-            demand: DemandBook::default(),
+            demand: DemandTracker::default(),
             levels: BTreeMap::new(),
             edits: 0,
         };
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -107,7 +107,7 @@
 mutant silent-entry-counts src/placement/congestion.rs 's/        self\.lapse\(now_ms, bound\);\n//' crowd an_entry_that_falls_silent_counts_no_more
 mutant third-end-bars-nothing src/consensus/crashes.rs 's/MAX_CRASHES\.\. => Self::Barred,/MAX_CRASHES.. => Self::Suspect(2),/' crashes the_third_end_bars_a_content_whoever_tells_of_each
 mutant one-end-counts-twice src/consensus/crashes.rs 's/ \&\& !record\.crashes\.contains\(\&report\.replica\)//' crashes the_third_end_bars_a_content_whoever_tells_of_each
-mutant turns-for-all src/placement/suspect_leases.rs 's/return TurnAnswer::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
+mutant turns-for-all src/placement/suspect_leases.rs 's/return SuspectLeaseReply::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
 mutant suspects-together src/placement/suspect_leases.rs 's/\*\*content != ask\.content \&\& turn\.replica == ask\.replica/**content != ask.content \&\& false/' crashes suspects_are_kept_apart
 mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.life\.id, connection\);\s+)Probe::Lives/$1Probe::Ended/' forwarding a_connection_that_breaks_off_is_no_crash
 mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.born_ms > known\.born_ms => BeatNews::New,\n//' replica_born a_new_life_is_heard_though_its_numbers_begin_anew
--- a/tests/replica_limits/main.rs
+++ b/tests/replica_limits/main.rs
@@ -7,9 +7,10 @@
 
 use dunlinspring::ids::{ReplicaLife, Term};
 use dunlinspring::placement::named_limits::{
-    LifeState, LimitCursor, LimitEnd, LimitNotice, LimitReport, NamedLimits, PermitStamp,
+    AdvertisedLimits, IncarnationState, LimitCursor, LimitEnd, LimitObservation, LimitReport,
+    PermitStamp,
 };
-use dunlinspring::placement::named_rate::NamedRate;
+use dunlinspring::placement::named_rate::AdvertisedRate;
 use dunlinspring::routing::limited_peers::LimitedPeers;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -162,7 +163,8 @@
 
 #[test]
 fn a_limit_is_read_as_the_lowest_number_there_is() {
-    let gap_us = |values: &[&str]| NamedRate::parse(values.iter().copied()).map(|rate| rate.gap_us);
+    let gap_us =
+        |values: &[&str]| AdvertisedRate::parse(values.iter().copied()).map(|rate| rate.gap_us);
     assert_eq!(gap_us(&["2"]), Some(500_000));
     assert_eq!(gap_us(&[" 0.5 "]), Some(2_000_000));
     assert_eq!(gap_us(&["3"]), Some(333_334));
@@ -208,10 +210,10 @@
     }
 }
 
-fn notice(per_s: &str, age_ms: u64, permit: Option<PermitStamp>) -> LimitNotice {
-    LimitNotice {
+fn notice(per_s: &str, age_ms: u64, permit: Option<PermitStamp>) -> LimitObservation {
+    LimitObservation {
         replica: replica(),
-        rate: NamedRate::parse([per_s].into_iter()).unwrap(),
+        rate: AdvertisedRate::parse([per_s].into_iter()).unwrap(),
         age_ms,
         permit,
     }
@@ -226,7 +228,7 @@
 
 #[test]
 fn an_older_answer_that_comes_late_neither_ends_nor_begins_a_limit() {
-    let mut limits = NamedLimits::new(TERM, 0);
+    let mut limits = AdvertisedLimits::new(TERM, 0);
     assert!(limits.name(5_000, &notice("2", 0, None)));
     // Its request left before the limit was heard of.
     assert!(!limits.end(6_000, &end(stamp(5_000))));
@@ -245,8 +247,8 @@
 
 #[test]
 fn a_lower_number_counts_at_once_and_a_higher_one_by_a_newer_request() {
-    let mut limits = NamedLimits::new(TERM, 0);
-    let gap_us = |limits: &NamedLimits| limits.rate(&replica()).unwrap().gap_us;
+    let mut limits = AdvertisedLimits::new(TERM, 0);
+    let gap_us = |limits: &AdvertisedLimits| limits.rate(&replica()).unwrap().gap_us;
     limits.name(5_000, &notice("2", 0, None));
     limits.name(5_500, &notice("1", 0, Some(stamp(100))));
     assert_eq!(gap_us(&limits), 1_000_000);
@@ -262,15 +264,15 @@
         born_ms: 8,
         ..replica()
     };
-    let mut limits = NamedLimits::new(TERM, 0);
+    let mut limits = AdvertisedLimits::new(TERM, 0);
     limits.name(5_000, &notice("2", 0, None));
     assert!(limits.rate(&later).is_none());
-    limits.prune(500_000, |_| LifeState::Unknown);
+    limits.prune(500_000, |_| IncarnationState::Unknown);
     assert!(limits.rate(&replica()).is_some());
-    limits.prune(500_000, |_| LifeState::Known);
-    limits.prune(1_000_000, |_| LifeState::Unknown);
+    limits.prune(500_000, |_| IncarnationState::Known);
+    limits.prune(1_000_000, |_| IncarnationState::Unknown);
     assert!(limits.rate(&replica()).is_some());
-    limits.prune(1_000_001, |_| LifeState::Over);
+    limits.prune(1_000_001, |_| IncarnationState::Over);
     assert!(limits.rate(&replica()).is_none());
     // An entry that had it is told all that is left.
     let had = LimitCursor {
@@ -289,7 +291,7 @@
 
 #[test]
 fn an_entry_that_was_cut_off_while_a_limit_ended_gives_it_up() {
-    let mut limits = NamedLimits::new(TERM, 0);
+    let mut limits = AdvertisedLimits::new(TERM, 0);
     let mut peers = LimitedPeers::default();
     peers.hear(5_000, &replica(), notice("2", 0, None).rate, None);
     let told = peers.report(5_000);
@@ -331,7 +333,7 @@
 
 #[test]
 fn an_older_page_that_comes_after_a_newer_one_ends_no_limit() {
-    let mut limits = NamedLimits::new(TERM, 0);
+    let mut limits = AdvertisedLimits::new(TERM, 0);
     let mut peers = LimitedPeers::default();
     limits.name(5_000, &notice("2", 0, None));
     limits.end(6_000, &end(stamp(5_500)));
--- a/tests/replica_limits/world.rs
+++ b/tests/replica_limits/world.rs
@@ -4,10 +4,10 @@
 
 use dunlinspring::ids::{ReplicaId, ReplicaLife, ServiceName, Term};
 use dunlinspring::placement::named_limits::{LimitCursor, LimitPage, LimitReport, PermitStamp};
-use dunlinspring::placement::named_rate::NamedRate;
-use dunlinspring::placement::rate_limit::PERMIT_MS;
+use dunlinspring::placement::named_rate::AdvertisedRate;
+use dunlinspring::placement::rate_limit::PERMIT_VALIDITY_MS;
 use dunlinspring::placement::replica_rates::{
-    PermitRefusal, PermitReply, PermitRequest, ReplicaRates,
+    PermitRefusal, PermitReply, PermitRequest, ReplicaRateLimits,
 };
 use dunlinspring::routing::limited_peers::LimitedPeers;
 use dunlinspring::routing::permit_pace::PermitPace;
@@ -95,7 +95,7 @@
     ReplyArrives(usize, u64, PermitReply, u64),
     RequestArrives(Sender, Option<u64>),
     HeadLeaves(Sender),
-    HeadArrives(Sender, Option<NamedRate>),
+    HeadArrives(Sender, Option<AdvertisedRate>),
     Regular(usize, u64),
     CursorArrives(usize, u64, LimitCursor),
     LimitsArrive(usize, u64, LimitReport, u64),
@@ -120,7 +120,7 @@
     now_ms: u64,
     random: SmallRng,
     entries: Vec<Entry>,
-    leader: Option<ReplicaRates>,
+    leader: Option<ReplicaRateLimits>,
     term: u64,
     rate: Option<f64>,
     service_ms: u64,
@@ -147,7 +147,7 @@
             now_ms: 10_000,
             random: SmallRng::seed_from_u64(seed),
             entries: (0..entries).map(|_| Entry::default()).collect(),
-            leader: Some(ReplicaRates::new(Term(1), 0)),
+            leader: Some(ReplicaRateLimits::new(Term(1), 0)),
             term: 1,
             rate: None,
             service_ms: 20,
@@ -302,7 +302,7 @@
             }
             Event::HeadLeaves(sender) => {
                 let rate = self.rate.map(|rate| rate.to_string());
-                let rate = NamedRate::parse(rate.as_deref().into_iter());
+                let rate = AdvertisedRate::parse(rate.as_deref().into_iter());
                 let way_ms = self.way();
                 self.later(way_ms, Event::HeadArrives(sender, rate));
             }
@@ -332,7 +332,7 @@
             }
             Event::PageArrives(entry, _, page, told) => self.take_page(entry, &page, told),
             Event::Lead(term) if term == Term(self.term) => {
-                self.leader = Some(ReplicaRates::new(term, now_ms));
+                self.leader = Some(ReplicaRateLimits::new(term, now_ms));
             }
             Event::Lead(_) => {}
         }
@@ -384,7 +384,7 @@
         entry.peers.confirm_notice(asked_ms, &replica());
         match reply {
             // A connection opens meanwhile, for up to the rest of the permit's time.
-            PermitReply::Granted(stamp) if now_ms < asked_ms + PERMIT_MS => {
+            PermitReply::Granted(stamp) if now_ms < asked_ms + PERMIT_VALIDITY_MS => {
                 entry.pace.grant(asked_ms, &replica());
                 self.send(number, Some(stamp));
             }
@@ -407,7 +407,7 @@
         self.later(way_ms, Event::RequestArrives(sender, known_ms));
     }
 
-    fn take_head(&mut self, sender: Sender, rate: Option<NamedRate>) {
+    fn take_head(&mut self, sender: Sender, rate: Option<AdvertisedRate>) {
         let now_ms = self.now_ms;
         let names_none = self.rate.is_none();
         let peers = &mut self.entries[sender.entry].peers;
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -12,7 +12,7 @@
 use dunlinspring::forward::book::{Choice, EngineBounds, Need, ReplicaBar, ReplicaBook};
 use dunlinspring::forward::need::ChoicePolicy;
 use dunlinspring::ids::{HallName, ReplicaId, ReplicaLife, ServiceName};
-use dunlinspring::placement::rate_limit::{PERMIT_MS, RateLimiter};
+use dunlinspring::placement::rate_limit::{PERMIT_VALIDITY_MS, RateLimiter};
 use dunlinspring::placement::replica_rates::PermitRefusal;
 use dunlinspring::routing::permit_pace::PermitPace;
 use dunlinspring::routing::warm_up::WarmupBook;
@@ -99,7 +99,7 @@
     let ask = |limiter: &mut RateLimiter, now_ms: u64, lag_ms: u64| {
         let granted = limiter.take(now_ms, &life(), GAP_US).is_ok();
         // The entry counts from before it asked, and looks again right before it sends.
-        (granted && lag_ms < PERMIT_MS).then_some(now_ms + lag_ms)
+        (granted && lag_ms < PERMIT_VALIDITY_MS).then_some(now_ms + lag_ms)
     };
     for step in steps {
         match *step {
