--- a/benches/core.rs
+++ b/benches/core.rs
@@ -366,7 +366,7 @@
             .collect();
         let beat = dunlinspring::placement::target_controller::AgentHeartbeat {
             host: HostName::from("target-00001"),
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
             position: Position(1),
             plan: Position(1),
             holds: Some(holds),
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -223,7 +223,7 @@
     let known = ledger.is_open() || agent.settings.memory_mib == 0;
     AgentHeartbeat {
         host: agent.settings.common.host.clone(),
-        life: agent.life,
+        incarnation: agent.life,
         position,
         plan: gate.plan_position(),
         holds: known.then(|| loaded.chain(fixed).collect()),
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -251,7 +251,7 @@
             }
             ControlEvent::Platform(leaving) => {
                 if let Some(duties) = &mut self.duties {
-                    duties.on_platform(leaving);
+                    duties.on_leaving_hosts(leaving);
                 }
             }
             ControlEvent::Notice {
@@ -284,13 +284,13 @@
                 let _ = answer.send(granted);
             }
             ControlEvent::Heard(ids, answer) => {
-                self.tell_fleet(answer, |fleet| fleet.on_heard(now_ms, &ids));
+                self.tell_fleet(answer, |fleet| fleet.on_heartbeats(now_ms, &ids));
             }
             ControlEvent::Report(report, answer) => {
                 let _ = answer.send(self.on_report(now_ms, report));
             }
             ControlEvent::Crowd(report, answer) => {
-                self.tell_fleet(answer, |fleet| fleet.on_crowd(now_ms, report));
+                self.tell_fleet(answer, |fleet| fleet.on_queue_report(now_ms, report));
             }
             ControlEvent::Wish(wish, answer) => {
                 let _ = answer.send(self.on_wish(now_ms, &wish));
@@ -448,7 +448,7 @@
         let (Some(state), Some(fleet)) = (self.replica.newest(now_ms), &mut self.fleet) else {
             return Err(self.not_leader());
         };
-        let (soon, order) = fleet.on_wish(state, now_ms, wish);
+        let (soon, order) = fleet.on_adapter_request(state, now_ms, wish);
         if let Some(order) = order {
             self.send_order(now_ms, order);
         }
@@ -569,7 +569,7 @@
             return;
         };
         if let Some(rates) = &self.rates {
-            fleet.follow_limits(rates.revision(), rates.limited());
+            fleet.update_limited(rates.revision(), rates.limited());
         }
         let actions = fleet.round(state, now_ms);
         for command in actions.commands {
@@ -586,10 +586,10 @@
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let commands = duties.on_agent(state, now_ms, beat);
+        let commands = duties.on_agent_heartbeat(state, now_ms, beat);
         let target = TargetName(beat.host.0.clone());
         let member = state.members.get(&beat.host);
-        let current = member.is_some_and(|member| member.incarnation == beat.life);
+        let current = member.is_some_and(|member| member.incarnation == beat.incarnation);
         let orders = AgentOrders {
             plan: current.then(|| duties.target_plan(state, &target, beat)),
             position: state.changed(),
@@ -605,11 +605,11 @@
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let (grants, commands) = duties.on_entry(state, now_ms, beat);
+        let (grants, commands) = duties.on_entry_heartbeat(state, now_ms, beat);
         let member = state.members.get(&beat.host);
         let orders = EntryOrders {
             grants,
-            rejoin: member.is_none_or(|member| member.incarnation != beat.life),
+            rejoin: member.is_none_or(|member| member.incarnation != beat.incarnation),
             position: state.changed(),
         };
         let _ = answer.send(Ok(orders));
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -252,7 +252,7 @@
     let (asked, claims) = state.shares.ask(now_ms, |row| limits.get(row).copied());
     let beat = EntryHeartbeat {
         host: entry.settings.common.host.clone(),
-        life: entry.life,
+        incarnation: entry.life,
         position,
         number: asked,
         limits: claims,
--- a/src/placement/adapters.rs
+++ b/src/placement/adapters.rs
@@ -21,42 +21,42 @@
 }
 
 /// Adapters that may be on their way to one replica.
-const AT_ONCE: usize = 4;
+const MAX_PENDING_LOADS: usize = 4;
 /// An adapter used so lately is not taken away, in milliseconds.
-const LATELY_MS: u64 = 2_000;
+const RECENT_USE_MS: u64 = 2_000;
 /// Time in which an order's effect shows in the directory, in milliseconds.
-const SHOWS_MS: u64 = 4_000;
+const LOAD_EFFECT_MS: u64 = 4_000;
 /// Time in which heartbeats tell of an adapter that is ordered out and still in use,
 /// in milliseconds: longer than they are outweighed by the order.
-const GOES_MS: u64 = 6_000;
+const UNLOAD_EFFECT_MS: u64 = 6_000;
 /// How long an adapter of which an order out has no answer, or that the leader before
 /// ordered, is left alone, in milliseconds: mostly heartbeats tell meanwhile what became of
 /// it. It takes its place all the while, and after it.
-const LATE_MS: u64 = 13_000;
+const UNKNOWN_OUTCOME_MS: u64 = 13_000;
 /// Pause after a replica was busy, in milliseconds.
-const BUSY_MS: u64 = 500;
+const BUSY_BACKOFF_MS: u64 = 500;
 /// Pause before a load that got no answer is sent again, in milliseconds.
-const AGAIN_MS: u64 = 1_000;
+const RESEND_DELAY_MS: u64 = 1_000;
 
 #[derive(Clone, Copy, Debug)]
 struct PendingOrder {
     kind: OrderKind,
     /// Until when it counts; none while it has no outcome.
-    until_ms: Option<u64>,
+    expires_ms: Option<u64>,
     /// When it is to be sent; none while an answer or its effect is awaited.
-    send_ms: Option<u64>,
+    send_at_ms: Option<u64>,
     /// It was sent without an answer, by this leader or the one before, and may still be
     /// carried out.
-    unanswered: bool,
+    may_be_running: bool,
 }
 
 /// Room of a replica for further adapters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdapterCapacity {
     /// So many more may be on their way to it.
-    pub may_come: usize,
+    pub loads_allowed: usize,
     /// So many of its places are free.
-    pub free_places: usize,
+    pub free_slots: usize,
 }
 
 /// Orders on adapters that are under way, and when adapters were used.
@@ -71,8 +71,8 @@
 
 impl AdapterOrders {
     /// An adapter was used.
-    pub fn note_used(&mut self, place: AdapterPlacement, now_ms: u64) {
-        self.used_ms.insert(place, now_ms);
+    pub fn record_use(&mut self, placement: AdapterPlacement, now_ms: u64) {
+        self.used_ms.insert(placement, now_ms);
     }
 
     /// Decides on a wish for a replica with `slots` places.
@@ -81,35 +81,35 @@
         record: &ReplicaRecord,
         slots: usize,
         replicas: &ReplicaDirectory,
-        wish: &AdapterPlacement,
+        request: &AdapterPlacement,
         now_ms: u64,
     ) -> AdapterDecision {
-        let Some(held) = record.models.get(&wish.model) else {
+        let Some(held) = record.models.get(&request.model) else {
             return AdapterDecision::Refused;
         };
-        match self.pending.get(wish) {
+        match self.pending.get(request) {
             Some(order) if order.kind == OrderKind::Load => return AdapterDecision::Known,
             Some(_) => return AdapterDecision::Refused,
-            None if held.contains(&wish.adapter) => return AdapterDecision::Known,
-            None if replicas.is_adapter_going(&record.id, &wish.model, &wish.adapter) => {
+            None if held.contains(&request.adapter) => return AdapterDecision::Known,
+            None if replicas.is_adapter_going(&record.id, &request.model, &request.adapter) => {
                 return AdapterDecision::Refused;
             }
             None => {}
         }
-        match self.room(record, slots, replicas, now_ms) {
-            room if room.may_come == 0 => AdapterDecision::Refused,
-            room if room.free_places > 0 => {
-                self.bring(wish.clone(), now_ms);
+        match self.capacity(record, slots, replicas, now_ms) {
+            capacity if capacity.loads_allowed == 0 => AdapterDecision::Refused,
+            capacity if capacity.free_slots > 0 => {
+                self.start_load(request.clone(), now_ms);
                 AdapterDecision::Load
             }
-            _ => self.evict(record, now_ms),
+            _ => self.start_eviction(record, now_ms),
         }
     }
 
-    fn evict(&mut self, record: &ReplicaRecord, now_ms: u64) -> AdapterDecision {
-        match self.least_used(record, now_ms) {
+    fn start_eviction(&mut self, record: &ReplicaRecord, now_ms: u64) -> AdapterDecision {
+        match self.least_recently_used(record, now_ms) {
             Some(victim) => {
-                self.open(victim.clone(), OrderKind::Unload, now_ms);
+                self.insert_pending(victim.clone(), OrderKind::Unload, now_ms);
                 AdapterDecision::Evict(victim)
             }
             None => AdapterDecision::Refused,
@@ -118,7 +118,7 @@
 
     /// How many more adapters may be on their way to a replica, and how many of its places
     /// nothing takes or may come to take.
-    pub fn room(
+    pub fn capacity(
         &self,
         record: &ReplicaRecord,
         slots: usize,
@@ -126,72 +126,72 @@
         now_ms: u64,
     ) -> AdapterCapacity {
         let busy_ms = self.busy_ms.get(&record.id);
-        let may_come = match busy_ms.is_some_and(|until_ms| *until_ms > now_ms) {
+        let loads_allowed = match busy_ms.is_some_and(|expires_ms| *expires_ms > now_ms) {
             true => 0,
-            false => AT_ONCE.saturating_sub(self.coming(&record.id)),
+            false => MAX_PENDING_LOADS.saturating_sub(self.pending_load_count(&record.id)),
         };
-        let free_places = slots.saturating_sub(self.taken(record, replicas));
+        let free_slots = slots.saturating_sub(self.occupied_slots(record, replicas));
         AdapterCapacity {
-            may_come,
-            free_places,
+            loads_allowed,
+            free_slots,
         }
     }
 
-    /// Begins to bring an adapter for which there is [`Self::room`].
-    pub fn bring(&mut self, place: AdapterPlacement, now_ms: u64) {
-        self.open(place, OrderKind::Load, now_ms);
+    /// Begins to bring an adapter for which there is [`Self::capacity`].
+    pub fn start_load(&mut self, placement: AdapterPlacement, now_ms: u64) {
+        self.insert_pending(placement, OrderKind::Load, now_ms);
     }
 
     /// Adapters that are on their way in.
-    pub fn loads(&self) -> impl Iterator<Item = &AdapterPlacement> {
+    pub fn pending_loads(&self) -> impl Iterator<Item = &AdapterPlacement> {
         let loads = self.pending.iter();
         let loads = loads.filter(|(_, order)| order.kind == OrderKind::Load);
-        loads.map(|(place, _)| place)
+        loads.map(|(placement, _)| placement)
     }
 
     /// An engine answered. Returns whether the order holds.
     pub fn on_outcome(
         &mut self,
-        place: &AdapterPlacement,
+        placement: &AdapterPlacement,
         outcome: OrderOutcome,
         now_ms: u64,
     ) -> bool {
-        let Some(order) = self.pending.get_mut(place) else {
+        let Some(order) = self.pending.get_mut(placement) else {
             return false;
         };
         match outcome {
             OrderOutcome::Held if order.kind == OrderKind::Unload => {
-                self.pending.remove(place);
+                self.pending.remove(placement);
                 true
             }
             OrderOutcome::Taken | OrderOutcome::Held => {
-                let shows_ms = match order.kind {
-                    OrderKind::Load => SHOWS_MS,
-                    OrderKind::Unload => GOES_MS,
+                let effect_ms = match order.kind {
+                    OrderKind::Load => LOAD_EFFECT_MS,
+                    OrderKind::Unload => UNLOAD_EFFECT_MS,
                 };
-                order.until_ms = Some(now_ms + shows_ms);
-                order.unanswered = false;
+                order.expires_ms = Some(now_ms + effect_ms);
+                order.may_be_running = false;
                 true
             }
             OrderOutcome::Unknown if order.kind == OrderKind::Unload => {
-                order.until_ms = Some(now_ms + LATE_MS);
+                order.expires_ms = Some(now_ms + UNKNOWN_OUTCOME_MS);
                 false
             }
             // Its place stays taken until an answer shows that the try before is over: an
             // engine that counts orders carries out one of them at most.
             OrderOutcome::Unknown => {
-                order.unanswered = true;
-                order.send_ms = Some(now_ms + AGAIN_MS);
+                order.may_be_running = true;
+                order.send_at_ms = Some(now_ms + RESEND_DELAY_MS);
                 false
             }
-            OrderOutcome::Busy if order.unanswered => {
-                order.send_ms = Some(now_ms + AGAIN_MS);
+            OrderOutcome::Busy if order.may_be_running => {
+                order.send_at_ms = Some(now_ms + RESEND_DELAY_MS);
                 false
             }
             OrderOutcome::Busy | OrderOutcome::Fenced | OrderOutcome::Refused => {
-                self.pending.remove(place);
-                let until_ms = now_ms + BUSY_MS;
-                self.busy_ms.insert(place.replica.clone(), until_ms);
+                self.pending.remove(placement);
+                let expires_ms = now_ms + BUSY_BACKOFF_MS;
+                self.busy_ms.insert(placement.replica.clone(), expires_ms);
                 false
             }
         }
@@ -201,12 +201,12 @@
     /// must know of a place before an order takes it.
     pub fn take_due(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<AdapterPlacement> {
         let mut due = Vec::new();
-        for (place, order) in &mut self.pending {
-            let goes = replicas.is_leaving(&place.replica, &place.model);
-            let is_due = order.send_ms.is_some_and(|at_ms| at_ms <= now_ms) && !goes;
-            if is_due && is_coming(replicas, place) {
-                order.send_ms = None;
-                due.push(place.clone());
+        for (placement, order) in &mut self.pending {
+            let unloading = replicas.is_leaving(&placement.replica, &placement.model);
+            let is_due = order.send_at_ms.is_some_and(|at_ms| at_ms <= now_ms) && !unloading;
+            if is_due && is_load_committed(replicas, placement) {
+                order.send_at_ms = None;
+                due.push(placement.clone());
             }
         }
         due
@@ -217,25 +217,28 @@
     pub fn settle(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<AdapterPlacement> {
         let records = replicas.records();
         self.adopt(replicas, now_ms);
-        self.pending.retain(|place, order| {
-            let record = records.get(&place.replica);
-            let over = order.until_ms.is_some_and(|until_ms| until_ms <= now_ms);
-            let shows = record.is_some_and(|record| holds(record, place));
-            let answered = order.until_ms.is_some() || order.unanswered;
-            let done = order.kind == OrderKind::Load && shows && answered;
+        self.pending.retain(|placement, order| {
+            let record = records.get(&placement.replica);
+            let expired = order
+                .expires_ms
+                .is_some_and(|expires_ms| expires_ms <= now_ms);
+            let visible = record.is_some_and(|record| holds(record, placement));
+            let answered = order.expires_ms.is_some() || order.may_be_running;
+            let done = order.kind == OrderKind::Load && visible && answered;
             // Without its model it cannot come, and an order that brings the model back moves
             // the engine's count past whatever was sent before.
-            let based = record.is_some_and(|record| record.models.contains_key(&place.model))
-                || replicas.is_leaving(&place.replica, &place.model);
-            based && !over && !done
+            let has_model = record
+                .is_some_and(|record| record.models.contains_key(&placement.model))
+                || replicas.is_leaving(&placement.replica, &placement.model);
+            has_model && !expired && !done
         });
-        let coming = records.keys().flat_map(|id| coming_places(replicas, id));
-        let over = coming.filter(|place| !self.pending.contains_key(place));
-        let over = over.collect();
+        let ordered = records.keys().flat_map(|id| ordered_adapters(replicas, id));
+        let settled = ordered.filter(|placement| !self.pending.contains_key(placement));
+        let settled = settled.collect();
         self.used_ms
-            .retain(|place, _| records.contains_key(&place.replica));
-        self.busy_ms.retain(|_, until_ms| *until_ms > now_ms);
-        over
+            .retain(|placement, _| records.contains_key(&placement.replica));
+        self.busy_ms.retain(|_, expires_ms| *expires_ms > now_ms);
+        settled
     }
 
     /// Orders of the leader before count as if they had no answer.
@@ -244,76 +247,80 @@
             return;
         }
         for id in replicas.records().keys() {
-            for place in coming_places(replicas, id) {
+            for placement in ordered_adapters(replicas, id) {
                 let order = PendingOrder {
                     kind: OrderKind::Load,
-                    until_ms: None,
-                    send_ms: Some(now_ms + LATE_MS),
-                    unanswered: true,
+                    expires_ms: None,
+                    send_at_ms: Some(now_ms + UNKNOWN_OUTCOME_MS),
+                    may_be_running: true,
                 };
-                self.pending.entry(place).or_insert(order);
+                self.pending.entry(placement).or_insert(order);
             }
         }
     }
 
-    fn open(&mut self, place: AdapterPlacement, kind: OrderKind, now_ms: u64) {
+    fn insert_pending(&mut self, placement: AdapterPlacement, kind: OrderKind, now_ms: u64) {
         let order = PendingOrder {
             kind,
-            until_ms: None,
+            expires_ms: None,
             // An order out leaves at once.
-            send_ms: (kind == OrderKind::Load).then_some(now_ms),
-            unanswered: false,
+            send_at_ms: (kind == OrderKind::Load).then_some(now_ms),
+            may_be_running: false,
         };
-        self.pending.insert(place, order);
+        self.pending.insert(placement, order);
     }
 
-    fn coming(&self, id: &ReplicaId) -> usize {
+    fn pending_load_count(&self, id: &ReplicaId) -> usize {
         let here = self
             .pending
             .iter()
-            .filter(|(place, _)| place.replica == *id);
+            .filter(|(placement, _)| placement.replica == *id);
         here.filter(|(_, order)| order.kind == OrderKind::Load)
             .count()
     }
 
     /// Places that are taken, by whatever order may still be carried out.
-    fn taken(&self, record: &ReplicaRecord, replicas: &ReplicaDirectory) -> usize {
+    fn occupied_slots(&self, record: &ReplicaRecord, replicas: &ReplicaDirectory) -> usize {
         let held: usize = record.models.values().map(BTreeSet::len).sum();
         let pending = self.pending.keys().cloned();
-        let pending = pending.filter(|place| place.replica == record.id);
+        let pending = pending.filter(|placement| placement.replica == record.id);
         let ordered = replicas.adapters_ordered(&record.id);
-        let ordered = ordered.map(|(model, adapter)| place_of(&record.id, model, adapter));
+        let ordered = ordered.map(|(model, adapter)| placement_of(&record.id, model, adapter));
         let ordered: BTreeSet<AdapterPlacement> = pending.chain(ordered).collect();
-        held + ordered.iter().filter(|place| !holds(record, place)).count()
+        held + ordered
+            .iter()
+            .filter(|placement| !holds(record, placement))
+            .count()
     }
 
-    fn least_used(&self, record: &ReplicaRecord, now_ms: u64) -> Option<AdapterPlacement> {
+    fn least_recently_used(&self, record: &ReplicaRecord, now_ms: u64) -> Option<AdapterPlacement> {
         let held = record.models.iter();
         let held = held.flat_map(|(model, names)| names.iter().map(move |name| (model, name)));
-        let places = held.map(|(model, name)| AdapterPlacement {
+        let placements = held.map(|(model, name)| AdapterPlacement {
             replica: record.id.clone(),
             model: model.clone(),
             adapter: name.clone(),
         });
-        let idle = places.filter_map(|place| {
-            let used_ms = self.used_ms.get(&place).copied().unwrap_or(0);
-            let free = !self.pending.contains_key(&place) && used_ms + LATELY_MS <= now_ms;
-            free.then_some((used_ms, place))
+        let idle = placements.filter_map(|placement| {
+            let used_ms = self.used_ms.get(&placement).copied().unwrap_or(0);
+            let evictable =
+                !self.pending.contains_key(&placement) && used_ms + RECENT_USE_MS <= now_ms;
+            evictable.then_some((used_ms, placement))
         });
-        idle.min().map(|(_, place)| place)
+        idle.min().map(|(_, placement)| placement)
     }
 }
 
 /// The places of a replica that stand in the log as ordered.
-fn coming_places<'a>(
+fn ordered_adapters<'a>(
     replicas: &'a ReplicaDirectory,
     id: &'a ReplicaId,
 ) -> impl Iterator<Item = AdapterPlacement> + 'a {
-    let coming = replicas.adapters_coming(id);
-    coming.map(|(model, adapter)| place_of(id, model, adapter))
+    let adapters = replicas.adapters_coming(id);
+    adapters.map(|(model, adapter)| placement_of(id, model, adapter))
 }
 
-fn place_of(id: &ReplicaId, model: &ModelName, adapter: &str) -> AdapterPlacement {
+fn placement_of(id: &ReplicaId, model: &ModelName, adapter: &str) -> AdapterPlacement {
     AdapterPlacement {
         replica: id.clone(),
         model: model.clone(),
@@ -321,10 +328,10 @@
     }
 }
 
-fn is_coming(replicas: &ReplicaDirectory, place: &AdapterPlacement) -> bool {
-    coming_places(replicas, &place.replica).any(|coming| coming == *place)
+fn is_load_committed(replicas: &ReplicaDirectory, placement: &AdapterPlacement) -> bool {
+    ordered_adapters(replicas, &placement.replica).any(|ordered| ordered == *placement)
 }
 
-fn holds(record: &ReplicaRecord, place: &AdapterPlacement) -> bool {
-    record.holds_adapter(&place.model, &place.adapter)
+fn holds(record: &ReplicaRecord, placement: &AdapterPlacement) -> bool {
+    record.holds_adapter(&placement.model, &placement.adapter)
 }
--- a/src/placement/congestion.rs
+++ b/src/placement/congestion.rs
@@ -17,9 +17,9 @@
 use crate::ids::{HostName, ReplicaId};
 
 /// Most replicas that an entry is told of: bounds the answer to a report.
-const MAX_CROWDED: usize = 32;
+const MAX_CONGESTED_REPLICAS: usize = 32;
 /// How long an entry's report counts, in milliseconds: four regular reports.
-const REPORT_MS: u64 = 2_000;
+const REPORT_TTL_MS: u64 = 2_000;
 
 /// Tokens of prompts that wait, by replica.
 pub type QueuedTokens = BTreeMap<ReplicaId, u64>;
@@ -35,21 +35,21 @@
 
 /// The last report of an entry.
 #[derive(Debug)]
-struct HeardReport {
-    heard_ms: u64,
+struct EntrySample {
+    received_ms: u64,
     waiting: QueuedTokens,
 }
 
 /// The leader's sums over all entries.
 #[derive(Debug, Default)]
 pub struct QueueTotals {
-    entries: BTreeMap<HostName, HeardReport>,
-    swept_ms: u64,
-    sums: QueuedTokens,
+    entries: BTreeMap<HostName, EntrySample>,
+    last_expiry_ms: u64,
+    totals: QueuedTokens,
     /// By tokens, so that the most crowded are found without a look at all replicas.
-    ranked: BTreeSet<(u64, ReplicaId)>,
+    by_tokens: BTreeSet<(u64, ReplicaId)>,
     /// Since when each crowded replica has been so, without a pause.
-    since: BTreeMap<ReplicaId, u64>,
+    congested_since_ms: BTreeMap<ReplicaId, u64>,
 }
 
 /// From when on a replica counts as crowded.
@@ -58,83 +58,88 @@
     /// Tokens that wait there.
     pub tokens: u64,
     /// For so long without a pause, in milliseconds.
-    pub for_ms: u64,
+    pub min_duration_ms: u64,
 }
 
 impl QueueTotals {
     /// Takes an entry's report in place of its last one. Returns the most crowded replicas.
-    pub fn take(
+    pub fn record(
         &mut self,
         now_ms: u64,
         report: QueueReport,
-        bound: CongestionThreshold,
+        threshold: CongestionThreshold,
     ) -> QueuedTokens {
-        self.lapse(now_ms, bound);
+        self.expire_reports(now_ms, threshold);
         // First what is new: a replica that is crowded by both reports stays so.
         for (id, tokens) in &report.waiting {
-            self.change(now_ms, bound, id, |sum| sum.saturating_add(*tokens));
+            self.update_total(now_ms, threshold, id, |total| total.saturating_add(*tokens));
         }
-        let heard = HeardReport {
-            heard_ms: now_ms,
+        let sample = EntrySample {
+            received_ms: now_ms,
             waiting: report.waiting,
         };
-        if let Some(last) = self.entries.insert(report.host, heard) {
-            self.forget(now_ms, bound, &last.waiting);
+        if let Some(last) = self.entries.insert(report.host, sample) {
+            self.subtract_report(now_ms, threshold, &last.waiting);
         }
-        let most = self.ranked.iter().rev();
-        let crowded = most.take_while(|(tokens, _)| *tokens >= bound.tokens);
-        let stands = |id: &ReplicaId| {
-            let since_ms = self.since.get(id);
-            since_ms.is_some_and(|since_ms| now_ms >= since_ms + bound.for_ms)
+        let most = self.by_tokens.iter().rev();
+        let congested = most.take_while(|(tokens, _)| *tokens >= threshold.tokens);
+        let is_standing = |id: &ReplicaId| {
+            let since_ms = self.congested_since_ms.get(id);
+            since_ms.is_some_and(|since_ms| now_ms >= since_ms + threshold.min_duration_ms)
         };
         // Bounded before the filter: a burst may crowd thousands for a moment.
-        let listed = crowded.take(MAX_CROWDED);
-        let listed = listed.filter(|(_, id)| stands(id));
-        listed.map(|(tokens, id)| (id.clone(), *tokens)).collect()
+        let reported = congested.take(MAX_CONGESTED_REPLICAS);
+        let reported = reported.filter(|(_, id)| is_standing(id));
+        reported.map(|(tokens, id)| (id.clone(), *tokens)).collect()
     }
 
     /// Forgets entries that have fallen silent, once in a while.
-    fn lapse(&mut self, now_ms: u64, bound: CongestionThreshold) {
-        if now_ms < self.swept_ms + REPORT_MS {
+    fn expire_reports(&mut self, now_ms: u64, threshold: CongestionThreshold) {
+        if now_ms < self.last_expiry_ms + REPORT_TTL_MS {
             return;
         }
-        self.swept_ms = now_ms;
+        self.last_expiry_ms = now_ms;
         let entries = std::mem::take(&mut self.entries).into_iter();
-        let (heard, gone): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            entries.partition(|(_, last)| now_ms < last.heard_ms + REPORT_MS);
-        self.entries = heard;
-        for last in gone.values() {
-            self.forget(now_ms, bound, &last.waiting);
+        let (fresh, expired): (BTreeMap<_, _>, BTreeMap<_, _>) =
+            entries.partition(|(_, last)| now_ms < last.received_ms + REPORT_TTL_MS);
+        self.entries = fresh;
+        for last in expired.values() {
+            self.subtract_report(now_ms, threshold, &last.waiting);
         }
     }
 
-    fn forget(&mut self, now_ms: u64, bound: CongestionThreshold, waiting: &QueuedTokens) {
+    fn subtract_report(
+        &mut self,
+        now_ms: u64,
+        threshold: CongestionThreshold,
+        waiting: &QueuedTokens,
+    ) {
         for (id, tokens) in waiting {
-            self.change(now_ms, bound, id, |sum| sum.saturating_sub(*tokens));
+            self.update_total(now_ms, threshold, id, |total| total.saturating_sub(*tokens));
         }
     }
 
     /// Changes one sum, its rank, and since when the replica is crowded.
-    fn change(
+    fn update_total(
         &mut self,
         now_ms: u64,
-        bound: CongestionThreshold,
+        threshold: CongestionThreshold,
         id: &ReplicaId,
-        change: impl FnOnce(u64) -> u64,
+        update: impl FnOnce(u64) -> u64,
     ) {
-        let sum = self.sums.remove(id).unwrap_or(0);
-        self.ranked.remove(&(sum, id.clone()));
-        let sum = change(sum);
-        if sum > 0 {
-            self.sums.insert(id.clone(), sum);
-            self.ranked.insert((sum, id.clone()));
+        let total = self.totals.remove(id).unwrap_or(0);
+        self.by_tokens.remove(&(total, id.clone()));
+        let total = update(total);
+        if total > 0 {
+            self.totals.insert(id.clone(), total);
+            self.by_tokens.insert((total, id.clone()));
         }
-        match sum >= bound.tokens.max(1) {
+        match total >= threshold.tokens.max(1) {
             true => {
-                self.since.entry(id.clone()).or_insert(now_ms);
+                self.congested_since_ms.entry(id.clone()).or_insert(now_ms);
             }
             false => {
-                self.since.remove(id);
+                self.congested_since_ms.remove(id);
             }
         }
     }
--- a/src/placement/demand.rs
+++ b/src/placement/demand.rs
@@ -8,40 +8,40 @@
 #[derive(Clone, Debug)]
 pub struct DemandTracker {
     levels: BTreeMap<ModelName, f64>,
-    fall: f64,
+    decay: f64,
 }
 
 impl Default for DemandTracker {
     fn default() -> Self {
-        Self::falling(FALL)
+        Self::with_decay(DEFAULT_DECAY)
     }
 }
 
 /// Part of the level that remains after each quieter sample, if nothing else is said.
-const FALL: f64 = 0.97;
+const DEFAULT_DECAY: f64 = 0.97;
 /// Part of the way that a higher sample takes the level up.
-const RISE: f64 = 0.5;
+const RISE_FACTOR: f64 = 0.5;
 
 impl DemandTracker {
-    /// No demand yet; `fall` of a level remains after each quieter sample.
-    pub fn falling(fall: f64) -> Self {
+    /// No demand yet; `decay` of a level remains after each quieter sample.
+    pub fn with_decay(decay: f64) -> Self {
         Self {
             levels: BTreeMap::new(),
-            fall,
+            decay,
         }
     }
 
     /// Takes a sample of all models' concurrent requests.
-    pub fn sample(&mut self, now: &BTreeMap<ModelName, f64>) {
+    pub fn sample(&mut self, samples: &BTreeMap<ModelName, f64>) {
         for (model, level) in &mut self.levels {
-            let sample = now.get(model).copied().unwrap_or(0.0);
+            let sample = samples.get(model).copied().unwrap_or(0.0);
             *level = match sample > *level {
-                true => *level + (sample - *level) * RISE,
-                false => (*level * self.fall).max(sample),
+                true => *level + (sample - *level) * RISE_FACTOR,
+                false => (*level * self.decay).max(sample),
             };
         }
-        for (model, sample) in now {
-            let level = sample * RISE;
+        for (model, sample) in samples {
+            let level = sample * RISE_FACTOR;
             self.levels.entry(model.clone()).or_insert(level);
         }
         self.levels.retain(|_, level| *level > 0.01);
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -95,14 +95,14 @@
 
 /// Room that was made for a model: no other may take it for a while.
 #[derive(Clone, Debug)]
-struct Promise {
+struct Reservation {
     model: ModelName,
     until_ms: u64,
 }
 
 #[derive(Clone, Debug)]
-struct EntryNote {
-    heard_ms: u64,
+struct EntrySample {
+    received_ms: u64,
     busy: BTreeMap<ModelName, f64>,
 }
 
@@ -113,18 +113,18 @@
     holder: HostName,
     term: Term,
     /// Orders given in this term.
-    given: u64,
+    orders_issued: u64,
     since_ms: u64,
-    heard: BTreeMap<ReplicaId, u64>,
-    entries: BTreeMap<String, EntryNote>,
-    crowd: QueueTotals,
+    last_seen_ms: BTreeMap<ReplicaId, u64>,
+    entries: BTreeMap<String, EntrySample>,
+    queue_totals: QueueTotals,
     demand: DemandTracker,
-    sampled_ms: u64,
+    last_sample_ms: u64,
     round_due_ms: u64,
-    ahead_due_ms: u64,
+    preload_due_ms: u64,
     last_load_ms: BTreeMap<ServiceName, u64>,
     pending: BTreeMap<ReplicaId, PendingOrder>,
-    promised: BTreeMap<ReplicaId, Promise>,
+    reservations: BTreeMap<ReplicaId, Reservation>,
     adapters: AdapterOrders,
     /// Lives that refuse this leader: an engine forgets fences when it starts again.
     fenced: BTreeSet<ReplicaLife>,
@@ -133,37 +133,37 @@
     /// The change of limits that this is from.
     limits_revision: u64,
     /// Commands for the next round.
-    proposed: Vec<Command>,
+    queued_commands: Vec<Command>,
     /// Commands that follow from what the log says, and when each was proposed:
     /// the log says the same until they are committed.
-    awaited: Vec<(u64, Command)>,
+    uncommitted: Vec<(u64, Command)>,
 }
 
 /// A wait is longer by this part of it, as this host's clock may run 5% fast.
-const CLOCK_DRIFT_PART: u64 = 20;
+const CLOCK_DRIFT_DIVISOR: u64 = 20;
 /// Time between two samples of demand, in milliseconds.
-const SAMPLE_MS: u64 = 500;
+const DEMAND_SAMPLE_INTERVAL_MS: u64 = 500;
 /// An entry that has not reported for so long counts no more, in milliseconds.
-const ENTRY_MS: u64 = 2_500;
+const ENTRY_REPORT_TTL_MS: u64 = 2_500;
 /// Pause before an order is sent again to an engine that was busy or did not answer, in
 /// milliseconds.
-const BUSY_MS: u64 = 1_000;
+const RESEND_DELAY_MS: u64 = 1_000;
 /// Time in which an order's command is committed, in milliseconds.
-const COMMIT_MS: u64 = 2_000;
+const COMMIT_TIMEOUT_MS: u64 = 2_000;
 /// How long a new leader that has heard of no demand orders nothing out, in milliseconds:
 /// it would take further homes of models that will be busy for others that will not.
-const UNAWARE_MS: u64 = 30_000;
+const NO_DEMAND_WAIT_MS: u64 = 30_000;
 /// Demand for a model from which a home that names a limit does not count as one, in concurrent
 /// requests.
-const LIMITED_LEVEL: f64 = 1.0;
+const LIMITED_HOME_MAX_DEMAND: f64 = 1.0;
 /// How long room that was made for a model is kept for it, in milliseconds.
-const PROMISE_MS: u64 = 4_000;
+const RESERVATION_MS: u64 = 4_000;
 
 /// Time between two looks at adapters that are nowhere, in milliseconds.
-const AHEAD_MS: u64 = 500;
+const PRELOAD_INTERVAL_MS: u64 = 500;
 
 /// Whether an order stands in the log and its effect does not show yet.
-fn under_way(replicas: &ReplicaDirectory, id: &ReplicaId, order: &PendingOrder) -> bool {
+fn is_under_way(replicas: &ReplicaDirectory, id: &ReplicaId, order: &PendingOrder) -> bool {
     match order.kind {
         OrderKind::Load => replicas.loading(id).any(|model| *model == order.model),
         OrderKind::Unload => replicas.leaving(id).any(|model| *model == order.model),
@@ -188,24 +188,24 @@
             policy,
             holder,
             term,
-            given: 0,
+            orders_issued: 0,
             since_ms: now_ms,
-            heard: BTreeMap::new(),
+            last_seen_ms: BTreeMap::new(),
             entries: BTreeMap::new(),
-            crowd: QueueTotals::default(),
-            demand: DemandTracker::falling(policy.demand_fall),
-            sampled_ms: now_ms,
+            queue_totals: QueueTotals::default(),
+            demand: DemandTracker::with_decay(policy.demand_fall),
+            last_sample_ms: now_ms,
             round_due_ms: now_ms,
-            ahead_due_ms: now_ms,
+            preload_due_ms: now_ms,
             last_load_ms: BTreeMap::new(),
             pending: BTreeMap::new(),
-            promised: BTreeMap::new(),
+            reservations: BTreeMap::new(),
             adapters: AdapterOrders::default(),
             fenced: BTreeSet::new(),
             limited: BTreeSet::new(),
             limits_revision: 0,
-            proposed: Vec::new(),
-            awaited: Vec::new(),
+            queued_commands: Vec::new(),
+            uncommitted: Vec::new(),
         }
     }
 
@@ -215,36 +215,36 @@
     }
 
     /// Replicas that some control host has heard.
-    pub fn on_heard(&mut self, now_ms: u64, ids: &[ReplicaId]) {
+    pub fn on_heartbeats(&mut self, now_ms: u64, ids: &[ReplicaId]) {
         for id in ids {
-            self.heard.insert(id.clone(), now_ms);
+            self.last_seen_ms.insert(id.clone(), now_ms);
         }
     }
 
     /// An entry's report. Returns how many entries report.
     pub fn on_report(&mut self, now_ms: u64, report: EntryReport) -> u32 {
-        for place in report.adapters {
-            self.adapters.note_used(place, now_ms);
+        for placement in report.adapters {
+            self.adapters.record_use(placement, now_ms);
         }
-        let note = EntryNote {
-            heard_ms: now_ms,
+        let sample = EntrySample {
+            received_ms: now_ms,
             busy: report.busy,
         };
-        self.entries.insert(report.host, note);
+        self.entries.insert(report.host, sample);
         self.entries.len() as u32
     }
 
     /// What an entry has waiting at replicas. Returns the most crowded ones.
-    pub fn on_crowd(&mut self, now_ms: u64, report: QueueReport) -> QueuedTokens {
+    pub fn on_queue_report(&mut self, now_ms: u64, report: QueueReport) -> QueuedTokens {
         let bound = CongestionThreshold {
             tokens: self.policy.crowded_tokens,
-            for_ms: self.policy.crowded_ms,
+            min_duration_ms: self.policy.crowded_ms,
         };
-        self.crowd.take(now_ms, report, bound)
+        self.queue_totals.record(now_ms, report, bound)
     }
 
     /// Takes over which replicas name a limit, as of a change that rises.
-    pub fn follow_limits<'a>(
+    pub fn update_limited<'a>(
         &mut self,
         revision: u64,
         limited: impl Iterator<Item = &'a ReplicaLife>,
@@ -256,13 +256,13 @@
     }
 
     /// An entry's wish. Returns whether it will be met soon, and the order to send.
-    pub fn on_wish(
+    pub fn on_adapter_request(
         &mut self,
         state: &SiteState,
         now_ms: u64,
-        wish: &AdapterPlacement,
+        request: &AdapterPlacement,
     ) -> (bool, Option<EngineOrder>) {
-        let record = state.replicas.records().get(&wish.replica);
+        let record = state.replicas.records().get(&request.replica);
         let configuration = state.configuration.as_ref().map(|held| &held.configuration);
         let (Some(record), Some(configuration)) = (record, configuration) else {
             return (false, None);
@@ -271,27 +271,27 @@
         let Some(engine) = service.and_then(|service| service.engine.as_ref()) else {
             return (false, None);
         };
-        if self.waits(now_ms) || !self.takes_adapters(state, record) {
+        if self.must_wait_for_predecessor(now_ms) || !self.accepts_adapter_orders(state, record) {
             return (false, None);
         }
         let slots = engine.adapter_slots as usize;
         match self
             .adapters
-            .decide(record, slots, &state.replicas, wish, now_ms)
+            .decide(record, slots, &state.replicas, request, now_ms)
         {
             AdapterDecision::Known => (true, None),
             AdapterDecision::Refused => (false, None),
             AdapterDecision::Load => {
-                let (id, model) = (wish.replica.clone(), wish.model.clone());
-                let command = Command::ReplicaAdapterOrdered(id, model, wish.adapter.clone());
-                self.proposed.push(command);
+                let (id, model) = (request.replica.clone(), request.model.clone());
+                let command = Command::ReplicaAdapterOrdered(id, model, request.adapter.clone());
+                self.queued_commands.push(command);
                 (true, None)
             }
-            AdapterDecision::Evict(place) => {
-                let adapter = Some(place.adapter.as_str());
+            AdapterDecision::Evict(placement) => {
+                let adapter = Some(placement.adapter.as_str());
                 (
                     true,
-                    Some(self.order(record, OrderKind::Unload, &place.model, adapter)),
+                    Some(self.order(record, OrderKind::Unload, &placement.model, adapter)),
                 )
             }
         }
@@ -309,12 +309,12 @@
         }
         match &order.adapter {
             Some(adapter) => {
-                let place = AdapterPlacement {
+                let placement = AdapterPlacement {
                     replica: order.replica.clone(),
                     model: order.model.clone(),
                     adapter: adapter.clone(),
                 };
-                if !self.adapters.on_outcome(&place, outcome, now_ms) {
+                if !self.adapters.on_outcome(&placement, outcome, now_ms) {
                     return Vec::new();
                 }
                 let effect = match (order.kind, outcome) {
@@ -322,8 +322,13 @@
                     (OrderKind::Unload, OrderOutcome::Held) => AdapterEffect::Gone,
                     (OrderKind::Unload, _) => AdapterEffect::Goes,
                 };
-                let (id, model) = (place.replica, place.model);
-                vec![Command::ReplicaAdapter(id, model, place.adapter, effect)]
+                let (id, model) = (placement.replica, placement.model);
+                vec![Command::ReplicaAdapter(
+                    id,
+                    model,
+                    placement.adapter,
+                    effect,
+                )]
             }
             None => self.on_model_outcome(now_ms, order, outcome),
         }
@@ -348,7 +353,7 @@
             }
             // Perhaps with this very order, sent before or by the leader before.
             OrderOutcome::Busy | OrderOutcome::Unknown => {
-                pending.send_ms = Some(now_ms + BUSY_MS);
+                pending.send_ms = Some(now_ms + RESEND_DELAY_MS);
             }
             OrderOutcome::Fenced | OrderOutcome::Refused => {
                 pending.refused = true;
@@ -360,30 +365,31 @@
 
     /// Keeps those commands that were not proposed a moment ago.
     fn propose_once(&mut self, now_ms: u64, mut commands: Vec<Command>) -> Vec<Command> {
-        self.awaited.retain(|(at_ms, _)| at_ms + COMMIT_MS > now_ms);
-        commands.retain(|command| !self.awaited.iter().any(|(_, other)| other == command));
+        self.uncommitted
+            .retain(|(at_ms, _)| at_ms + COMMIT_TIMEOUT_MS > now_ms);
+        commands.retain(|command| !self.uncommitted.iter().any(|(_, other)| other == command));
         let proposed = commands.iter().map(|command| (now_ms, command.clone()));
-        self.awaited.extend(proposed);
+        self.uncommitted.extend(proposed);
         commands
     }
 
     /// One look at the clock: marks the silent, and plans where a round is due.
     pub fn round(&mut self, state: &SiteState, now_ms: u64) -> FleetActions {
-        let watched = self.watch(&state.replicas, now_ms);
+        let liveness = self.check_liveness(&state.replicas, now_ms);
         let mut actions = FleetActions {
-            commands: self.propose_once(now_ms, watched),
+            commands: self.propose_once(now_ms, liveness),
             orders: Vec::new(),
         };
-        self.sample(now_ms);
+        self.sample_demand(now_ms);
         let Some(record) = &state.configuration else {
             return actions;
         };
-        if self.waits(now_ms) {
+        if self.must_wait_for_predecessor(now_ms) {
             return actions;
         }
-        let settled = self.settle(&state.replicas, now_ms);
+        let settled = self.settle_orders(&state.replicas, now_ms);
         actions.commands.extend(self.propose_once(now_ms, settled));
-        actions.commands.append(&mut self.proposed);
+        actions.commands.append(&mut self.queued_commands);
         actions.orders = self.send_due(&state.replicas, now_ms);
         let engines = record.configuration.services.iter();
         let engines = engines.filter_map(|(name, spec)| Some((name, spec.engine.as_ref()?)));
@@ -391,25 +397,25 @@
         if now_ms >= self.round_due_ms {
             self.round_due_ms = now_ms + self.policy.round_ms;
             for (service, engine) in &engines {
-                self.place(state, service, engine, now_ms, &mut actions);
+                self.plan_service(state, service, engine, now_ms, &mut actions);
             }
         }
-        if now_ms >= self.ahead_due_ms {
-            self.ahead_due_ms = now_ms + AHEAD_MS;
+        if now_ms >= self.preload_due_ms {
+            self.preload_due_ms = now_ms + PRELOAD_INTERVAL_MS;
             for (service, engine) in engines {
-                self.bring_ahead(state, service, engine, now_ms);
+                self.preload_adapters(state, service, engine, now_ms);
             }
         }
         actions
     }
 
-    fn watch(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<Command> {
+    fn check_liveness(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<Command> {
         let records = replicas.records();
-        self.heard.retain(|id, _| records.contains_key(id));
+        self.last_seen_ms.retain(|id, _| records.contains_key(id));
         let mut commands = Vec::new();
         for (id, record) in records {
-            let heard_ms = *self.heard.entry(id.clone()).or_insert(now_ms);
-            let silent_ms = now_ms.saturating_sub(heard_ms);
+            let last_seen_ms = *self.last_seen_ms.entry(id.clone()).or_insert(now_ms);
+            let silent_ms = now_ms.saturating_sub(last_seen_ms);
             if silent_ms >= self.policy.lost_ms {
                 commands.push(Command::ReplicaEnded(record.life()));
             } else if silent_ms >= self.policy.silent_ms && record.phase == ReplicaPhase::Ready {
@@ -419,16 +425,16 @@
         commands
     }
 
-    fn sample(&mut self, now_ms: u64) {
-        if now_ms < self.sampled_ms + SAMPLE_MS {
+    fn sample_demand(&mut self, now_ms: u64) {
+        if now_ms < self.last_sample_ms + DEMAND_SAMPLE_INTERVAL_MS {
             return;
         }
-        self.sampled_ms = now_ms;
+        self.last_sample_ms = now_ms;
         self.entries
-            .retain(|_, note| note.heard_ms + ENTRY_MS > now_ms);
+            .retain(|_, sample| sample.received_ms + ENTRY_REPORT_TTL_MS > now_ms);
         let mut sum: BTreeMap<ModelName, f64> = BTreeMap::new();
-        for note in self.entries.values() {
-            for (model, busy) in &note.busy {
+        for sample in self.entries.values() {
+            for (model, busy) in &sample.busy {
                 *sum.entry(model.clone()).or_default() += busy;
             }
         }
@@ -437,15 +443,15 @@
 
     /// Forgets orders whose effect shows, or that were refused, and takes over those of
     /// the leader before.
-    fn settle(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<Command> {
+    fn settle_orders(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<Command> {
         let records = replicas.records();
         let mut commands = Vec::new();
-        let mut promised = Vec::new();
+        let mut to_reserve = Vec::new();
         self.pending.retain(|id, order| {
             if !records.contains_key(id) {
                 return false;
             }
-            let open = under_way(replicas, id, order);
+            let open = is_under_way(replicas, id, order);
             if order.refused {
                 if open {
                     commands.push(Command::ReplicaSettled(id.clone(), order.model.clone()));
@@ -454,20 +460,21 @@
             }
             // Until its command is committed, its effect cannot show.
             order.committed |= open;
-            let waits = !order.committed && order.since_ms + COMMIT_MS > now_ms;
-            let stays = waits || open;
+            let awaits_commit = !order.committed && order.since_ms + COMMIT_TIMEOUT_MS > now_ms;
+            let stays = awaits_commit || open;
             if !stays {
                 let model = order.for_model.take();
-                promised.extend(model.map(|model| (id.clone(), model)));
+                to_reserve.extend(model.map(|model| (id.clone(), model)));
             }
             stays
         });
-        for (id, model) in promised {
-            let until_ms = now_ms + PROMISE_MS;
-            self.promised.insert(id, Promise { model, until_ms });
+        for (id, model) in to_reserve {
+            let until_ms = now_ms + RESERVATION_MS;
+            self.reservations
+                .insert(id, Reservation { model, until_ms });
         }
-        self.promised
-            .retain(|id, promise| records.contains_key(id) && promise.until_ms > now_ms);
+        self.reservations
+            .retain(|id, reservation| records.contains_key(id) && reservation.until_ms > now_ms);
         for id in records.keys() {
             let loading = replicas.loading(id).map(|model| (OrderKind::Load, model));
             let leaving = replicas.leaving(id).map(|model| (OrderKind::Unload, model));
@@ -486,9 +493,9 @@
                 self.pending.insert(id.clone(), order);
             }
         }
-        for place in self.adapters.settle(replicas, now_ms) {
-            let (id, model) = (place.replica, place.model);
-            commands.push(Command::ReplicaAdapterSettled(id, model, place.adapter));
+        for placement in self.adapters.settle(replicas, now_ms) {
+            let (id, model) = (placement.replica, placement.model);
+            commands.push(Command::ReplicaAdapterSettled(id, model, placement.adapter));
         }
         self.fenced.retain(|life| {
             records
@@ -503,7 +510,7 @@
         let mut due = Vec::new();
         for (id, order) in &mut self.pending {
             let is_due = order.send_ms.is_some_and(|at_ms| at_ms <= now_ms);
-            if is_due && under_way(replicas, id, order) {
+            if is_due && is_under_way(replicas, id, order) {
                 order.send_ms = None;
                 due.push((id.clone(), order.kind, order.model.clone()));
             }
@@ -514,10 +521,10 @@
             let record = records.get(&id);
             orders.extend(record.map(|record| self.order(record, kind, &model, None)));
         }
-        for place in self.adapters.take_due(replicas, now_ms) {
-            let record = records.get(&place.replica);
-            let adapter = Some(place.adapter.as_str());
-            let order = |record| self.order(record, OrderKind::Load, &place.model, adapter);
+        for placement in self.adapters.take_due(replicas, now_ms) {
+            let record = records.get(&placement.replica);
+            let adapter = Some(placement.adapter.as_str());
+            let order = |record| self.order(record, OrderKind::Load, &placement.model, adapter);
             orders.extend(record.map(order));
         }
         orders
@@ -530,9 +537,9 @@
         model: &ModelName,
         adapter: Option<&str>,
     ) -> EngineOrder {
-        self.given += 1;
+        self.orders_issued += 1;
         EngineOrder {
-            number: self.given,
+            number: self.orders_issued,
             replica: record.id.clone(),
             born_ms: record.born_ms,
             address: record.address,
@@ -546,28 +553,28 @@
 
     /// Whether an order of the leader before may have arrived so lately, or may still arrive,
     /// that one of this leader would meet it: its lease had ended when this one was elected.
-    fn waits(&self, now_ms: u64) -> bool {
+    fn must_wait_for_predecessor(&self, now_ms: u64) -> bool {
         let wait_ms = self.policy.order_lease_ms + self.policy.order_transit_ms;
-        now_ms < self.since_ms + wait_ms + wait_ms / CLOCK_DRIFT_PART
+        now_ms < self.since_ms + wait_ms + wait_ms / CLOCK_DRIFT_DIVISOR
     }
 
     /// Whether adapters may be ordered to a replica: no model comes or goes there, and its hall
     /// is open.
-    fn takes_adapters(&self, state: &SiteState, record: &ReplicaRecord) -> bool {
+    fn accepts_adapter_orders(&self, state: &SiteState, record: &ReplicaRecord) -> bool {
         // By the log as well: the leader before may have ordered a model out that is still
         // there with its adapters, and the first round after the lease may yet come.
         let loading = state.replicas.loading(&record.id).next();
-        let under_way = loading.or(state.replicas.leaving(&record.id).next());
-        let ordered = under_way.is_some() || self.pending.contains_key(&record.id);
+        let model_order = loading.or(state.replicas.leaving(&record.id).next());
+        let ordered = model_order.is_some() || self.pending.contains_key(&record.id);
         let open = !state.evacuated.contains(&record.hall);
-        !ordered && open && self.may_order(record)
+        !ordered && open && self.accepts_orders(record)
     }
 
-    fn may_order(&self, record: &ReplicaRecord) -> bool {
+    fn accepts_orders(&self, record: &ReplicaRecord) -> bool {
         record.phase == ReplicaPhase::Ready && !self.fenced.contains(&record.life())
     }
 
-    fn place(
+    fn plan_service(
         &mut self,
         state: &SiteState,
         service: &ServiceName,
@@ -577,60 +584,60 @@
     ) {
         let models = self.plan_models(engine);
         let largest_mb = models.values().map(|model| model.weights_mb).max();
-        let unaware = self.demand.is_empty() && now_ms < self.since_ms + UNAWARE_MS;
+        let demand_unknown = self.demand.is_empty() && now_ms < self.since_ms + NO_DEMAND_WAIT_MS;
         let replicas = open_records(state, service).map(|record| {
             let mut replica = self.plan_replica(state, record, engine);
             // Only what fits without anything going first.
-            replica.open &= !unaware || replica.free_mb >= largest_mb.unwrap_or(0);
+            replica.accepts_orders &= !demand_unknown || replica.free_mb >= largest_mb.unwrap_or(0);
             replica
         });
         let replicas: Vec<PlanReplica> = replicas.collect();
         let last_ms = self.last_load_ms.get(service).copied();
         let due = last_ms.is_none_or(|at_ms| at_ms + engine.load_gap_ms <= now_ms);
-        let permits = match engine.load_gap_ms {
+        let store_loads = match engine.load_gap_ms {
             0 => usize::MAX,
             _ => usize::from(due),
         };
-        let (kept, from_store) = self.keep_promises(&replicas, &models, permits > 0);
-        let permits = permits.saturating_sub(from_store);
+        let (kept, from_store) = self.use_reservations(&replicas, &models, store_loads > 0);
+        let store_loads = store_loads.saturating_sub(from_store);
         let price = self.policy.move_price;
-        let steps = fleet_plan::plan(replicas, &models, price, permits);
+        let steps = fleet_plan::plan(replicas, &models, price, store_loads);
         for step in kept.into_iter().chain(steps) {
-            self.order_step(service, step, now_ms, actions);
+            self.start_step(service, step, now_ms, actions);
         }
     }
 
     /// Loads into the room that was made for them, and how many come from the store.
-    fn keep_promises(
+    fn use_reservations(
         &mut self,
         replicas: &[PlanReplica],
         models: &BTreeMap<ModelName, PlanModel>,
-        store: bool,
+        store_load_allowed: bool,
     ) -> (Vec<PlanStep>, usize) {
         let mut steps = Vec::new();
         let mut from_store = 0;
         for replica in replicas {
-            let Some(promise) = self.promised.get(&replica.id) else {
+            let Some(reservation) = self.reservations.get(&replica.id) else {
                 continue;
             };
-            let at_hand = replica.at_hand.contains_key(&promise.model);
-            let size_mb = models.get(&promise.model).map(|model| model.weights_mb);
+            let cached = replica.cached_load_ms.contains_key(&reservation.model);
+            let size_mb = models.get(&reservation.model).map(|model| model.weights_mb);
             let fits = size_mb.is_some_and(|size_mb| replica.free_mb >= size_mb);
-            let permitted = at_hand || (store && from_store == 0);
+            let permitted = cached || (store_load_allowed && from_store == 0);
             if !fits || !permitted || self.pending.contains_key(&replica.id) {
                 continue;
             }
-            from_store += usize::from(!at_hand);
+            from_store += usize::from(!cached);
             steps.push(PlanStep {
                 replica: replica.id.clone(),
-                model: promise.model.clone(),
+                model: reservation.model.clone(),
                 kind: OrderKind::Load,
-                from_store: !at_hand,
+                from_store: !cached,
                 for_model: None,
             });
         }
         for step in &steps {
-            self.promised.remove(&step.replica);
+            self.reservations.remove(&step.replica);
         }
         (steps, from_store)
     }
@@ -655,29 +662,31 @@
     ) -> PlanReplica {
         let adapter_mb = engine.models.values().map(|model| model.adapter_mb).max();
         let adapters_mb = adapter_mb.unwrap_or(0) * u64::from(engine.adapter_slots);
-        let mut coming: BTreeSet<ModelName> = state.replicas.loading(&record.id).cloned().collect();
-        let mut going: BTreeSet<ModelName> = state.replicas.leaving(&record.id).cloned().collect();
+        let mut loading: BTreeSet<ModelName> =
+            state.replicas.loading(&record.id).cloned().collect();
+        let mut unloading: BTreeSet<ModelName> =
+            state.replicas.leaving(&record.id).cloned().collect();
         let mut held: BTreeSet<ModelName> = record.models.keys().cloned().collect();
         match self.pending.get(&record.id) {
             Some(order) if order.kind == OrderKind::Load => {
-                coming.insert(order.model.clone());
+                loading.insert(order.model.clone());
             }
             Some(order) => {
                 held.remove(&order.model);
-                going.insert(order.model.clone());
+                unloading.insert(order.model.clone());
             }
             None => {}
         }
-        let promised = self.pending.get(&record.id);
-        let promised = promised.and_then(|order| order.for_model.clone());
-        let kept = self.promised.get(&record.id);
-        let kept = kept.map(|promise| promise.model.clone());
+        let unload_for = self.pending.get(&record.id);
+        let unload_for = unload_for.and_then(|order| order.for_model.clone());
+        let reserved = self.reservations.get(&record.id);
+        let reserved = reserved.map(|reservation| reservation.model.clone());
         let weight = |model: &ModelName| engine.models.get(model).map_or(0, |m| m.weights_mb);
         // What may be there, by whatever order is carried out or not.
-        let taken: BTreeSet<&ModelName> = held.iter().chain(&coming).chain(&going).collect();
+        let taken: BTreeSet<&ModelName> = held.iter().chain(&loading).chain(&unloading).collect();
         let taken_mb: u64 = taken.into_iter().map(weight).sum();
-        let open = !self.pending.contains_key(&record.id) && kept.is_none();
-        coming.extend(promised.or(kept));
+        let open = !self.pending.contains_key(&record.id) && reserved.is_none();
+        loading.extend(unload_for.or(reserved));
         let load_ms = |name: &ModelName, memory: bool| {
             let model = engine.models.get(name)?;
             Some((
@@ -698,20 +707,20 @@
         if !stays {
             held.clear();
         } else if limited {
-            held.retain(|model| self.demand.level(model) < LIMITED_LEVEL);
+            held.retain(|model| self.demand.level(model) < LIMITED_HOME_MAX_DEMAND);
         }
         PlanReplica {
             id: record.id.clone(),
             hall: record.hall.clone(),
-            open: open && !limited && self.may_order(record),
+            accepts_orders: open && !limited && self.accepts_orders(record),
             free_mb: engine.weights_mb.saturating_sub(adapters_mb + taken_mb),
             held,
-            coming,
-            at_hand: disk.chain(memory).collect(),
+            loading,
+            cached_load_ms: disk.chain(memory).collect(),
         }
     }
 
-    fn order_step(
+    fn start_step(
         &mut self,
         service: &ServiceName,
         step: PlanStep,
--- a/src/placement/fleet/preload_adapters.rs
+++ b/src/placement/fleet/preload_adapters.rs
@@ -11,20 +11,20 @@
 use super::{FleetController, open_records};
 
 /// Adapters on their way in from which none are brought before somebody asks: wishes go first.
-const MAX_AHEAD: usize = 32;
+const MAX_PENDING_LOADS: usize = 32;
 
 impl FleetController {
     /// Brings adapters that are nowhere to a home of their model, before somebody asks.
-    pub(super) fn bring_ahead(
+    pub(super) fn preload_adapters(
         &mut self,
         state: &SiteState,
         service: &ServiceName,
         engine: &EngineSpec,
         now_ms: u64,
     ) {
-        let under_way = self.adapters.loads().count();
-        let most = MAX_AHEAD.saturating_sub(under_way);
-        if most == 0 || engine.adapter_slots == 0 {
+        let pending = self.adapters.pending_loads().count();
+        let limit = MAX_PENDING_LOADS.saturating_sub(pending);
+        if limit == 0 || engine.adapter_slots == 0 {
             return;
         }
         let records: Vec<&ReplicaRecord> = open_records(state, service).collect();
@@ -34,13 +34,13 @@
         }
         let replicas = records
             .into_iter()
-            .filter_map(|record| self.ahead_replica(state, record, engine, now_ms));
+            .filter_map(|record| self.preload_replica(state, record, engine, now_ms));
         let mut replicas: Vec<PreloadReplica> = replicas.collect();
-        for place in preload::plan_preloads(&missing, &mut replicas, most) {
-            self.adapters.bring(place.clone(), now_ms);
-            let (id, model) = (place.replica, place.model);
-            let command = Command::ReplicaAdapterOrdered(id, model, place.adapter);
-            self.proposed.push(command);
+        for placement in preload::plan_preloads(&missing, &mut replicas, limit) {
+            self.adapters.start_load(placement.clone(), now_ms);
+            let (id, model) = (placement.replica, placement.model);
+            let command = Command::ReplicaAdapterOrdered(id, model, placement.adapter);
+            self.queued_commands.push(command);
         }
     }
 
@@ -51,19 +51,19 @@
         engine: &EngineSpec,
         records: &[&ReplicaRecord],
     ) -> Vec<MissingAdapters> {
-        let mut known: BTreeMap<&ModelName, BTreeSet<&str>> = BTreeMap::new();
-        for place in self.adapters.loads() {
-            let names = known.entry(&place.model).or_default();
-            names.insert(&place.adapter);
+        let mut loaded_or_loading: BTreeMap<&ModelName, BTreeSet<&str>> = BTreeMap::new();
+        for placement in self.adapters.pending_loads() {
+            let names = loaded_or_loading.entry(&placement.model).or_default();
+            names.insert(&placement.adapter);
         }
         for (model, held) in records.iter().flat_map(|record| &record.models) {
-            let names = known.entry(model).or_default();
+            let names = loaded_or_loading.entry(model).or_default();
             names.extend(held.iter().map(String::as_str));
         }
         let nothing = BTreeSet::new();
         let missing = engine.models.iter().filter_map(|(model, spec)| {
-            let known = known.get(model).unwrap_or(&nothing);
-            MissingAdapters::of(model, spec.adapters, known)
+            let loaded_or_loading = loaded_or_loading.get(model).unwrap_or(&nothing);
+            MissingAdapters::of(model, spec.adapters, loaded_or_loading)
         });
         let mut missing: Vec<MissingAdapters> = missing.collect();
         let level = |missing: &MissingAdapters| self.demand.level(&missing.model);
@@ -72,23 +72,25 @@
     }
 
     /// A replica that adapters may be brought to.
-    fn ahead_replica(
+    fn preload_replica(
         &self,
         state: &SiteState,
         record: &ReplicaRecord,
         engine: &EngineSpec,
         now_ms: u64,
     ) -> Option<PreloadReplica> {
-        if record.cold_ms > 0 || !self.takes_adapters(state, record) {
+        if record.cold_ms > 0 || !self.accepts_adapter_orders(state, record) {
             return None;
         }
         let slots = engine.adapter_slots as usize;
-        let room = self.adapters.room(record, slots, &state.replicas, now_ms);
+        let capacity = self
+            .adapters
+            .capacity(record, slots, &state.replicas, now_ms);
         Some(PreloadReplica {
             id: record.id.clone(),
             models: record.models.keys().cloned().collect(),
-            free_places: room.free_places,
-            may_come: room.may_come,
+            free_slots: capacity.free_slots,
+            loads_allowed: capacity.loads_allowed,
         })
     }
 }
--- a/src/placement/moves.rs
+++ b/src/placement/moves.rs
@@ -22,7 +22,7 @@
 }
 
 /// What a spare home is worth by itself, in concurrent requests a home.
-const SPARE_WORTH: f64 = 1.0;
+const SPARE_HOME_VALUE: f64 = 1.0;
 
 /// A decided move.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,41 +45,42 @@
     demand: &DemandTracker,
     wall_ms: u64,
 ) -> Vec<PlacementMove> {
-    let mut board = PlacementSnapshot::new(state);
+    let mut snapshot = PlacementSnapshot::new(state);
     let mut moves = Vec::new();
     let wanted = packing::resident_set(&state.site, state.table.models());
     // Bases come before the adapters that need them, large ones before small:
     // they are the hardest to place.
     let mut ordered: Vec<&ModelName> = wanted.iter().copied().collect();
     ordered.sort_by_key(|model| {
-        let adapter = board.base_of(model).is_some();
-        (adapter, Reverse(board.mib(model)), *model)
+        let adapter = snapshot.base_of(model).is_some();
+        (adapter, Reverse(snapshot.mib(model)), *model)
     });
-    let permits = load_permits(state, wall_ms);
+    let loads_allowed = loads_allowed_now(state, wall_ms);
     let homeless: Vec<&ModelName> = ordered
         .iter()
         .copied()
-        .filter(|model| board.homes(model) == 0)
+        .filter(|model| snapshot.homes(model) == 0)
         .collect();
     for model in &homeless {
-        board.add_home(model, &wanted, &mut moves);
+        snapshot.add_home(model, &wanted, &mut moves);
     }
     // A spare home must not take the room that is being made for a first one,
     // nor that for a home which relieves more than a spare is worth.
     let claimed = !homeless.is_empty()
-        || policy.by_demand && board.follow_demand(policy, demand, &ordered, &wanted, &mut moves);
+        || policy.by_demand
+            && snapshot.relieve_busiest(policy, demand, &ordered, &wanted, &mut moves);
     if !claimed {
         for model in &ordered {
-            if board.homes(model) < policy.spread {
-                board.add_spare(model, &mut moves);
+            if snapshot.homes(model) < policy.spread {
+                snapshot.add_spare(model, &mut moves);
             }
         }
     }
-    limit_loads(moves, permits)
+    cap_loads(moves, loads_allowed)
 }
 
 /// Loads that may start now, by the weight store's rate and its loads at once.
-fn load_permits(state: &SiteState, wall_ms: u64) -> usize {
+fn loads_allowed_now(state: &SiteState, wall_ms: u64) -> usize {
     let loading = state.homes.values().flat_map(|homes| homes.values());
     let loading = loading
         .filter(|home| home.phase == HomePhase::Loading)
@@ -93,8 +94,8 @@
     }
 }
 
-fn limit_loads(moves: Vec<PlacementMove>, permits: usize) -> Vec<PlacementMove> {
-    let mut left = permits;
+fn cap_loads(moves: Vec<PlacementMove>, loads_allowed: usize) -> Vec<PlacementMove> {
+    let mut left = loads_allowed;
     let allowed = |step: &PlacementMove| match step.kind {
         MoveKind::Unload => true,
         MoveKind::Load if left > 0 => {
@@ -125,9 +126,9 @@
     fn new(state: &'a SiteState) -> Self {
         let mut targets = BTreeMap::new();
         for (target, spec) in &state.site.targets {
-            let stays = state.keeper(target).is_some_and(|keeper| !keeper.leaving);
+            let remains = state.keeper(target).is_some_and(|keeper| !keeper.leaving);
             let open = !state.evacuated.contains(&spec.hall);
-            if !stays || !open || spec.memory_mib == 0 {
+            if !remains || !open || spec.memory_mib == 0 {
                 continue;
             }
             let homes: BTreeMap<&ModelName, HomeInfo> = state
@@ -142,16 +143,16 @@
                 .filter_map(|model| state.site.models.get(*model))
                 .map(|spec| spec.weights_mib)
                 .sum();
-            let board = TargetSnapshot {
+            let snapshot = TargetSnapshot {
                 hall: &spec.hall,
                 free_mib: spec.room_mib().saturating_sub(taken),
                 homes,
             };
-            targets.insert(target, board);
+            targets.insert(target, snapshot);
         }
         let mut counts = BTreeMap::new();
-        for board in targets.values() {
-            for (model, home) in &board.homes {
+        for snapshot in targets.values() {
+            for (model, home) in &snapshot.homes {
                 let kept = home.phase != HomePhase::Unloading;
                 *counts.entry(*model).or_default() += usize::from(kept);
             }
@@ -175,8 +176,8 @@
         spec.map_or(0, |spec| spec.weights_mib)
     }
 
-    fn is_home(board: &TargetSnapshot<'_>, model: &ModelName) -> bool {
-        let home = board.homes.get(model);
+    fn is_home(snapshot: &TargetSnapshot<'_>, model: &ModelName) -> bool {
+        let home = snapshot.homes.get(model);
         home.is_some_and(|home| home.phase != HomePhase::Unloading)
     }
 
@@ -186,36 +187,36 @@
 
     /// Targets that could take the model as they are, best first: in a hall
     /// without it, then with the most room.
-    fn fitting(&self, model: &ModelName) -> Option<&'a TargetName> {
+    fn best_fit(&self, model: &ModelName) -> Option<&'a TargetName> {
         let mib = self.mib(model);
         let base = self.base_of(model);
         let halls: BTreeSet<&HallName> = self
             .targets
             .values()
-            .filter(|board| Self::is_home(board, model))
-            .map(|board| board.hall)
+            .filter(|snapshot| Self::is_home(snapshot, model))
+            .map(|snapshot| snapshot.hall)
             .collect();
         self.targets
             .iter()
-            .filter(|(_, board)| !board.homes.contains_key(model) && board.free_mib >= mib)
-            .filter(|(_, board)| base.is_none_or(|base| Self::is_home(board, base)))
-            .max_by_key(|(_, board)| (!halls.contains(board.hall), board.free_mib))
+            .filter(|(_, snapshot)| !snapshot.homes.contains_key(model) && snapshot.free_mib >= mib)
+            .filter(|(_, snapshot)| base.is_none_or(|base| Self::is_home(snapshot, base)))
+            .max_by_key(|(_, snapshot)| (!halls.contains(snapshot.hall), snapshot.free_mib))
             .map(|(target, _)| *target)
     }
 
     fn load(&mut self, target: &'a TargetName, model: &ModelName, moves: &mut Vec<PlacementMove>) {
         let mib = self.mib(model);
         if let Some((name, _)) = self.site.models.get_key_value(model)
-            && let Some(board) = self.targets.get_mut(target)
+            && let Some(snapshot) = self.targets.get_mut(target)
         {
-            board.free_mib = board.free_mib.saturating_sub(mib);
+            snapshot.free_mib = snapshot.free_mib.saturating_sub(mib);
             let home = HomeInfo {
                 phase: HomePhase::Loading,
                 order: crate::ids::Position(0),
             };
-            board.homes.insert(name, home);
+            snapshot.homes.insert(name, home);
             *self.counts.entry(name).or_default() += 1;
-            moves.push(place(target, model, MoveKind::Load));
+            moves.push(new_move(target, model, MoveKind::Load));
         }
     }
 
@@ -227,10 +228,10 @@
         wanted: &BTreeSet<&'a ModelName>,
         moves: &mut Vec<PlacementMove>,
     ) {
-        match (self.fitting(model), self.base_of(model)) {
+        match (self.best_fit(model), self.base_of(model)) {
             (Some(target), _) => self.load(target, model, moves),
             (None, Some(base)) if self.homes(base) > 0 => {
-                let with_room = self.fitting_family(base, model);
+                let with_room = self.best_fit_with_base(base, model);
                 match with_room {
                     Some(target) => self.load(target, base, moves),
                     None => self.make_room(model, wanted, moves),
@@ -240,17 +241,17 @@
         }
     }
 
-    fn fitting_family(&self, base: &ModelName, adapter: &ModelName) -> Option<&'a TargetName> {
+    fn best_fit_with_base(&self, base: &ModelName, adapter: &ModelName) -> Option<&'a TargetName> {
         let mib = self.mib(base) + self.mib(adapter);
         let fits =
-            |board: &TargetSnapshot<'_>| !board.homes.contains_key(base) && board.free_mib >= mib;
-        let boards = self.targets.iter().filter(|(_, board)| fits(board));
-        let best = boards.max_by_key(|(_, board)| board.free_mib);
+            |view: &TargetSnapshot<'_>| !view.homes.contains_key(base) && view.free_mib >= mib;
+        let candidates = self.targets.iter().filter(|(_, snapshot)| fits(snapshot));
+        let best = candidates.max_by_key(|(_, snapshot)| snapshot.free_mib);
         best.map(|(target, _)| *target)
     }
 
     fn add_spare(&mut self, model: &ModelName, moves: &mut Vec<PlacementMove>) {
-        if let Some(target) = self.fitting(model) {
+        if let Some(target) = self.best_fit(model) {
             self.load(target, model, moves);
         }
     }
@@ -259,7 +260,7 @@
     /// home. A base goes only without its adapters.
     fn is_dispensable(
         &self,
-        board: &TargetSnapshot<'a>,
+        snapshot: &TargetSnapshot<'a>,
         model: &ModelName,
         wanted: &BTreeSet<&'a ModelName>,
     ) -> bool {
@@ -268,26 +269,26 @@
             home.is_some_and(|home| home.phase == HomePhase::Ready)
         });
         let missed = wanted.contains(model) && ready.count() <= 1;
-        !missed && !self.carries(board, model)
+        !missed && !self.has_adapters_of(snapshot, model)
     }
 
     /// Whether adapters of the model are on the target.
-    fn carries(&self, board: &TargetSnapshot<'a>, model: &ModelName) -> bool {
-        let mut neighbours = board.homes.keys();
+    fn has_adapters_of(&self, snapshot: &TargetSnapshot<'a>, model: &ModelName) -> bool {
+        let mut neighbours = snapshot.homes.keys();
         neighbours.any(|other| self.base_of(other) == Some(model))
     }
 
     /// The homes on a target that may go, each by itself, those missed least first.
     fn dispensable(
         &self,
-        board: &TargetSnapshot<'a>,
+        snapshot: &TargetSnapshot<'a>,
         wanted: &BTreeSet<&'a ModelName>,
     ) -> Vec<&'a ModelName> {
-        let homes = board.homes.iter();
+        let homes = snapshot.homes.iter();
         let homes = homes.filter(|(_, home)| home.phase != HomePhase::Unloading);
         let mut models: Vec<&ModelName> = homes
             .map(|(model, _)| *model)
-            .filter(|model| self.is_dispensable(board, model, wanted))
+            .filter(|model| self.is_dispensable(snapshot, model, wanted))
             .collect();
         models.sort_by_key(|model| (wanted.contains(model), self.mib(model)));
         models
@@ -303,14 +304,14 @@
         let need = self.mib(model);
         let base = self.base_of(model);
         let mut best: Option<(usize, &'a TargetName, Vec<&'a ModelName>)> = None;
-        for (target, board) in &self.targets {
-            if !base.is_none_or(|base| Self::is_home(board, base)) {
+        for (target, snapshot) in &self.targets {
+            if !base.is_none_or(|base| Self::is_home(snapshot, base)) {
                 continue;
             }
-            let pending = self.unloading_mib(board);
-            let mut gain = board.free_mib + pending;
+            let pending = self.unloading_mib(snapshot);
+            let mut gain = snapshot.free_mib + pending;
             let mut out = Vec::new();
-            for spare in self.dispensable(board, wanted) {
+            for spare in self.dispensable(snapshot, wanted) {
                 if gain >= need || Some(spare) == base {
                     continue;
                 }
@@ -328,13 +329,13 @@
                     self.unload(target, spare, moves);
                 }
             }
-            None if self.eject(model, wanted, moves) => {}
-            None => self.follow_packing(wanted, moves),
+            None if self.relocate_sole_home(model, wanted, moves) => {}
+            None => self.step_to_packing(wanted, moves),
         }
     }
 
-    fn unloading_mib(&self, board: &TargetSnapshot<'_>) -> u64 {
-        let homes = board.homes.iter();
+    fn unloading_mib(&self, snapshot: &TargetSnapshot<'_>) -> u64 {
+        let homes = snapshot.homes.iter();
         let leaving = homes.filter(|(_, home)| home.phase == HomePhase::Unloading);
         leaving.map(|(model, _)| self.mib(model)).sum()
     }
@@ -345,18 +346,18 @@
         model: &'a ModelName,
         moves: &mut Vec<PlacementMove>,
     ) {
-        if let Some(board) = self.targets.get_mut(target)
-            && let Some(home) = board.homes.get_mut(model)
+        if let Some(snapshot) = self.targets.get_mut(target)
+            && let Some(home) = snapshot.homes.get_mut(model)
         {
             home.phase = HomePhase::Unloading;
             *self.counts.entry(model).or_default() -= 1;
-            moves.push(place(target, model, MoveKind::Unload));
+            moves.push(new_move(target, model, MoveKind::Unload));
         }
     }
 
     /// Room is there but split: gives one sole home that is in the way a second
     /// home elsewhere, so that the first can go later.
-    fn eject(
+    fn relocate_sole_home(
         &mut self,
         model: &ModelName,
         wanted: &BTreeSet<&'a ModelName>,
@@ -365,29 +366,29 @@
         let need = self.mib(model);
         let base = self.base_of(model);
         let mut best: Option<(u64, &'a TargetName, &'a ModelName)> = None;
-        for board in self.targets.values() {
-            if !base.is_none_or(|base| Self::is_home(board, base)) {
+        for snapshot in self.targets.values() {
+            if !base.is_none_or(|base| Self::is_home(snapshot, base)) {
                 continue;
             }
-            let spare = self.dispensable(board, wanted);
+            let spare = self.dispensable(snapshot, wanted);
             let spare: u64 = spare.iter().map(|model| self.mib(model)).sum();
-            let room = board.free_mib + spare + self.unloading_mib(board);
-            for (sole, home) in &board.homes {
-                let mib = self.mib(sole);
-                let stuck = home.phase == HomePhase::Ready && self.homes(sole) == 1;
-                let helps = room + mib >= need && Some(*sole) != base;
+            let room = snapshot.free_mib + spare + self.unloading_mib(snapshot);
+            for (only_home, home) in &snapshot.homes {
+                let mib = self.mib(only_home);
+                let stuck = home.phase == HomePhase::Ready && self.homes(only_home) == 1;
+                let helps = room + mib >= need && Some(*only_home) != base;
                 let cheaper = best.is_none_or(|(least, _, _)| mib < least);
-                if stuck && helps && cheaper && !self.carries(board, sole) {
+                if stuck && helps && cheaper && !self.has_adapters_of(snapshot, only_home) {
                     best = self
-                        .fitting(sole)
-                        .map(|target| (mib, target, *sole))
+                        .best_fit(only_home)
+                        .map(|target| (mib, target, *only_home))
                         .or(best);
                 }
             }
         }
         match best {
-            Some((_, target, sole)) => {
-                self.load(target, sole, moves);
+            Some((_, target, only_home)) => {
+                self.load(target, only_home, moves);
                 true
             }
             None => false,
@@ -396,39 +397,43 @@
 
     /// Goes over, step by step, to a layout that is known to fit, always
     /// loading before unloading.
-    fn follow_packing(&mut self, wanted: &BTreeSet<&'a ModelName>, moves: &mut Vec<PlacementMove>) {
+    fn step_to_packing(
+        &mut self,
+        wanted: &BTreeSet<&'a ModelName>,
+        moves: &mut Vec<PlacementMove>,
+    ) {
         let live = self.targets.keys().copied();
         let Ok(layout) = packing::pack_live(self.site, live, wanted.iter().copied()) else {
             return;
         };
         let before = moves.len();
-        self.clear_for(&layout, wanted, moves);
+        self.unload_for_layout(&layout, wanted, moves);
         for (model, target) in &layout {
-            let Some((target, board)) = self.targets.get_key_value(target) else {
+            let Some((target, snapshot)) = self.targets.get_key_value(target) else {
                 continue;
             };
             let base = self.base_of(model);
-            let based = base.is_none_or(|base| Self::is_home(board, base));
-            let fits = board.free_mib >= self.mib(model);
-            if based && fits && !board.homes.contains_key(model) {
+            let has_base = base.is_none_or(|base| Self::is_home(snapshot, base));
+            let fits = snapshot.free_mib >= self.mib(model);
+            if has_base && fits && !snapshot.homes.contains_key(model) {
                 self.load(target, model, moves);
             }
         }
         if moves.len() == before {
-            self.borrow_room(&layout, moves);
+            self.break_cycle(&layout, moves);
         }
     }
 
     /// The models that the layout puts on a target and that are not there.
-    fn missing(&self, layout: &Layout, target: &TargetName) -> u64 {
-        let board = &self.targets[target];
+    fn missing_mib(&self, layout: &Layout, target: &TargetName) -> u64 {
+        let snapshot = &self.targets[target];
         let here = layout.iter().filter(|(_, home)| *home == target);
-        let missing = here.filter(|(model, _)| !board.homes.contains_key(model));
-        missing.map(|(model, _)| self.mib(model)).sum()
+        let absent = here.filter(|(model, _)| !snapshot.homes.contains_key(model));
+        absent.map(|(model, _)| self.mib(model)).sum()
     }
 
     /// Unloads what may go from targets that need the room.
-    fn clear_for(
+    fn unload_for_layout(
         &mut self,
         layout: &Layout,
         wanted: &BTreeSet<&'a ModelName>,
@@ -436,13 +441,13 @@
     ) {
         let targets: Vec<&'a TargetName> = self.targets.keys().copied().collect();
         for target in targets {
-            let missing = self.missing(layout, target);
+            let missing_mib = self.missing_mib(layout, target);
             for model in self.dispensable(&self.targets[target], wanted) {
-                let board = &self.targets[target];
-                let short = board.free_mib + self.unloading_mib(board) < missing;
+                let snapshot = &self.targets[target];
+                let short = snapshot.free_mib + self.unloading_mib(snapshot) < missing_mib;
                 let misplaced = layout.get(model) != Some(target);
                 // An unload before may have made this the last ready home.
-                if short && misplaced && self.is_dispensable(board, model, wanted) {
+                if short && misplaced && self.is_dispensable(snapshot, model, wanted) {
                     self.unload(target, model, moves);
                 }
             }
@@ -451,13 +456,13 @@
 
     /// A ring of models that wait for each other's room: one of them gets a
     /// further home wherever there is any.
-    fn borrow_room(&mut self, layout: &Layout, moves: &mut Vec<PlacementMove>) {
+    fn break_cycle(&mut self, layout: &Layout, moves: &mut Vec<PlacementMove>) {
         let mut stuck = Vec::new();
-        for (target, board) in &self.targets {
-            let short = board.free_mib < self.missing(layout, target);
-            for model in board.homes.keys().filter(|_| short) {
+        for (target, snapshot) in &self.targets {
+            let short = snapshot.free_mib < self.missing_mib(layout, target);
+            for model in snapshot.homes.keys().filter(|_| short) {
                 let misplaced = layout.get(*model) != Some(*target);
-                if misplaced && self.homes(model) == 1 && !self.carries(board, model) {
+                if misplaced && self.homes(model) == 1 && !self.has_adapters_of(snapshot, model) {
                     stuck.push((self.mib(model), *model));
                 }
             }
@@ -465,7 +470,7 @@
         stuck.sort();
         let step = stuck
             .into_iter()
-            .find_map(|(_, model)| Some((self.fitting(model)?, model)));
+            .find_map(|(_, model)| Some((self.best_fit(model)?, model)));
         if let Some((target, model)) = step {
             self.load(target, model, moves);
         }
@@ -473,7 +478,7 @@
 
     /// One load for the model whose homes are most crowded, if worth its price.
     /// Returns whether free room is spoken for.
-    fn follow_demand(
+    fn relieve_busiest(
         &mut self,
         policy: &PlacementPolicy,
         demand: &DemandTracker,
@@ -481,35 +486,35 @@
         wanted: &BTreeSet<&'a ModelName>,
         moves: &mut Vec<PlacementMove>,
     ) -> bool {
-        let relief = |board: &Self, model: &ModelName| {
-            let homes = board.homes(model) as f64;
+        let relief = |snapshot: &Self, model: &ModelName| {
+            let homes = snapshot.homes(model) as f64;
             let level = demand.level(model);
             match homes > 0.0 {
                 true => level / homes - level / (homes + 1.0),
                 false => 0.0,
             }
         };
-        let crowded = ordered
+        let busiest = ordered
             .iter()
             .map(|model| (relief(self, model), *model))
             .filter(|(relief, _)| *relief > policy.move_price)
             .max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(a.1)));
-        let Some((gain, model)) = crowded else {
+        let Some((gain, model)) = busiest else {
             return false;
         };
-        let pending = |board: &TargetSnapshot<'_>| self.unloading_mib(board) > 0;
-        match self.fitting(model) {
+        let pending = |snapshot: &TargetSnapshot<'_>| self.unloading_mib(snapshot) > 0;
+        match self.best_fit(model) {
             Some(target) => self.load(target, model, moves),
             // The room that was made before comes first.
             None if self.targets.values().any(pending) => {}
-            None => return self.trade(model, gain, policy, demand, wanted, moves),
+            None => return self.swap_surplus_home(model, gain, policy, demand, wanted, moves),
         }
         true
     }
 
     /// Unloads the surplus home that is missed least, where that is less than
     /// the gain by the price of both moves.
-    fn trade(
+    fn swap_surplus_home(
         &mut self,
         model: &ModelName,
         gain: f64,
@@ -524,7 +529,7 @@
             let homes = self.homes(model) as f64;
             let level = demand.level(model);
             let spare = if homes as usize <= policy.spread {
-                SPARE_WORTH
+                SPARE_HOME_VALUE
             } else {
                 0.0
             };
@@ -533,14 +538,14 @@
                 false => 0.0,
             }
         };
-        let open = self.targets.iter().filter(|(_, board)| {
-            !board.homes.contains_key(model)
-                && self.unloading_mib(board) == 0
-                && base.is_none_or(|base| Self::is_home(board, base))
+        let open = self.targets.iter().filter(|(_, snapshot)| {
+            !snapshot.homes.contains_key(model)
+                && self.unloading_mib(snapshot) == 0
+                && base.is_none_or(|base| Self::is_home(snapshot, base))
         });
-        let offers = open.flat_map(|(target, board)| {
-            let spare = self.dispensable(board, wanted).into_iter();
-            let enough = spare.filter(|out| board.free_mib + self.mib(out) >= need);
+        let offers = open.flat_map(|(target, snapshot)| {
+            let spare = self.dispensable(snapshot, wanted).into_iter();
+            let enough = spare.filter(|out| snapshot.free_mib + self.mib(out) >= need);
             enough.map(|out| (loss(out), *target, out))
         });
         let cheap = offers.filter(|(loss, _, out)| {
@@ -557,7 +562,7 @@
     }
 }
 
-fn place(target: &TargetName, model: &ModelName, kind: MoveKind) -> PlacementMove {
+fn new_move(target: &TargetName, model: &ModelName, kind: MoveKind) -> PlacementMove {
     PlacementMove {
         target: target.clone(),
         model: model.clone(),
--- a/src/placement/preload.rs
+++ b/src/placement/preload.rs
@@ -3,7 +3,7 @@
 //! Without a leader, and for a lease after it, nobody brings an adapter: a request for one that
 //! is nowhere could only be refused for as long.
 //!
-//! Pure. Only places that stay free beside are used, so that a wish never has to wait for one
+//! Pure. Only placements that stay free beside are used, so that a wish never has to wait for one
 //! to be taken away.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,46 +42,46 @@
     /// The models that it holds.
     pub models: BTreeSet<ModelName>,
     /// Places that nothing takes or may come to take.
-    pub free_places: usize,
+    pub free_slots: usize,
     /// Adapters that may be on their way to it besides.
-    pub may_come: usize,
+    pub loads_allowed: usize,
 }
 
 impl PreloadReplica {
-    fn has_place(&self) -> bool {
-        self.free_places > RESERVED_SLOTS && self.may_come > 0
+    fn has_free_slot(&self) -> bool {
+        self.free_slots > RESERVED_SLOTS && self.loads_allowed > 0
     }
 }
 
-/// What is brought where, `most` at a time, in the order of what is `missing`.
+/// What is brought where, `limit` at a time, in the order of what is `missing`.
 pub fn plan_preloads(
     missing: &[MissingAdapters],
     replicas: &mut [PreloadReplica],
-    most: usize,
+    limit: usize,
 ) -> Vec<AdapterPlacement> {
     let homes = homes_by_model(replicas);
-    let mut places = Vec::new();
+    let mut placements = Vec::new();
     for MissingAdapters { model, names } in missing {
         let homes = homes.get(model).map_or(&[][..], Vec::as_slice);
         for adapter in names {
-            if places.len() >= most {
-                return places;
+            if placements.len() >= limit {
+                return placements;
             }
-            let open = homes.iter().filter(|home| replicas[**home].has_place());
-            let Some(home) = open.max_by_key(|home| replicas[**home].free_places) else {
+            let open = homes.iter().filter(|home| replicas[**home].has_free_slot());
+            let Some(home) = open.max_by_key(|home| replicas[**home].free_slots) else {
                 break;
             };
             let home = &mut replicas[*home];
-            home.free_places -= 1;
-            home.may_come -= 1;
-            places.push(AdapterPlacement {
+            home.free_slots -= 1;
+            home.loads_allowed -= 1;
+            placements.push(AdapterPlacement {
                 replica: home.id.clone(),
                 model: model.clone(),
                 adapter: adapter.clone(),
             });
         }
     }
-    places
+    placements
 }
 
 /// The numbers of the replicas that hold each model: a look at all of them for each adapter
--- a/src/placement/target_controller.rs
+++ b/src/placement/target_controller.rs
@@ -22,14 +22,14 @@
     /// Time between placement rounds, in milliseconds.
     pub round_ms: u64,
     /// How models are placed.
-    pub place: PlacementPolicy,
+    pub placement: PlacementPolicy,
 }
 
 /// What a member told last.
 #[derive(Clone, Debug)]
-struct MemberNote {
-    life: Incarnation,
-    heard_ms: u64,
+struct MemberState {
+    incarnation: Incarnation,
+    last_seen_ms: u64,
     position: Position,
     busy: BTreeMap<ModelName, f64>,
 }
@@ -40,7 +40,7 @@
     /// The agent's host, which is also its target's name.
     pub host: HostName,
     /// Its life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// How far it follows the log.
     pub position: Position,
     /// The position of the plan that it acts on.
@@ -61,7 +61,7 @@
     /// The entry's host.
     pub host: HostName,
     /// Its life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// How far it follows the log.
     pub position: Position,
     /// Number of this beat in its life.
@@ -79,8 +79,8 @@
 pub struct TargetController {
     policy: ControllerPolicy,
     term: Term,
-    since_ms: u64,
-    notes: BTreeMap<HostName, MemberNote>,
+    grace_start_ms: u64,
+    member_states: BTreeMap<HostName, MemberState>,
     demand: DemandTracker,
     grantor: ShareGrantor,
     round_due_ms: u64,
@@ -89,7 +89,7 @@
     /// When this leader last could decide.
     decided_ms: u64,
     /// Position of the last round's proposals: the next waits for them.
-    pending: Position,
+    awaited_position: Position,
 }
 
 impl TargetController {
@@ -98,14 +98,14 @@
         Self {
             policy,
             term,
-            since_ms: now_ms,
-            notes: BTreeMap::new(),
+            grace_start_ms: now_ms,
+            member_states: BTreeMap::new(),
             demand: DemandTracker::default(),
             grantor: ShareGrantor::new(state.site.limits, now_ms),
             round_due_ms: now_ms + policy.round_ms,
             platform_leaving: BTreeSet::new(),
             decided_ms: now_ms,
-            pending: Position(0),
+            awaited_position: Position(0),
         }
     }
 
@@ -115,52 +115,64 @@
     }
 
     /// Takes an agent's beat; returns the commands that it proves.
-    pub fn on_agent(
+    pub fn on_agent_heartbeat(
         &mut self,
         state: &SiteState,
         now_ms: u64,
-        beat: &AgentHeartbeat,
+        heartbeat: &AgentHeartbeat,
     ) -> Vec<Command> {
-        if !is_current(state, &beat.host, beat.life) {
+        if !is_current(state, &heartbeat.host, heartbeat.incarnation) {
             return Vec::new();
         }
-        let busy = beat.busy.iter();
+        let busy = heartbeat.busy.iter();
         let busy = busy.map(|(model, count)| (model.clone(), f64::from(*count)));
-        self.note(now_ms, &beat.host, beat.life, beat.position, busy.collect());
-        let mut commands = member_ends(state, &beat.host, beat.life, beat.leaving, beat.stopped);
-        if let Some(holds) = &beat.holds {
-            commands.extend(home_reports(state, beat, holds));
+        self.record_member(
+            now_ms,
+            &heartbeat.host,
+            heartbeat.incarnation,
+            heartbeat.position,
+            busy.collect(),
+        );
+        let mut commands = membership_commands(
+            state,
+            &heartbeat.host,
+            heartbeat.incarnation,
+            heartbeat.leaving,
+            heartbeat.stopped,
+        );
+        if let Some(holds) = &heartbeat.holds {
+            commands.extend(home_reports(state, heartbeat, holds));
         }
         commands
     }
 
     /// Takes an entry's beat; returns its grants and the commands that it proves.
-    pub fn on_entry(
+    pub fn on_entry_heartbeat(
         &mut self,
         state: &SiteState,
         now_ms: u64,
-        beat: &EntryHeartbeat,
+        heartbeat: &EntryHeartbeat,
     ) -> (BTreeMap<RowId, u32>, Vec<Command>) {
-        if !is_current(state, &beat.host, beat.life) {
+        if !is_current(state, &heartbeat.host, heartbeat.incarnation) {
             return (BTreeMap::new(), Vec::new());
         }
-        let refused = beat.refused.iter();
+        let refused = heartbeat.refused.iter();
         let refused = refused.map(|(model, count)| (model.clone(), f64::from(*count)));
-        self.note(
+        self.record_member(
             now_ms,
-            &beat.host,
-            beat.life,
-            beat.position,
+            &heartbeat.host,
+            heartbeat.incarnation,
+            heartbeat.position,
             refused.collect(),
         );
-        let new = self.grantor.is_new(beat.life, beat.number);
+        let new = self.grantor.is_new(heartbeat.incarnation, heartbeat.number);
         let mut grants = BTreeMap::new();
-        for (row, claim) in beat.limits.iter().filter(|_| new) {
+        for (row, claim) in heartbeat.limits.iter().filter(|_| new) {
             if let Some(known) = state.table.rows().get(row) {
                 let fields = &known.fields;
                 let share = self.grantor.grant(
                     now_ms,
-                    beat.life,
+                    heartbeat.incarnation,
                     row,
                     fields.max_running,
                     fields.patience_ms,
@@ -169,13 +181,19 @@
                 grants.insert(row.clone(), share);
             }
         }
-        let commands = member_ends(state, &beat.host, beat.life, false, beat.stopped);
+        let commands = membership_commands(
+            state,
+            &heartbeat.host,
+            heartbeat.incarnation,
+            false,
+            heartbeat.stopped,
+        );
         (grants, commands)
     }
 
     /// Takes the platform's list of leaving hosts. It lags, so it only ever
     /// turns work away; life and loss are told by beats.
-    pub fn on_platform(&mut self, leaving: BTreeSet<HostName>) {
+    pub fn on_leaving_hosts(&mut self, leaving: BTreeSet<HostName>) {
         self.platform_leaving = leaving;
     }
 
@@ -183,24 +201,24 @@
     ///
     /// `wall_ms` is the clock that commands are stamped with.
     pub fn round(&mut self, state: &SiteState, now_ms: u64, wall_ms: u64) -> Vec<Command> {
-        self.excuse_silence(now_ms);
-        if now_ms < self.round_due_ms || state.position < self.pending {
+        self.reset_silence_after_pause(now_ms);
+        if now_ms < self.round_due_ms || state.position < self.awaited_position {
             return Vec::new();
         }
         self.round_due_ms = now_ms + self.policy.round_ms;
-        self.notes
-            .retain(|host, note| is_current(state, host, note.life));
-        let mut commands = self.losses(state, now_ms);
-        commands.extend(self.departures(state));
+        self.member_states
+            .retain(|host, member_state| is_current(state, host, member_state.incarnation));
+        let mut commands = self.lost_members(state, now_ms);
+        commands.extend(self.leaving_members(state));
         let mut sample: BTreeMap<ModelName, f64> = BTreeMap::new();
-        for note in self.notes.values() {
-            for (model, busy) in &note.busy {
+        for member_state in self.member_states.values() {
+            for (model, busy) in &member_state.busy {
                 *sample.entry(model.clone()).or_default() += busy;
             }
         }
         self.demand.sample(&sample);
-        if self.is_settled(now_ms) {
-            let moves = moves::plan(state, &self.policy.place, &self.demand, wall_ms);
+        if self.is_past_grace_period(now_ms) {
+            let moves = moves::plan(state, &self.policy.placement, &self.demand, wall_ms);
             commands.extend(
                 moves
                     .into_iter()
@@ -212,7 +230,7 @@
 
     /// Notes where the round's last command stands.
     pub fn await_position(&mut self, position: Position) {
-        self.pending = position;
+        self.awaited_position = position;
     }
 
     /// The whole wish for one target.
@@ -220,13 +238,13 @@
         &self,
         state: &SiteState,
         target: &TargetName,
-        beat: &AgentHeartbeat,
+        heartbeat: &AgentHeartbeat,
     ) -> TargetPlan {
         TargetPlan {
             term: self.term,
             position: state.position,
-            life: beat.life,
-            want: wanted_models(state, target, beat),
+            life: heartbeat.incarnation,
+            want: planned_models(state, target, heartbeat),
             lease_ms: self.policy.lease_ms,
         }
     }
@@ -237,7 +255,10 @@
             .members
             .keys()
             .filter(|host| {
-                let position = self.notes.get(*host).map(|note| note.position);
+                let position = self
+                    .member_states
+                    .get(*host)
+                    .map(|member_state| member_state.position);
                 position.is_none_or(|position| position < version)
             })
             .cloned()
@@ -247,62 +268,65 @@
 
     /// A leader that was frozen or cut off heard nobody meanwhile: that says
     /// nothing of the members.
-    fn excuse_silence(&mut self, now_ms: u64) {
+    fn reset_silence_after_pause(&mut self, now_ms: u64) {
         if self.decided_ms + self.policy.loss_ms / 2 < now_ms {
-            self.since_ms = now_ms;
-            for note in self.notes.values_mut() {
-                note.heard_ms = now_ms;
+            self.grace_start_ms = now_ms;
+            for member_state in self.member_states.values_mut() {
+                member_state.last_seen_ms = now_ms;
             }
         }
         self.decided_ms = now_ms;
     }
 
     /// A new leader has heard nobody yet, and must not take that for loss.
-    fn is_settled(&self, now_ms: u64) -> bool {
-        now_ms >= self.since_ms + self.policy.loss_ms
+    fn is_past_grace_period(&self, now_ms: u64) -> bool {
+        now_ms >= self.grace_start_ms + self.policy.loss_ms
     }
 
-    fn note(
+    fn record_member(
         &mut self,
         now_ms: u64,
         host: &HostName,
-        life: Incarnation,
+        incarnation: Incarnation,
         position: Position,
         busy: BTreeMap<ModelName, f64>,
     ) {
-        let note = MemberNote {
-            life,
-            heard_ms: now_ms,
+        let member_state = MemberState {
+            incarnation,
+            last_seen_ms: now_ms,
             position,
             busy,
         };
-        self.notes.insert(host.clone(), note);
+        self.member_states.insert(host.clone(), member_state);
     }
 
-    fn losses(&mut self, state: &SiteState, now_ms: u64) -> Vec<Command> {
-        if !self.is_settled(now_ms) {
+    fn lost_members(&mut self, state: &SiteState, now_ms: u64) -> Vec<Command> {
+        if !self.is_past_grace_period(now_ms) {
             return Vec::new();
         }
         let mut commands = Vec::new();
         for (host, member) in &state.members {
-            let note = self.notes.entry(host.clone()).or_insert(MemberNote {
-                life: member.incarnation,
-                heard_ms: now_ms,
-                position: Position(0),
-                busy: BTreeMap::new(),
-            });
-            if note.life != member.incarnation {
-                note.life = member.incarnation;
-                note.heard_ms = now_ms;
+            let member_state = self
+                .member_states
+                .entry(host.clone())
+                .or_insert(MemberState {
+                    incarnation: member.incarnation,
+                    last_seen_ms: now_ms,
+                    position: Position(0),
+                    busy: BTreeMap::new(),
+                });
+            if member_state.incarnation != member.incarnation {
+                member_state.incarnation = member.incarnation;
+                member_state.last_seen_ms = now_ms;
             }
-            if note.heard_ms + self.policy.loss_ms < now_ms {
+            if member_state.last_seen_ms + self.policy.loss_ms < now_ms {
                 commands.push(Command::Lost(host.clone(), member.incarnation));
             }
         }
         commands
     }
 
-    fn departures(&self, state: &SiteState) -> Vec<Command> {
+    fn leaving_members(&self, state: &SiteState) -> Vec<Command> {
         let named = state.members.iter();
         let named =
             named.filter(|(host, member)| !member.leaving && self.platform_leaving.contains(*host));
@@ -312,38 +336,38 @@
     }
 }
 
-fn is_current(state: &SiteState, host: &HostName, life: Incarnation) -> bool {
+fn is_current(state: &SiteState, host: &HostName, incarnation: Incarnation) -> bool {
     let member = state.members.get(host);
-    member.is_some_and(|member| member.incarnation == life)
+    member.is_some_and(|member| member.incarnation == incarnation)
 }
 
-fn member_ends(
+fn membership_commands(
     state: &SiteState,
     host: &HostName,
-    life: Incarnation,
+    incarnation: Incarnation,
     leaving: bool,
     stopped: bool,
 ) -> Vec<Command> {
-    let noted = state.members.get(host).is_some_and(|member| member.leaving);
+    let is_marked_leaving = state.members.get(host).is_some_and(|member| member.leaving);
     match (stopped, leaving) {
-        (true, _) => vec![Command::Lost(host.clone(), life)],
-        (false, true) if !noted => vec![Command::Leave(host.clone(), life)],
+        (true, _) => vec![Command::Lost(host.clone(), incarnation)],
+        (false, true) if !is_marked_leaving => vec![Command::Leave(host.clone(), incarnation)],
         _ => Vec::new(),
     }
 }
 
 /// The models to hold; none while the agent has not told what it holds, or
 /// while that is not all in the log.
-fn wanted_models(
+fn planned_models(
     state: &SiteState,
     target: &TargetName,
-    beat: &AgentHeartbeat,
+    heartbeat: &AgentHeartbeat,
 ) -> Option<BTreeMap<ModelName, u64>> {
     let none = BTreeMap::new();
     let homes = state.homes.get(target).unwrap_or(&none);
     let catalogue = &state.site.models;
     let adopted = |model: &ModelName| homes.contains_key(model) || !catalogue.contains_key(model);
-    let holds = beat.holds.as_ref()?;
+    let holds = heartbeat.holds.as_ref()?;
     if !holds.keys().all(adopted) {
         return None;
     }
@@ -359,14 +383,14 @@
 /// What the agent's account proves of its homes, given the plan it acts on.
 fn home_reports(
     state: &SiteState,
-    beat: &AgentHeartbeat,
+    heartbeat: &AgentHeartbeat,
     holds: &BTreeMap<ModelName, bool>,
 ) -> Vec<Command> {
-    let target = TargetName(beat.host.0.clone());
+    let target = TargetName(heartbeat.host.0.clone());
     let none = BTreeMap::new();
     let homes = state.homes.get(&target).unwrap_or(&none);
     let report = |model: &ModelName, report: HomeReport| {
-        Command::Home(target.clone(), beat.life, model.clone(), report)
+        Command::Home(target.clone(), heartbeat.incarnation, model.clone(), report)
     };
     let mut commands = Vec::new();
     for (model, ready) in holds {
@@ -383,7 +407,7 @@
     }
     for (model, home) in homes {
         // An agent that has not seen the order yet proves nothing of it.
-        let informed = beat.plan >= home.order;
+        let informed = heartbeat.plan >= home.order;
         let absent = !holds.contains_key(model);
         let fixed = state
             .site
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -149,7 +149,7 @@
             loss_ms: self.loss_ms,
             lease_ms: self.lease_ms,
             round_ms: self.round_ms,
-            place: PlacementPolicy {
+            placement: PlacementPolicy {
                 move_price: self.move_price,
                 spread: self.spread,
                 by_demand: self.by_demand,
--- a/tests/ahead.rs
+++ b/tests/ahead.rs
@@ -83,7 +83,7 @@
     let mut given = 0;
     for now_ms in (0..for_ms).step_by(50) {
         let ids: Vec<ReplicaId> = state.replicas.records().keys().cloned().collect();
-        duties.on_heard(now_ms, &ids);
+        duties.on_heartbeats(now_ms, &ids);
         let actions = duties.round(state, now_ms);
         for command in actions.commands {
             apply(state, 0, command);
@@ -159,8 +159,8 @@
     let home = PreloadReplica {
         id: ReplicaId::from("r"),
         models: BTreeSet::from([model(1), model(2)]),
-        free_places: RESERVED_SLOTS + 2,
-        may_come: 4,
+        free_slots: RESERVED_SLOTS + 2,
+        loads_allowed: 4,
     };
     let none = BTreeSet::new();
     let missing: Vec<MissingAdapters> = [
@@ -179,7 +179,7 @@
     assert_eq!(named, [(model(2), "a1"), (model(1), "a2")]);
     assert_eq!(plan_preloads(&missing, &mut [home.clone()], 1).len(), 1);
     let full = PreloadReplica {
-        may_come: 0,
+        loads_allowed: 0,
         ..home
     };
     assert_eq!(plan_preloads(&missing, &mut [full], 9), []);
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -27,7 +27,10 @@
 
 /// So many tokens, at once.
 fn least(tokens: u64) -> CongestionThreshold {
-    CongestionThreshold { tokens, for_ms: 0 }
+    CongestionThreshold {
+        tokens,
+        min_duration_ms: 0,
+    }
 }
 
 fn tokens(id: &str, tokens: u64) -> QueuedTokens {
@@ -40,13 +43,13 @@
     let many: QueuedTokens = (0..100)
         .map(|number| (ReplicaId(format!("r{number:02}")), 5_000 + number))
         .collect();
-    sums.take(0, report(1, many), least(5_000));
-    let crowded = sums.take(1, report(2, tokens("r00", 9_000)), least(5_000));
+    sums.record(0, report(1, many), least(5_000));
+    let crowded = sums.record(1, report(2, tokens("r00", 9_000)), least(5_000));
     assert_eq!(crowded.len(), 32);
     assert_eq!(crowded[&ReplicaId::from("r00")], 14_000);
     assert!(crowded.contains_key(&ReplicaId::from("r99")));
     assert!(!crowded.contains_key(&ReplicaId::from("r01")));
-    let left = sums.take(2, report(1, QueuedTokens::new()), least(5_000));
+    let left = sums.record(2, report(1, QueuedTokens::new()), least(5_000));
     assert_eq!(left, tokens("r00", 9_000));
 }
 
@@ -54,11 +57,11 @@
 fn a_queue_is_told_once_it_stands() {
     let bound = CongestionThreshold {
         tokens: 5_000,
-        for_ms: 500,
+        min_duration_ms: 500,
     };
     let mut sums = QueueTotals::default();
     let mut told = |now_ms: u64, waiting: u64| {
-        let crowded = sums.take(now_ms, report(1, tokens("a", waiting)), bound);
+        let crowded = sums.record(now_ms, report(1, tokens("a", waiting)), bound);
         !crowded.is_empty()
     };
     assert!(!told(0, 9_000));
@@ -74,19 +77,19 @@
 #[test]
 fn an_entry_that_falls_silent_counts_no_more() {
     let mut sums = QueueTotals::default();
-    sums.take(0, report(1, tokens("a", 9_000)), least(1));
-    let both = sums.take(1_900, report(2, tokens("a", 5_000)), least(1));
+    sums.record(0, report(1, tokens("a", 9_000)), least(1));
+    let both = sums.record(1_900, report(2, tokens("a", 5_000)), least(1));
     assert_eq!(both, tokens("a", 14_000));
-    let left = sums.take(3_800, report(2, tokens("a", 5_000)), least(1));
+    let left = sums.record(3_800, report(2, tokens("a", 5_000)), least(1));
     assert_eq!(left, tokens("a", 5_000));
     // What stood by its word alone stands no more.
     let bound = CongestionThreshold {
         tokens: 9_000,
-        for_ms: 500,
+        min_duration_ms: 500,
     };
-    sums.take(4_000, report(3, tokens("b", 9_000)), bound);
-    sums.take(6_100, report(2, QueuedTokens::new()), bound);
-    let again = sums.take(6_200, report(2, tokens("b", 9_000)), bound);
+    sums.record(4_000, report(3, tokens("b", 9_000)), bound);
+    sums.record(6_100, report(2, QueuedTokens::new()), bound);
+    let again = sums.record(6_200, report(2, tokens("b", 9_000)), bound);
     assert!(again.is_empty());
 }
 
@@ -104,7 +107,7 @@
             }
         }
         last[entry] = new.clone();
-        let crowded = sums.take(0, report(entry, new), least(1));
+        let crowded = sums.record(0, report(entry, new), least(1));
         let mut whole = QueuedTokens::new();
         for (id, tokens) in last.iter().flatten() {
             *whole.entry(id.clone()).or_default() += tokens;
@@ -122,7 +125,7 @@
 const ENTRIES: usize = 31;
 const BOUND: CongestionThreshold = CongestionThreshold {
     tokens: 4_000,
-    for_ms: 500,
+    min_duration_ms: 500,
 };
 /// Longest and least time between two reports of an entry.
 const REPORT_MS: (u64, u64) = (500, 100);
@@ -247,7 +250,7 @@
         let waiting = book.waiting();
         let crowded = self
             .sums
-            .take(now_ms, report(entry, waiting.clone()), BOUND);
+            .record(now_ms, report(entry, waiting.clone()), BOUND);
         if self.told {
             book.follow_crowd(now_ms, &waiting, &crowded);
         }
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -15,7 +15,7 @@
     loss_ms: 1000,
     lease_ms: 800,
     round_ms: 100,
-    place: PlacementPolicy {
+    placement: PlacementPolicy {
         move_price: 1.0,
         spread: 2,
         by_demand: true,
@@ -25,7 +25,7 @@
 fn beat() -> AgentHeartbeat {
     AgentHeartbeat {
         host: HostName::from("t1"),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         position: Position(1),
         plan: Position(0),
         holds: None,
@@ -45,7 +45,7 @@
     let mut now_ms = 0;
     while now_ms < 3000 {
         now_ms += 100;
-        duties.on_agent(&state, now_ms, &beat());
+        duties.on_agent_heartbeat(&state, now_ms, &beat());
         assert_eq!(duties.round(&state, now_ms, 0), [], "at {now_ms} ms");
     }
     // It is frozen for a minute, and wakes.
@@ -121,9 +121,9 @@
     }
     // Nothing is committed from here on; only time passes.
     let demand = DemandTracker::default();
-    let soon = moves::plan(&state, &POLICY.place, &demand, 50_700);
+    let soon = moves::plan(&state, &POLICY.placement, &demand, 50_700);
     assert_eq!(soon, [], "before the store's gap is over");
-    let due = moves::plan(&state, &POLICY.place, &demand, 50_714);
+    let due = moves::plan(&state, &POLICY.placement, &demand, 50_714);
     assert_eq!(due.len(), 1);
     assert_eq!((&due[0].model, due[0].kind), (&model("b"), MoveKind::Load));
 }
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -165,7 +165,7 @@
     let mut orders = Vec::new();
     for now_ms in (from_ms..from_ms + 3_000).step_by(100) {
         let ids: Vec<ReplicaId> = state.replicas.records().keys().cloned().collect();
-        duties.on_heard(now_ms, &ids);
+        duties.on_heartbeats(now_ms, &ids);
         let actions = duties.round(state, now_ms);
         for command in actions.commands {
             apply(state, 0, command);
@@ -201,9 +201,15 @@
         model: ModelName::from(MODEL),
         adapter: "a1".to_owned(),
     };
-    assert_eq!(duties.on_wish(&state, 12_000, &wish), (false, None));
+    assert_eq!(
+        duties.on_adapter_request(&state, 12_000, &wish),
+        (false, None)
+    );
     restore(&mut state);
-    assert_eq!(duties.on_wish(&state, 12_000, &wish), (true, None));
+    assert_eq!(
+        duties.on_adapter_request(&state, 12_000, &wish),
+        (true, None)
+    );
 }
 
 /// The same for targets with agents.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -109,7 +109,7 @@
 
     fn round(&mut self, now_ms: u64) {
         let ids: Vec<ReplicaId> = self.state.replicas.records().keys().cloned().collect();
-        self.duties.on_heard(now_ms, &ids);
+        self.duties.on_heartbeats(now_ms, &ids);
         let actions = self.duties.round(&self.state, now_ms);
         for command in actions.commands {
             self.apply(command);
@@ -450,11 +450,11 @@
     PlanReplica {
         id: ReplicaId::from(id),
         hall: HallName::from("here"),
-        open: true,
+        accepts_orders: true,
         free_mb,
         held: held.iter().map(|model| ModelName::from(*model)).collect(),
-        coming: BTreeSet::new(),
-        at_hand: BTreeMap::new(),
+        loading: BTreeSet::new(),
+        cached_load_ms: BTreeMap::new(),
     }
 }
 
@@ -497,12 +497,12 @@
 #[test]
 fn the_only_home_that_serves_does_not_go_while_another_is_loading() {
     let models = plan_models(&[("busy", 2.0), ("hot", 60.0)]);
-    let mut loading = plan_replica("r2", 0, &[]);
-    loading.coming.insert(ModelName::from("busy"));
-    loading.open = false;
+    let mut second = plan_replica("r2", 0, &[]);
+    second.loading.insert(ModelName::from("busy"));
+    second.accepts_orders = false;
     let full = vec![
         plan_replica("r1", 0, &["busy"]),
-        loading,
+        second,
         plan_replica("r3", 0, &["hot"]),
     ];
     assert_eq!(plan(full, &models, 0.5, 1), []);
@@ -525,7 +525,7 @@
 fn a_copy_at_hand_goes_before_the_store_and_needs_no_permit() {
     let models = plan_models(&[("a", 1.0), ("b", 1.0)]);
     let mut with_copy = plan_replica("r1", 70, &[]);
-    with_copy.at_hand.insert(ModelName::from("b"), 2_000);
+    with_copy.cached_load_ms.insert(ModelName::from("b"), 2_000);
     let steps = plan(
         vec![with_copy, plan_replica("r2", 70, &[])],
         &models,
@@ -696,7 +696,12 @@
     world.beat(&record("r1", 1, &["a"]));
     world.rounds(3_000, 3_200);
     for adapter in ["x", "y"] {
-        assert!(world.duties.on_wish(&world.state, 3_200, &place(adapter)).0);
+        assert!(
+            world
+                .duties
+                .on_adapter_request(&world.state, 3_200, &place(adapter))
+                .0
+        );
     }
     assert!(world.orders.is_empty());
     world.rounds(3_200, 3_400);
@@ -710,12 +715,16 @@
     world.duties = leader(2, 3_400);
     world.rounds(3_400, 7_000);
     assert_eq!(
-        world.duties.on_wish(&world.state, 7_000, &place("z")),
+        world
+            .duties
+            .on_adapter_request(&world.state, 7_000, &place("z")),
         (false, None)
     );
     world.rounds(7_000, 60_000);
     assert_eq!(
-        world.duties.on_wish(&world.state, 60_000, &place("z")),
+        world
+            .duties
+            .on_adapter_request(&world.state, 60_000, &place("z")),
         (false, None)
     );
     // It asks the replica by sending them again, and goes by the answers.
@@ -727,7 +736,12 @@
         .on_outcome(60_000, &again[0], OrderOutcome::Refused);
     assert!(refused.is_empty());
     world.rounds(60_100, 61_000);
-    assert!(world.duties.on_wish(&world.state, 61_000, &place("z")).0);
+    assert!(
+        world
+            .duties
+            .on_adapter_request(&world.state, 61_000, &place("z"))
+            .0
+    );
 }
 
 /// A replica keeps the adapters of a model that is ordered out until its requests end.
@@ -744,7 +758,9 @@
     ));
     world.duties = leader(2, 4_000);
     // The lease is over, and no round has come yet.
-    let answer = world.duties.on_wish(&world.state, 7_000, &place("z"));
+    let answer = world
+        .duties
+        .on_adapter_request(&world.state, 7_000, &place("z"));
     assert_eq!(answer, (false, None));
 }
 
@@ -755,8 +771,8 @@
     let mut full = record("r1", 1, &["a"]);
     let names = BTreeSet::from(["x".to_owned(), "y".to_owned()]);
     full.models.insert(ModelName::from("a"), names);
-    orders.note_used(place("x"), 9_000);
-    orders.note_used(place("y"), 9_500);
+    orders.record_use(place("x"), 9_000);
+    orders.record_use(place("y"), 9_500);
     assert_eq!(
         orders.decide(&full, 2, &directory, &place("z"), 10_000),
         AdapterDecision::Refused
@@ -873,7 +889,9 @@
     let mut world = World::new(&["a"]);
     world.beat(&beat(1, &["x", "y"]));
     world.rounds(3_000, 3_200);
-    let (soon, evicted) = world.duties.on_wish(&world.state, 3_200, &place("z"));
+    let (soon, evicted) = world
+        .duties
+        .on_adapter_request(&world.state, 3_200, &place("z"));
     let evicted = evicted.unwrap();
     assert!(soon && evicted.kind == OrderKind::Unload);
     let told = world
@@ -890,7 +908,9 @@
         "x"
     };
     for adapter in ["z", evicted.adapter.as_deref().unwrap()] {
-        let (_, order) = world.duties.on_wish(&world.state, 7_000, &place(adapter));
+        let (_, order) = world
+            .duties
+            .on_adapter_request(&world.state, 7_000, &place(adapter));
         assert_ne!(order.map(|order| order.kind), Some(OrderKind::Load));
         let coming = world.state.replicas.adapters_coming(&evicted.replica);
         assert_eq!(coming.count(), 0);
@@ -898,7 +918,12 @@
     world.beat(&beat(2, &[other]));
     world.duties = leader(3, 7_000);
     world.rounds(7_000, 10_200);
-    assert!(world.duties.on_wish(&world.state, 10_200, &place("z")).0);
+    assert!(
+        world
+            .duties
+            .on_adapter_request(&world.state, 10_200, &place("z"))
+            .0
+    );
     world.rounds(10_200, 10_400);
     let load = world.orders.last().unwrap();
     assert_eq!(load.adapter.as_deref(), Some("z"));
@@ -940,7 +965,7 @@
     let limited = record("r1", 1, &["a"]);
     world.beat(&limited);
     world.beat(&record("r2", 2, &[]));
-    world.duties.follow_limits(1, [limited.life()].iter());
+    world.duties.update_limited(1, [limited.life()].iter());
     for now_ms in (3_000..6_000).step_by(100) {
         world.duties.on_report(now_ms, busy("a", 3.0));
         world.round(now_ms);
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -74,7 +74,7 @@
 place=every_model_keeps_or_regains_a_home
 mutant unloads-last-home src/placement/moves.rs 's/ready\.count\(\) <= 1/ready.count() <= 0/' fuzz $place
 mutant spares-before-repair src/placement/moves.rs 's/if homeless\.is_empty\(\) \{/if true || homeless.is_empty() {/' fuzz $place
-mutant no-ejection src/placement/moves.rs 's/None if self\.eject\(model, wanted, moves\) => \{\}//; s/None => self\.follow_packing\(wanted, moves\),/None => {}/' fuzz $place
+mutant no-ejection src/placement/moves.rs 's/None if self\.relocate_sole_home\(model, wanted, moves\) => \{\}//; s/None => self\.step_to_packing\(wanted, moves\),/None => {}/' fuzz $place
 mutant unloading-memory-reused src/placement/moves.rs 's/let taken: u64 = homes\n                \.keys\(\)/let taken: u64 = homes\n                .iter().filter(|(_, h)| h.phase != HomePhase::Unloading).map(|(m, _)| m)/' fuzz $place
 view=copies_follow_the_log_and_never_go_back
 mutant page-goes-back src/routing/view.rs 's/_ if page\.to <= self\.position => return false,//' fuzz $view
@@ -104,7 +104,7 @@
 mutant lone-leader-waits src/consensus/raft.rs 's/(peers\.contains\(node\)\);)\n        self\.advance_commit\(\);/$1/' raft a_leader_that_is_its_own_quorum_commits_what_a_heartbeat_sends_first
 mutant crowd-not-heeded src/forward/book.rs 's/tokens: tokens\.saturating_sub\(own/tokens: 0 * tokens.saturating_sub(own/' crowd entries_that_know_of_each_other_keep_no_queue_that_makes_all_late
 mutant own-counted-as-crowd src/forward/book.rs 's/own\.get\(id\)\.copied\(\)\.unwrap_or\(0\)/0 * own.get(id).copied().unwrap_or(0)/' forward_parts a_home_that_others_crowd_takes_no_more
-mutant silent-entry-counts src/placement/congestion.rs 's/        self\.lapse\(now_ms, bound\);\n//' crowd an_entry_that_falls_silent_counts_no_more
+mutant silent-entry-counts src/placement/congestion.rs 's/        self\.expire_reports\(now_ms, threshold\);\n//' crowd an_entry_that_falls_silent_counts_no_more
 mutant third-end-bars-nothing src/consensus/crashes.rs 's/MAX_CRASHES\.\. => Self::Barred,/MAX_CRASHES.. => Self::Suspect(2),/' crashes the_third_end_bars_a_content_whoever_tells_of_each
 mutant one-end-counts-twice src/consensus/crashes.rs 's/ \&\& !record\.crashes\.contains\(\&report\.replica\)//' crashes the_third_end_bars_a_content_whoever_tells_of_each
 mutant turns-for-all src/placement/suspect_leases.rs 's/return SuspectLeaseReply::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
