--- a/src/control/orderer.rs
+++ b/src/control/orderer.rs
@@ -103,7 +103,7 @@
 ) {
     let counts: RefCell<BTreeMap<ReplicaLife, OrderCount>> = RefCell::default();
     while let Some(order) = orders.recv().await {
-        let count = count_of(&mut counts.borrow_mut(), order.life());
+        let count = count_of(&mut counts.borrow_mut(), order.incarnation());
         let handle = handle.clone();
         daemon::spawn_local(async move {
             let mut count = count.lock().await;
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -299,7 +299,7 @@
                 let _ = answer.send(self.on_turn(now_ms, &ask));
             }
             ControlEvent::TurnEnded(end, answer) => {
-                let ended = self.turns.as_mut().map(|turns| turns.end(end));
+                let ended = self.turns.as_mut().map(|turns| turns.release(end));
                 let _ = answer.send(ended.ok_or_else(|| self.not_leader()));
             }
             ControlEvent::Permit(request, answer) => {
@@ -464,7 +464,7 @@
             return Err(self.not_leader());
         };
         let standing = ContentStanding::of(state.crashes.count(&ask.content));
-        let answer = turns.ask(now_ms, standing, ask);
+        let answer = turns.request(now_ms, standing, ask);
         let (content, replica) = (ask.content, &ask.replica);
         tracing::debug!(%content, %replica, ?standing, ?answer, "turn of a suspect content");
         Ok(answer)
@@ -868,8 +868,8 @@
 /// among those that report.
 fn life_state(state: &SiteState, life: &ReplicaLife) -> IncarnationState {
     match state.replicas.records().get(&life.id) {
-        Some(record) if record.born_ms > life.born_ms => IncarnationState::Over,
-        Some(_) => IncarnationState::Known,
+        Some(record) if record.born_ms > life.born_ms => IncarnationState::Replaced,
+        Some(_) => IncarnationState::Current,
         None => IncarnationState::Unknown,
     }
 }
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -110,7 +110,7 @@
             service: record.service.clone(),
             is_cold: book.is_cold(now_ms, &record.id),
             is_limited: limits.is_limited(&replica),
-            named: limits.last_notice(now_ms, &replica),
+            observed: limits.last_notice(now_ms, &replica),
             cursor: limits.cursor(),
             replica,
         }
--- a/src/forward/request/crashes.rs
+++ b/src/forward/request/crashes.rs
@@ -54,8 +54,8 @@
             replica: replica.clone(),
             // Another one each time: the end of a turn that it had may still be on its way.
             ticket: rand::rng().random(),
-            lasts_ms: self.left().as_millis() as u64,
-            insists: self.shared.contains(replica),
+            duration_ms: self.left().as_millis() as u64,
+            no_free_replica: self.shared.contains(replica),
         };
         let clearance = self.core.clear_turn(ask).await;
         if !matches!(clearance, Clearance::Go(None)) {
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -305,7 +305,7 @@
         outcome: OrderOutcome,
     ) -> Vec<Command> {
         if outcome == OrderOutcome::Fenced {
-            self.fenced.insert(order.life());
+            self.fenced.insert(order.incarnation());
         }
         match &order.adapter {
             Some(adapter) => {
@@ -541,7 +541,7 @@
         EngineOrder {
             number: self.orders_issued,
             replica: record.id.clone(),
-            born_ms: record.born_ms,
+            started_ms: record.born_ms,
             address: record.address,
             holder: self.holder.clone(),
             fence: self.term,
--- a/src/placement/named_limits.rs
+++ b/src/placement/named_limits.rs
@@ -17,9 +17,9 @@
 
 /// How long an ended limit is remembered, and one whose replica the log does not know, in
 /// milliseconds. What was heard longer ago is not believed: its end may be forgotten.
-const KEPT_MS: u64 = 600_000;
+const RETENTION_MS: u64 = 600_000;
 /// How long a new leader gathers what entries know, in milliseconds: two regular reports.
-const GATHER_MS: u64 = 1_250;
+const STARTUP_GATHER_MS: u64 = 1_250;
 
 /// Proof of when a request was let through: a moment of a leader's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// Answers with a limit.
-    pub named: Vec<LimitObservation>,
+    pub observed: Vec<LimitObservation>,
     /// Answers without one any more.
     pub ended: Vec<LimitEnd>,
     /// The changes that it has.
@@ -87,23 +87,23 @@
     /// Up to where the entry knows all, with these.
     pub cursor: LimitCursor,
     /// These are all limits: what the entry has of other replicas has ended.
-    pub whole: bool,
+    pub full: bool,
     /// The changes.
     pub limits: Vec<LimitState>,
 }
 
 #[derive(Debug, Default)]
-struct LimitNote {
+struct LimitRecord {
     rate: Option<AdvertisedRate>,
     /// When this rate was heard of first.
-    named_ms: u64,
+    observed_ms: u64,
     /// When the request was permitted whose answer showed the end or a higher rate: answers that
     /// came before say nothing.
-    settled_ms: Option<u64>,
+    relaxed_ms: Option<u64>,
     /// Its last change.
     revision: u64,
     /// When the log knew the replica last, or the limit ended.
-    kept_since_ms: u64,
+    retained_since_ms: u64,
 }
 
 /// All limits that one leader knows.
@@ -111,12 +111,12 @@
 pub struct AdvertisedLimits {
     term: Term,
     since_ms: u64,
-    notes: BTreeMap<ReplicaLife, LimitNote>,
+    records: BTreeMap<ReplicaLife, LimitRecord>,
     /// Replicas by their last change.
     changes: BTreeMap<u64, ReplicaLife>,
     revision: u64,
     /// Changes up to this one are not known any more.
-    forgotten: u64,
+    pruned_through: u64,
 }
 
 impl AdvertisedLimits {
@@ -125,16 +125,16 @@
         Self {
             term,
             since_ms: now_ms,
-            notes: BTreeMap::new(),
+            records: BTreeMap::new(),
             changes: BTreeMap::new(),
             revision: 0,
-            forgotten: 0,
+            pruned_through: 0,
         }
     }
 
     /// The rate that a replica names.
     pub fn rate(&self, replica: &ReplicaLife) -> Option<AdvertisedRate> {
-        self.notes.get(replica)?.rate
+        self.records.get(replica)?.rate
     }
 
     /// The last change.
@@ -144,12 +144,15 @@
 
     /// Replicas that name a limit.
     pub fn limited(&self) -> impl Iterator<Item = &ReplicaLife> {
-        let limited = self.notes.iter().filter(|(_, note)| note.rate.is_some());
+        let limited = self
+            .records
+            .iter()
+            .filter(|(_, record)| record.rate.is_some());
         limited.map(|(replica, _)| replica)
     }
 
     /// Whether an entry follows this leader.
-    pub fn is_followed(&self, cursor: LimitCursor) -> bool {
+    pub fn is_current(&self, cursor: LimitCursor) -> bool {
         cursor.term == self.term
     }
 
@@ -162,58 +165,59 @@
     }
 
     /// An answer named a limit. Returns whether the replica takes less than was known.
-    pub fn name(&mut self, now_ms: u64, notice: &LimitObservation) -> bool {
-        if notice.age_ms >= KEPT_MS {
+    pub fn observe(&mut self, now_ms: u64, observation: &LimitObservation) -> bool {
+        if observation.age_ms >= RETENTION_MS {
             return false;
         }
-        let heard_ms = now_ms.saturating_sub(notice.age_ms);
-        let note = self.notes.entry(notice.replica.clone()).or_default();
-        if note
-            .settled_ms
-            .is_some_and(|settled_ms| heard_ms <= settled_ms)
+        let received_ms = now_ms.saturating_sub(observation.age_ms);
+        let record = self.records.entry(observation.replica.clone()).or_default();
+        if record
+            .relaxed_ms
+            .is_some_and(|relaxed_ms| received_ms <= relaxed_ms)
         {
             return false;
         }
-        let proof = notice.permit.filter(|permit| permit.term == self.term);
-        let proof = proof.filter(|permit| permit.granted_ms > note.named_ms);
-        let tightens = match (note.rate, proof) {
+        let permit_proof = observation.permit.filter(|permit| permit.term == self.term);
+        let permit_proof = permit_proof.filter(|permit| permit.granted_ms > record.observed_ms);
+        let is_stricter = match (record.rate, permit_proof) {
             (None, _) => true,
-            (Some(known), _) if notice.rate > known => true,
-            (Some(known), Some(permit)) if notice.rate < known => {
-                note.settled_ms = Some(permit.granted_ms);
+            (Some(known), _) if observation.rate > known => true,
+            (Some(known), Some(permit)) if observation.rate < known => {
+                record.relaxed_ms = Some(permit.granted_ms);
                 false
             }
             _ => return false,
         };
-        note.rate = Some(notice.rate);
-        note.named_ms = now_ms;
-        note.kept_since_ms = now_ms;
-        self.note_change(&notice.replica);
-        tightens
+        record.rate = Some(observation.rate);
+        record.observed_ms = now_ms;
+        record.retained_since_ms = now_ms;
+        self.record_change(&observation.replica);
+        is_stricter
     }
 
     /// An answer named no limit any more. Returns whether one ends by it.
-    pub fn end(&mut self, now_ms: u64, end: &LimitEnd) -> bool {
+    pub fn observe_end(&mut self, now_ms: u64, end: &LimitEnd) -> bool {
         let granted_ms = end.permit.granted_ms;
-        let note = self.notes.get_mut(&end.replica);
-        let limited = note.filter(|note| note.rate.is_some() && granted_ms > note.named_ms);
-        let Some(note) = limited.filter(|_| end.permit.term == self.term) else {
+        let record = self.records.get_mut(&end.replica);
+        let limited =
+            record.filter(|record| record.rate.is_some() && granted_ms > record.observed_ms);
+        let Some(record) = limited.filter(|_| end.permit.term == self.term) else {
             return false;
         };
-        note.rate = None;
-        note.settled_ms = Some(granted_ms);
-        note.kept_since_ms = now_ms;
-        self.note_change(&end.replica);
+        record.rate = None;
+        record.relaxed_ms = Some(granted_ms);
+        record.retained_since_ms = now_ms;
+        self.record_change(&end.replica);
         true
     }
 
-    fn note_change(&mut self, replica: &ReplicaLife) {
+    fn record_change(&mut self, replica: &ReplicaLife) {
         self.revision += 1;
-        let Some(note) = self.notes.get_mut(replica) else {
+        let Some(record) = self.records.get_mut(replica) else {
             return;
         };
-        self.changes.remove(&note.revision);
-        note.revision = self.revision;
+        self.changes.remove(&record.revision);
+        record.revision = self.revision;
         self.changes.insert(self.revision, replica.clone());
     }
 
@@ -221,21 +225,24 @@
     /// that it told of.
     pub fn report(&mut self, now_ms: u64, report: &LimitReport) -> LimitPage {
         let mut page = self.page(now_ms, report.cursor);
-        let named = report.named.iter().map(|notice| &notice.replica);
+        let observed = report
+            .observed
+            .iter()
+            .map(|observation| &observation.replica);
         let ended = report.ended.iter().map(|end| &end.replica);
-        let told = named.chain(ended).map(|replica| LimitState {
+        let reported = observed.chain(ended).map(|replica| LimitState {
             replica: replica.clone(),
             rate: self.rate(replica),
         });
-        page.limits.extend(told);
+        page.limits.extend(reported);
         page
     }
 
     /// What changed since an entry's last page. While a new leader gathers what entries know, it
     /// takes nothing back.
     pub fn page(&self, now_ms: u64, cursor: LimitCursor) -> LimitPage {
-        let known = cursor.term == self.term && cursor.revision >= self.forgotten;
-        let gathers = now_ms < self.since_ms + GATHER_MS;
+        let known = cursor.term == self.term && cursor.revision >= self.pruned_through;
+        let gathering = now_ms < self.since_ms + STARTUP_GATHER_MS;
         let from = match known {
             true => cursor.revision,
             false => 0,
@@ -244,13 +251,13 @@
         let limits = changes.filter_map(|(_, replica)| {
             Some(LimitState {
                 replica: replica.clone(),
-                rate: self.notes.get(replica)?.rate,
+                rate: self.records.get(replica)?.rate,
             })
         });
         LimitPage {
             limits: limits.collect(),
-            whole: !known && !gathers,
-            cursor: match gathers && !known {
+            full: !known && !gathering,
+            cursor: match gathering && !known {
                 true => LimitCursor::default(),
                 false => LimitCursor {
                     term: self.term,
@@ -261,26 +268,26 @@
     }
 
     /// Forgets limits that ended long ago, and those of lives that are over;
-    /// `life_of` looks a life up in the log.
-    pub fn prune(&mut self, now_ms: u64, life_of: impl Fn(&ReplicaLife) -> IncarnationState) {
-        let mut over = Vec::new();
-        for (replica, note) in &mut self.notes {
-            let kept_ms = match (note.rate, life_of(replica)) {
-                (None, _) | (Some(_), IncarnationState::Unknown) => KEPT_MS,
-                (Some(_), IncarnationState::Over) => 0,
-                (Some(_), IncarnationState::Known) => {
-                    note.kept_since_ms = now_ms;
+    /// `state_of` looks a life up in the log.
+    pub fn prune(&mut self, now_ms: u64, state_of: impl Fn(&ReplicaLife) -> IncarnationState) {
+        let mut expired = Vec::new();
+        for (replica, record) in &mut self.records {
+            let retention_ms = match (record.rate, state_of(replica)) {
+                (None, _) | (Some(_), IncarnationState::Unknown) => RETENTION_MS,
+                (Some(_), IncarnationState::Replaced) => 0,
+                (Some(_), IncarnationState::Current) => {
+                    record.retained_since_ms = now_ms;
                     continue;
                 }
             };
-            if now_ms >= note.kept_since_ms + kept_ms {
-                over.push((replica.clone(), note.revision));
+            if now_ms >= record.retained_since_ms + retention_ms {
+                expired.push((replica.clone(), record.revision));
             }
         }
-        for (replica, revision) in over {
-            self.notes.remove(&replica);
+        for (replica, revision) in expired {
+            self.records.remove(&replica);
             self.changes.remove(&revision);
-            self.forgotten = self.forgotten.max(revision);
+            self.pruned_through = self.pruned_through.max(revision);
         }
     }
 }
@@ -289,9 +296,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IncarnationState {
     /// It lives.
-    Known,
+    Current,
     /// The replica has started again.
-    Over,
+    Replaced,
     /// The log knows no replica of this id.
     Unknown,
 }
--- a/src/placement/named_rate.rs
+++ b/src/placement/named_rate.rs
@@ -5,8 +5,8 @@
 
 /// Longest gap between two requests, in microseconds. Only an answer tells that a limit has
 /// ended, so a replica that names next to nothing is still sent a request this often.
-const LONGEST_GAP_US: u64 = 10_000_000;
-const SECOND_US: f64 = 1e6;
+const MAX_GAP_US: u64 = 10_000_000;
+const US_PER_S: f64 = 1e6;
 
 /// A rate, as the time between two requests. A longer gap is the stricter rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -24,14 +24,14 @@
         let rates = rates.filter(|rate| rate.is_finite() && *rate >= 0.0);
         let lowest = rates.min_by(f64::total_cmp)?;
         // A quotient that is too large ends at the largest integer.
-        let gap_us = (SECOND_US / lowest.abs()).ceil() as u64;
+        let gap_us = (US_PER_S / lowest.abs()).ceil() as u64;
         Some(Self {
-            gap_us: gap_us.min(LONGEST_GAP_US),
+            gap_us: gap_us.min(MAX_GAP_US),
         })
     }
 
     /// Requests a second.
     pub fn per_s(self) -> f64 {
-        SECOND_US / self.gap_us.max(1) as f64
+        US_PER_S / self.gap_us.max(1) as f64
     }
 }
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -39,7 +39,7 @@
     /// The replica that is meant.
     pub replica: ReplicaId,
     /// When its life that is meant began; see [`ReplicaLife`].
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// Where it listens.
     pub address: SocketAddr,
     /// Who orders.
@@ -56,10 +56,10 @@
 
 impl EngineOrder {
     /// The replica's life that is meant.
-    pub fn life(&self) -> ReplicaLife {
+    pub fn incarnation(&self) -> ReplicaLife {
         ReplicaLife {
             id: self.replica.clone(),
-            born_ms: self.born_ms,
+            born_ms: self.started_ms,
         }
     }
 
--- a/src/placement/replica_rates.rs
+++ b/src/placement/replica_rates.rs
@@ -17,9 +17,9 @@
 use crate::table::configuration::WarmupSpec;
 
 /// When an entry asks again that has not heard of this leader, in milliseconds.
-const FOLLOW_MS: u64 = 100;
+const SYNC_RETRY_MS: u64 = 100;
 /// Time between two looks at what can be forgotten, in milliseconds.
-const PRUNE_EVERY_MS: u64 = 1_000;
+const PRUNE_INTERVAL_MS: u64 = 1_000;
 
 /// An entry asks to send one request to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
     /// It names a limit, as far as the entry knows.
     pub is_limited: bool,
     /// The last answer with a limit that the entry heard.
-    pub named: Option<LimitObservation>,
+    pub observed: Option<LimitObservation>,
     /// The changes of limits that the entry has.
     pub cursor: LimitCursor,
 }
@@ -81,13 +81,13 @@
         request: &PermitRequest,
         warm_up: Option<WarmupSpec>,
     ) -> PermitReply {
-        if let Some(notice) = &request.named {
-            self.name(now_ms, notice);
+        if let Some(observation) = &request.observed {
+            self.observe(now_ms, observation);
         }
         // The entry tells this leader first what it knows by the one before.
-        if request.is_limited && !self.limits.is_followed(request.cursor) {
+        if request.is_limited && !self.limits.is_current(request.cursor) {
             return PermitReply::Refused(PermitRefusal {
-                wait_ms: FOLLOW_MS,
+                wait_ms: SYNC_RETRY_MS,
                 rate: None,
             });
         }
@@ -95,7 +95,7 @@
         let cold_us = warm_up.map(|spec| spec.request_gap_ms.saturating_mul(1_000));
         let rate = self.limits.rate(&request.replica);
         let taken = match cold_us.max(rate.map(|rate| rate.gap_us)) {
-            Some(gap_us) => self.limiter.take(now_ms, &request.replica, gap_us),
+            Some(gap_us) => self.limiter.try_acquire(now_ms, &request.replica, gap_us),
             // The entry has not heard yet that it may send freely.
             None => Ok(()),
         };
@@ -107,11 +107,11 @@
 
     /// Takes what an entry heard of limits. Returns what changed for it.
     pub fn report(&mut self, now_ms: u64, report: &LimitReport) -> LimitPage {
-        for notice in &report.named {
-            self.name(now_ms, notice);
+        for observation in &report.observed {
+            self.observe(now_ms, observation);
         }
         for end in &report.ended {
-            if self.limits.end(now_ms, end) {
+            if self.limits.observe_end(now_ms, end) {
                 tracing::info!(replica = %end.replica, "limit of a replica ended");
             }
         }
@@ -134,20 +134,20 @@
     }
 
     /// Forgets what is over, once in a while.
-    pub fn prune(&mut self, now_ms: u64, life_of: impl Fn(&ReplicaLife) -> IncarnationState) {
+    pub fn prune(&mut self, now_ms: u64, state_of: impl Fn(&ReplicaLife) -> IncarnationState) {
         if now_ms >= self.prune_due_ms {
-            self.prune_due_ms = now_ms + PRUNE_EVERY_MS;
-            self.limits.prune(now_ms, life_of);
+            self.prune_due_ms = now_ms + PRUNE_INTERVAL_MS;
+            self.limits.prune(now_ms, state_of);
         }
     }
 
-    fn name(&mut self, now_ms: u64, notice: &LimitObservation) {
-        if !self.limits.name(now_ms, notice) {
+    fn observe(&mut self, now_ms: u64, observation: &LimitObservation) {
+        if !self.limits.observe(now_ms, observation) {
             return;
         }
         self.limiter
-            .empty(now_ms, &notice.replica, notice.rate.gap_us);
-        let (replica, per_s) = (&notice.replica, notice.rate.per_s());
-        tracing::info!(%replica, per_s, age_ms = notice.age_ms, "replica names a limit");
+            .clear_tokens(now_ms, &observation.replica, observation.rate.gap_us);
+        let (replica, per_s) = (&observation.replica, observation.rate.per_s());
+        tracing::info!(%replica, per_s, age_ms = observation.age_ms, "replica names a limit");
     }
 }
--- a/src/placement/suspect_leases.rs
+++ b/src/placement/suspect_leases.rs
@@ -18,7 +18,7 @@
 /// Longest turn, in milliseconds: an entry that ended tells of no end.
 const MAX_SUSPECT_LEASE_MS: u64 = 60_000;
 /// Crashes from which a suspect shares a replica with no other suspect.
-const APART_CRASHES: u8 = 2;
+const EXCLUSIVE_CRASHES: u8 = 2;
 
 /// An entry asks for the turn of one attempt at a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,9 +30,9 @@
     /// Drawn for this ask: tells the turn apart from others that were asked for.
     pub ticket: u64,
     /// How long it may run, in milliseconds.
-    pub lasts_ms: u64,
+    pub duration_ms: u64,
     /// No replica is free of suspects, as far as the entry knows.
-    pub insists: bool,
+    pub no_free_replica: bool,
 }
 
 /// An attempt has ended, and what it has done is known; or it never left.
@@ -58,65 +58,67 @@
 }
 
 #[derive(Clone, Debug)]
-struct TakenTurn {
+struct ActiveLease {
     ticket: u64,
     replica: ReplicaId,
     crashes: u8,
-    until_ms: u64,
+    expires_ms: u64,
 }
 
 /// The turns that are taken.
 #[derive(Debug, Default)]
 pub struct SuspectLeases {
-    taken: BTreeMap<ContentDigest, TakenTurn>,
+    active: BTreeMap<ContentDigest, ActiveLease>,
 }
 
 impl SuspectLeases {
     /// Answers an ask; `standing` is what the log says of its content.
-    pub fn ask(
+    pub fn request(
         &mut self,
         now_ms: u64,
         standing: ContentStanding,
-        ask: &SuspectLeaseRequest,
+        request: &SuspectLeaseRequest,
     ) -> SuspectLeaseReply {
-        self.taken.retain(|_, turn| turn.until_ms > now_ms);
+        self.active.retain(|_, lease| lease.expires_ms > now_ms);
         let crashes = match standing {
             // Its entry has not heard yet that it was cleared.
             ContentStanding::Harmless => return SuspectLeaseReply::Granted,
             ContentStanding::Barred => return SuspectLeaseReply::Barred,
             ContentStanding::Suspect(crashes) => crashes,
         };
-        let holder = self.taken.get(&ask.content);
-        if holder.is_some_and(|turn| turn.ticket != ask.ticket) {
+        let current = self.active.get(&request.content);
+        if current.is_some_and(|lease| lease.ticket != request.ticket) {
             return SuspectLeaseReply::Wait;
         }
-        let beside = self
-            .taken
+        let sharing = self
+            .active
             .iter()
-            .filter(|(content, turn)| **content != ask.content && turn.replica == ask.replica);
-        let most = beside.map(|(_, turn)| turn.crashes).max();
-        match most {
-            Some(most) if !ask.insists || most.max(crashes) >= APART_CRASHES => {
+            .filter(|(key, lease)| **key != request.content && lease.replica == request.replica);
+        let max_crashes = sharing.map(|(_, lease)| lease.crashes).max();
+        match max_crashes {
+            Some(max_crashes)
+                if !request.no_free_replica || max_crashes.max(crashes) >= EXCLUSIVE_CRASHES =>
+            {
                 SuspectLeaseReply::Elsewhere
             }
             _ => {
-                let turn = TakenTurn {
-                    ticket: ask.ticket,
-                    replica: ask.replica.clone(),
+                let lease = ActiveLease {
+                    ticket: request.ticket,
+                    replica: request.replica.clone(),
                     crashes,
-                    until_ms: now_ms + ask.lasts_ms.min(MAX_SUSPECT_LEASE_MS),
+                    expires_ms: now_ms + request.duration_ms.min(MAX_SUSPECT_LEASE_MS),
                 };
-                self.taken.insert(ask.content, turn);
+                self.active.insert(request.content, lease);
                 SuspectLeaseReply::Granted
             }
         }
     }
 
     /// Ends a turn.
-    pub fn end(&mut self, end: SuspectLeaseRelease) {
-        let taken = self.taken.get(&end.content);
-        if taken.is_some_and(|turn| turn.ticket == end.ticket) {
-            self.taken.remove(&end.content);
+    pub fn release(&mut self, release: SuspectLeaseRelease) {
+        let active = self.active.get(&release.content);
+        if active.is_some_and(|lease| lease.ticket == release.ticket) {
+            self.active.remove(&release.content);
         }
     }
 }
--- a/src/routing/limited_peers.rs
+++ b/src/routing/limited_peers.rs
@@ -130,7 +130,7 @@
             })
         });
         LimitReport {
-            named: named.collect(),
+            observed: named.collect(),
             ended: ended.collect(),
             cursor: self.cursor,
         }
@@ -144,7 +144,7 @@
                 _ => {}
             }
         }
-        for notice in &report.named {
+        for notice in &report.observed {
             self.confirm_notice(asked_ms, &notice.replica);
         }
     }
@@ -176,7 +176,7 @@
         if is_new_leader {
             self.report_anew(now_ms);
         }
-        if page.whole {
+        if page.full {
             for note in self.notes.values_mut() {
                 note.known = None;
                 note.heard = note.heard.filter(|heard| !heard.told);
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -134,8 +134,8 @@
         content: content(number),
         replica: ReplicaId::from(replica),
         ticket,
-        lasts_ms: 1_000,
-        insists: false,
+        duration_ms: 1_000,
+        no_free_replica: false,
     }
 }
 
@@ -145,39 +145,39 @@
 fn one_attempt_of_a_suspect_runs_at_a_time() {
     let mut desk = SuspectLeases::default();
     assert_eq!(
-        desk.ask(0, SUSPECT, &ask(1, "a", 11)),
+        desk.request(0, SUSPECT, &ask(1, "a", 11)),
         SuspectLeaseReply::Granted
     );
     assert_eq!(
-        desk.ask(1, SUSPECT, &ask(1, "b", 12)),
+        desk.request(1, SUSPECT, &ask(1, "b", 12)),
         SuspectLeaseReply::Wait
     );
     // The same attempt asks again where its answer was lost.
     assert_eq!(
-        desk.ask(2, SUSPECT, &ask(1, "a", 11)),
+        desk.request(2, SUSPECT, &ask(1, "a", 11)),
         SuspectLeaseReply::Granted
     );
     let end = |ticket| SuspectLeaseRelease {
         content: content(1),
         ticket,
     };
-    desk.end(end(12));
+    desk.release(end(12));
     assert_eq!(
-        desk.ask(3, SUSPECT, &ask(1, "b", 12)),
+        desk.request(3, SUSPECT, &ask(1, "b", 12)),
         SuspectLeaseReply::Wait
     );
-    desk.end(end(11));
+    desk.release(end(11));
     assert_eq!(
-        desk.ask(4, SUSPECT, &ask(1, "b", 12)),
+        desk.request(4, SUSPECT, &ask(1, "b", 12)),
         SuspectLeaseReply::Granted
     );
     // An entry that ended tells of no end.
     assert_eq!(
-        desk.ask(1_003, SUSPECT, &ask(1, "b", 13)),
+        desk.request(1_003, SUSPECT, &ask(1, "b", 13)),
         SuspectLeaseReply::Wait
     );
     assert_eq!(
-        desk.ask(1_004, SUSPECT, &ask(1, "b", 13)),
+        desk.request(1_004, SUSPECT, &ask(1, "b", 13)),
         SuspectLeaseReply::Granted
     );
 }
@@ -187,15 +187,15 @@
     let mut desk = SuspectLeases::default();
     let (barred, cleared) = (ContentStanding::Barred, ContentStanding::Harmless);
     assert_eq!(
-        desk.ask(0, SUSPECT, &ask(1, "a", 11)),
+        desk.request(0, SUSPECT, &ask(1, "a", 11)),
         SuspectLeaseReply::Granted
     );
     assert_eq!(
-        desk.ask(0, barred, &ask(1, "a", 12)),
+        desk.request(0, barred, &ask(1, "a", 12)),
         SuspectLeaseReply::Barred
     );
     assert_eq!(
-        desk.ask(0, cleared, &ask(1, "a", 12)),
+        desk.request(0, cleared, &ask(1, "a", 12)),
         SuspectLeaseReply::Granted
     );
 }
@@ -205,33 +205,33 @@
     let mut desk = SuspectLeases::default();
     let twice = ContentStanding::Suspect(2);
     let insists = |ask: SuspectLeaseRequest| SuspectLeaseRequest {
-        insists: true,
+        no_free_replica: true,
         ..ask
     };
     assert_eq!(
-        desk.ask(0, SUSPECT, &ask(1, "a", 1)),
+        desk.request(0, SUSPECT, &ask(1, "a", 1)),
         SuspectLeaseReply::Granted
     );
     assert_eq!(
-        desk.ask(0, SUSPECT, &ask(2, "a", 2)),
+        desk.request(0, SUSPECT, &ask(2, "a", 2)),
         SuspectLeaseReply::Elsewhere
     );
     assert_eq!(
-        desk.ask(0, SUSPECT, &ask(2, "b", 2)),
+        desk.request(0, SUSPECT, &ask(2, "b", 2)),
         SuspectLeaseReply::Granted
     );
     // Where there is no other replica, one crash is no reason to wait; two are.
     assert_eq!(
-        desk.ask(0, SUSPECT, &insists(ask(3, "a", 3))),
+        desk.request(0, SUSPECT, &insists(ask(3, "a", 3))),
         SuspectLeaseReply::Granted
     );
-    let apart = desk.ask(0, twice, &insists(ask(4, "a", 4)));
+    let apart = desk.request(0, twice, &insists(ask(4, "a", 4)));
     assert_eq!(apart, SuspectLeaseReply::Elsewhere);
     assert_eq!(
-        desk.ask(0, twice, &ask(4, "c", 4)),
+        desk.request(0, twice, &ask(4, "c", 4)),
         SuspectLeaseReply::Granted
     );
-    let beside = desk.ask(0, SUSPECT, &insists(ask(5, "c", 5)));
+    let beside = desk.request(0, SUSPECT, &insists(ask(5, "c", 5)));
     assert_eq!(beside, SuspectLeaseReply::Elsewhere);
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -443,7 +443,7 @@
     replica.born_ms = 2_000;
     world.beat(&replica);
     let again = ordered(&mut world, 20_200).expect("a load in the new life");
-    assert_eq!((again.kind, again.born_ms), (OrderKind::Load, 2_000));
+    assert_eq!((again.kind, again.started_ms), (OrderKind::Load, 2_000));
 }
 
 fn plan_replica(id: &str, free_mb: u64, held: &[&str]) -> PlanReplica {
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -108,7 +108,7 @@
 mutant third-end-bars-nothing src/consensus/crashes.rs 's/MAX_CRASHES\.\. => Self::Barred,/MAX_CRASHES.. => Self::Suspect(2),/' crashes the_third_end_bars_a_content_whoever_tells_of_each
 mutant one-end-counts-twice src/consensus/crashes.rs 's/ \&\& !record\.crashes\.contains\(\&report\.replica\)//' crashes the_third_end_bars_a_content_whoever_tells_of_each
 mutant turns-for-all src/placement/suspect_leases.rs 's/return SuspectLeaseReply::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
-mutant suspects-together src/placement/suspect_leases.rs 's/\*\*content != ask\.content \&\& turn\.replica == ask\.replica/**content != ask.content \&\& false/' crashes suspects_are_kept_apart
+mutant suspects-together src/placement/suspect_leases.rs 's/\*\*key != request\.content \&\& lease\.replica == request\.replica/**key != request.content \&\& false/' crashes suspects_are_kept_apart
 mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.life\.id, connection\);\s+)Probe::Lives/$1Probe::Ended/' forwarding a_connection_that_breaks_off_is_no_crash
 mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.born_ms > known\.born_ms => BeatNews::New,\n//' replica_born a_new_life_is_heard_though_its_numbers_begin_anew
 mutant pause-not-kept src/routing/backoff.rs 's/note if now_ms < note\.until_ms => /note if false \&\& now_ms < note.until_ms => /' backoff a_named_time_brings_two_requests_at_most
@@ -120,6 +120,6 @@
 limits=no_span_brings_more_than_a_replica_named
 mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(named_us\)/cold_us/' replica_limits $limits
 mutant permit-outside-of-the-known-term src/placement/replica_rates.rs 's/if request\.is_limited && !self\.limits/if false \&\& !self.limits/' replica_limits a_new_leader_gives_no_permit
-mutant limit-ended-by-any-answer src/placement/named_limits.rs 's/ && granted_ms > note\.named_ms//' replica_limits an_older_answer_that_comes_late
+mutant limit-ended-by-any-answer src/placement/named_limits.rs 's/ && granted_ms > record\.observed_ms//' replica_limits an_older_answer_that_comes_late
 mutant bucket-full-at-a-new-limit src/placement/rate_limit.rs 's/bucket\.due_us = bucket\.due_us\.max\(next_us\);/let _ = next_us;/' replica_limits $limits
 mutant limit-heard-by-one-entry src/placement/named_limits.rs 's/let changes = self\.changes\.range\(from \+ 1\.\.\);/let changes = self.changes.range(u64::MAX..);/' replica_limits after_an_answer_without
--- a/tests/orderer.rs
+++ b/tests/orderer.rs
@@ -82,11 +82,11 @@
 }
 
 /// An order of term 7 to a life of an engine.
-fn order_of(born_ms: u64, address: SocketAddr) -> EngineOrder {
+fn order_of(started_ms: u64, address: SocketAddr) -> EngineOrder {
     EngineOrder {
         number: 1,
         replica: ReplicaId::from("r"),
-        born_ms,
+        started_ms,
         address,
         holder: HostName::from("c1"),
         fence: Term(7),
@@ -394,7 +394,7 @@
             match event {
                 ControlEvent::MayOrder(_, answer) => drop(answer.send(lease())),
                 ControlEvent::Ordered(order, outcome) => {
-                    told.send((order.born_ms, outcome)).unwrap()
+                    told.send((order.started_ms, outcome)).unwrap()
                 }
                 _ => panic!("nothing else is asked"),
             }
@@ -403,8 +403,8 @@
     let (orders, ordered) = unbounded_channel();
     ntex::rt::spawn(orderer::run(ordered, ControlHandle(events), counting()));
     let mut seen = Vec::new();
-    for (born_ms, report) in [(1, "4"), (2, "0")] {
-        orders.send(order_of(born_ms, address)).unwrap();
+    for (started_ms, report) in [(1, "4"), (2, "0")] {
+        orders.send(order_of(started_ms, address)).unwrap();
         let outcome = loop {
             tokio::select! {
                 outcome = outcomes.recv() => break outcome.unwrap(),
@@ -417,7 +417,7 @@
                 }
             }
         };
-        assert_eq!(outcome, (born_ms, OrderOutcome::Taken));
+        assert_eq!(outcome, (started_ms, OrderOutcome::Taken));
     }
     assert_eq!(seen, [4, 0]);
 }
--- a/tests/replica_limits/main.rs
+++ b/tests/replica_limits/main.rs
@@ -229,32 +229,32 @@
 #[test]
 fn an_older_answer_that_comes_late_neither_ends_nor_begins_a_limit() {
     let mut limits = AdvertisedLimits::new(TERM, 0);
-    assert!(limits.name(5_000, &notice("2", 0, None)));
+    assert!(limits.observe(5_000, &notice("2", 0, None)));
     // Its request left before the limit was heard of.
-    assert!(!limits.end(6_000, &end(stamp(5_000))));
+    assert!(!limits.observe_end(6_000, &end(stamp(5_000))));
     let other_leader = PermitStamp {
         term: Term(2),
         granted_ms: 9_000,
     };
-    assert!(!limits.end(6_000, &end(other_leader)));
+    assert!(!limits.observe_end(6_000, &end(other_leader)));
     assert!(limits.rate(&replica()).is_some());
-    assert!(limits.end(7_000, &end(stamp(6_000))));
+    assert!(limits.observe_end(7_000, &end(stamp(6_000))));
     // It came before the request left that showed the end.
-    assert!(!limits.name(7_500, &notice("2", 1_500, None)));
+    assert!(!limits.observe(7_500, &notice("2", 1_500, None)));
     assert!(limits.rate(&replica()).is_none());
-    assert!(limits.name(7_500, &notice("2", 1_499, None)));
+    assert!(limits.observe(7_500, &notice("2", 1_499, None)));
 }
 
 #[test]
 fn a_lower_number_counts_at_once_and_a_higher_one_by_a_newer_request() {
     let mut limits = AdvertisedLimits::new(TERM, 0);
     let gap_us = |limits: &AdvertisedLimits| limits.rate(&replica()).unwrap().gap_us;
-    limits.name(5_000, &notice("2", 0, None));
-    limits.name(5_500, &notice("1", 0, Some(stamp(100))));
+    limits.observe(5_000, &notice("2", 0, None));
+    limits.observe(5_500, &notice("1", 0, Some(stamp(100))));
     assert_eq!(gap_us(&limits), 1_000_000);
-    limits.name(6_000, &notice("4", 0, Some(stamp(5_500))));
+    limits.observe(6_000, &notice("4", 0, Some(stamp(5_500))));
     assert_eq!(gap_us(&limits), 1_000_000);
-    limits.name(6_500, &notice("4", 0, Some(stamp(5_501))));
+    limits.observe(6_500, &notice("4", 0, Some(stamp(5_501))));
     assert_eq!(gap_us(&limits), 250_000);
 }
 
@@ -265,14 +265,14 @@
         ..replica()
     };
     let mut limits = AdvertisedLimits::new(TERM, 0);
-    limits.name(5_000, &notice("2", 0, None));
+    limits.observe(5_000, &notice("2", 0, None));
     assert!(limits.rate(&later).is_none());
     limits.prune(500_000, |_| IncarnationState::Unknown);
     assert!(limits.rate(&replica()).is_some());
-    limits.prune(500_000, |_| IncarnationState::Known);
+    limits.prune(500_000, |_| IncarnationState::Current);
     limits.prune(1_000_000, |_| IncarnationState::Unknown);
     assert!(limits.rate(&replica()).is_some());
-    limits.prune(1_000_001, |_| IncarnationState::Over);
+    limits.prune(1_000_001, |_| IncarnationState::Replaced);
     assert!(limits.rate(&replica()).is_none());
     // An entry that had it is told all that is left.
     let had = LimitCursor {
@@ -280,7 +280,7 @@
         revision: 0,
     };
     let page = limits.page(1_000_001, had);
-    assert!(page.whole && page.limits.is_empty());
+    assert!(page.full && page.limits.is_empty());
 
     let mut peers = LimitedPeers::default();
     peers.hear(1_000, &replica(), notice("2", 0, None).rate, None);
@@ -296,19 +296,19 @@
     peers.hear(5_000, &replica(), notice("2", 0, None).rate, None);
     let told = peers.report(5_000);
     let page = {
-        limits.name(5_010, &told.named[0]);
+        limits.observe(5_010, &told.observed[0]);
         limits.report(5_010, &told)
     };
     peers.confirm(5_000, &told);
     peers.follow(5_020, &page);
     // Heard once more, but not told.
     peers.hear(5_500, &replica(), notice("2", 0, None).rate, None);
-    limits.end(9_000, &end(stamp(8_000)));
+    limits.observe_end(9_000, &end(stamp(8_000)));
     let missed = limits.page(9_500, peers.cursor());
     peers.follow(9_500, &missed);
     assert!(peers.is_limited(&replica()) && peers.has_news());
     let report: LimitReport = peers.report(9_600);
-    limits.name(9_610, &report.named[0]);
+    limits.observe(9_610, &report.observed[0]);
     let page = limits.report(9_610, &report);
     peers.confirm(9_600, &report);
     peers.follow(9_620, &page);
@@ -335,10 +335,10 @@
 fn an_older_page_that_comes_after_a_newer_one_ends_no_limit() {
     let mut limits = AdvertisedLimits::new(TERM, 0);
     let mut peers = LimitedPeers::default();
-    limits.name(5_000, &notice("2", 0, None));
-    limits.end(6_000, &end(stamp(5_500)));
+    limits.observe(5_000, &notice("2", 0, None));
+    limits.observe_end(6_000, &end(stamp(5_500)));
     let older = limits.page(6_000, peers.cursor());
-    limits.name(6_100, &notice("2", 0, None));
+    limits.observe(6_100, &notice("2", 0, None));
     let newer = limits.page(6_100, peers.cursor());
     peers.follow(6_200, &newer);
     peers.follow(6_210, &older);
--- a/tests/replica_limits/world.rs
+++ b/tests/replica_limits/world.rs
@@ -368,7 +368,7 @@
             is_cold: false,
             is_limited: true,
             cursor: entry.peers.cursor(),
-            named: entry.peers.last_notice(now_ms, &replica()),
+            observed: entry.peers.last_notice(now_ms, &replica()),
         };
         let asked = self.call_leader(number, Event::AskArrives(number, life, request, now_ms));
         let pace = &mut self.entries[number].pace;
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -97,7 +97,7 @@
     let mut limiter = RateLimiter::new(0);
     let mut sent = Vec::new();
     let ask = |limiter: &mut RateLimiter, now_ms: u64, lag_ms: u64| {
-        let granted = limiter.take(now_ms, &life(), GAP_US).is_ok();
+        let granted = limiter.try_acquire(now_ms, &life(), GAP_US).is_ok();
         // The entry counts from before it asked, and looks again right before it sends.
         (granted && lag_ms < PERMIT_VALIDITY_MS).then_some(now_ms + lag_ms)
     };
@@ -140,7 +140,7 @@
     let mut limiter = RateLimiter::new(0);
     let granted = (10_000..20_000)
         .step_by(10)
-        .filter(|now_ms| limiter.take(*now_ms, &life(), GAP_US).is_ok())
+        .filter(|now_ms| limiter.try_acquire(*now_ms, &life(), GAP_US).is_ok())
         .count();
     let rate = 10_000 / SPEC.request_gap_ms as usize;
     assert!(granted * 10 >= rate * 8, "{granted} of {rate}");
@@ -150,13 +150,13 @@
 #[test]
 fn each_life_has_a_rate_of_its_own_and_a_new_leader_gives_nothing_at_first() {
     let mut limiter = RateLimiter::new(5_000);
-    let refused = limiter.take(5_100, &life(), GAP_US);
+    let refused = limiter.try_acquire(5_100, &life(), GAP_US);
     assert!(refused.is_err_and(|wait_ms| wait_ms > 900));
     let next = ReplicaLife {
         born_ms: 8,
         ..life()
     };
-    let mut ask = |replica: &ReplicaLife| limiter.take(9_000, replica, GAP_US);
+    let mut ask = |replica: &ReplicaLife| limiter.try_acquire(9_000, replica, GAP_US);
     assert_eq!((ask(&life()), ask(&life())), (Ok(()), Ok(())));
     assert_eq!(ask(&life()), Err(SPEC.request_gap_ms));
     assert_eq!(ask(&next), Ok(()));
@@ -271,8 +271,8 @@
     assert!(pace.left_ms(u64::MAX - 1, &"r").is_some());
     assert!(book.is_cold(u64::MAX - 1, &"r"));
     let mut limiter = RateLimiter::new(0);
-    assert_eq!(limiter.take(9_000, &life(), u64::MAX), Ok(()));
-    assert!(limiter.take(9_000, &life(), u64::MAX).is_err());
+    assert_eq!(limiter.try_acquire(9_000, &life(), u64::MAX), Ok(()));
+    assert!(limiter.try_acquire(9_000, &life(), u64::MAX).is_err());
 }
 
 /// Each heartbeat of a start would be committed, for replicas that need no care.
