--- a/src/placement/adapters.rs
+++ b/src/placement/adapters.rs
@@ -1,5 +1,5 @@
-//! The leader's orders on adapters: brought where an entry wishes for one, and
-//! taken away where a replica has no place left, the least used first.
+//! The leader's adapter orders: loads adapters on request and evicts the least recently used one
+//! where a replica has no free slot.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,75 +7,77 @@
 use crate::ids::{ModelName, ReplicaId};
 use crate::placement::order::{AdapterPlacement, OrderKind, OrderOutcome};
 
-/// What becomes of a wish.
+/// Decision on an adapter request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdapterDecision {
-    /// It is there, or on its way.
-    Known,
-    /// It is to be ordered in.
+    /// The adapter is loaded, or a load is pending.
+    Available,
+    /// A load was started.
     Load,
-    /// This one is to be ordered out first.
+    /// This adapter must be unloaded first; its unload was started.
     Evict(AdapterPlacement),
-    /// Not there, and not soon.
+    /// The adapter is not available and no order was started for it.
     Refused,
 }
 
-/// Adapters that may be on their way to one replica.
-const MAX_PENDING_LOADS: usize = 4;
-/// An adapter used so lately is not taken away, in milliseconds.
+/// Maximum number of pending adapter loads at one replica.
+const MAX_LOADS_PER_REPLICA: usize = 4;
+/// An adapter used within this time is not evicted, in milliseconds.
 const RECENT_USE_MS: u64 = 2_000;
-/// Time in which an order's effect shows in the directory, in milliseconds.
+/// Time within which an accepted load shows in the directory, in milliseconds.
 const LOAD_EFFECT_MS: u64 = 4_000;
-/// Time in which heartbeats tell of an adapter that is ordered out and still in use,
-/// in milliseconds: longer than they are outweighed by the order.
+/// Time after an accepted unload within which heartbeats show whether the adapter is still there,
+/// in milliseconds. Longer than the time for which the directory ranks the order above heartbeats.
 const UNLOAD_EFFECT_MS: u64 = 6_000;
-/// How long an adapter of which an order out has no answer, or that the leader before
-/// ordered, is left alone, in milliseconds: mostly heartbeats tell meanwhile what became of
-/// it. It takes its place all the while, and after it.
+/// Time for which an adapter is left alone when the outcome of its order is unknown, in
+/// milliseconds: after an unload without a reply, and before a load of the previous leader is sent
+/// again. Heartbeats usually show the outcome within this time. The slot stays occupied until the
+/// outcome is known.
 const UNKNOWN_OUTCOME_MS: u64 = 13_000;
-/// Pause after a replica was busy, in milliseconds.
+/// Time for which no load is started at a replica that did not accept an order, in milliseconds.
 const BUSY_BACKOFF_MS: u64 = 500;
-/// Pause before a load that got no answer is sent again, in milliseconds.
+/// Delay before a load without a reply is sent again, in milliseconds.
 const RESEND_DELAY_MS: u64 = 1_000;
 
 #[derive(Clone, Copy, Debug)]
 struct PendingOrder {
     kind: OrderKind,
-    /// Until when it counts; none while it has no outcome.
+    /// When the order is forgotten; `None` while its outcome is open.
     expires_ms: Option<u64>,
-    /// When it is to be sent; none while an answer or its effect is awaited.
+    /// When the order is to be sent; `None` while a reply or its effect is awaited.
     send_at_ms: Option<u64>,
-    /// It was sent without an answer, by this leader or the one before, and may still be
-    /// carried out.
+    /// The order was sent without a reply, by this leader or the previous one, and may still take
+    /// effect.
     may_be_running: bool,
 }
 
-/// Room of a replica for further adapters.
+/// Capacity of a replica for further adapters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdapterCapacity {
-    /// So many more may be on their way to it.
+    /// Number of further loads that may be started now.
     pub loads_allowed: usize,
-    /// So many of its places are free.
+    /// Number of free slots.
     pub free_slots: usize,
 }
 
-/// Orders on adapters that are under way, and when adapters were used.
+/// Pending adapter orders, and when each adapter was last used.
 #[derive(Clone, Debug, Default)]
 pub struct AdapterOrders {
     pending: BTreeMap<AdapterPlacement, PendingOrder>,
     used_ms: BTreeMap<AdapterPlacement, u64>,
     busy_ms: BTreeMap<ReplicaId, u64>,
-    /// The orders of the leader before have been taken over.
+    /// The loads of the previous leader have been taken over.
     adopted: bool,
 }
 
 impl AdapterOrders {
-    /// An adapter was used.
+    /// Records that an adapter was used.
     pub fn record_use(&mut self, placement: AdapterPlacement, now_ms: u64) {
         self.used_ms.insert(placement, now_ms);
     }
 
-    /// Decides on a wish for a replica with `slots` places.
+    /// Decides on a request for an adapter at a replica with `slots` adapter slots, and starts the
+    /// load or eviction that it needs.
     pub fn decide(
         &mut self,
         record: &ReplicaRecord,
@@ -88,9 +90,9 @@
             return AdapterDecision::Refused;
         };
         match self.pending.get(request) {
-            Some(order) if order.kind == OrderKind::Load => return AdapterDecision::Known,
+            Some(order) if order.kind == OrderKind::Load => return AdapterDecision::Available,
             Some(_) => return AdapterDecision::Refused,
-            None if held.contains(&request.adapter) => return AdapterDecision::Known,
+            None if held.contains(&request.adapter) => return AdapterDecision::Available,
             None if replicas.is_adapter_going(&record.id, &request.model, &request.adapter) => {
                 return AdapterDecision::Refused;
             }
@@ -116,8 +118,8 @@
         }
     }
 
-    /// How many more adapters may be on their way to a replica, and how many of its places
-    /// nothing takes or may come to take.
+    /// Returns how many more loads may be started at a replica, and how many of its slots are
+    /// neither occupied nor claimed by an order that may still take effect.
     pub fn capacity(
         &self,
         record: &ReplicaRecord,
@@ -128,7 +130,7 @@
         let busy_ms = self.busy_ms.get(&record.id);
         let loads_allowed = match busy_ms.is_some_and(|expires_ms| *expires_ms > now_ms) {
             true => 0,
-            false => MAX_PENDING_LOADS.saturating_sub(self.pending_load_count(&record.id)),
+            false => MAX_LOADS_PER_REPLICA.saturating_sub(self.pending_load_count(&record.id)),
         };
         let free_slots = slots.saturating_sub(self.occupied_slots(record, replicas));
         AdapterCapacity {
@@ -137,19 +139,20 @@
         }
     }
 
-    /// Begins to bring an adapter for which there is [`Self::capacity`].
+    /// Starts to load an adapter. The caller has checked [`Self::capacity`].
     pub fn start_load(&mut self, placement: AdapterPlacement, now_ms: u64) {
         self.insert_pending(placement, OrderKind::Load, now_ms);
     }
 
-    /// Adapters that are on their way in.
+    /// Returns the adapters whose loads are pending.
     pub fn pending_loads(&self) -> impl Iterator<Item = &AdapterPlacement> {
         let loads = self.pending.iter();
         let loads = loads.filter(|(_, order)| order.kind == OrderKind::Load);
         loads.map(|(placement, _)| placement)
     }
 
-    /// An engine answered. Returns whether the order holds.
+    /// Handles the outcome of an order. Returns whether the engine has accepted the order or its
+    /// effect already holds.
     pub fn on_outcome(
         &mut self,
         placement: &AdapterPlacement,
@@ -177,8 +180,8 @@
                 order.expires_ms = Some(now_ms + UNKNOWN_OUTCOME_MS);
                 false
             }
-            // Its place stays taken until an answer shows that the try before is over: an
-            // engine that counts orders carries out one of them at most.
+            // The slot stays occupied until a reply shows that the earlier attempt is over. An
+            // engine that counts orders carries out at most one of the attempts.
             OrderOutcome::Unknown => {
                 order.may_be_running = true;
                 order.send_at_ms = Some(now_ms + RESEND_DELAY_MS);
@@ -197,8 +200,8 @@
         }
     }
 
-    /// The loads that are to be sent and whose places are committed. Whoever leads next
-    /// must know of a place before an order takes it.
+    /// Returns the loads that are due and whose slots are committed to the log. A later leader must
+    /// know that a slot is claimed before an order fills it.
     pub fn take_due(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<AdapterPlacement> {
         let mut due = Vec::new();
         for (placement, order) in &mut self.pending {
@@ -212,8 +215,9 @@
         due
     }
 
-    /// Forgets what shows in the directory, or counts no more, and takes over the
-    /// orders of the leader before. Returns places whose orders are settled.
+    /// Removes orders that have expired or whose effect shows in the directory, and takes over the
+    /// loads of the previous leader. Returns the adapters that the log lists as ordered and that
+    /// have no pending order any more.
     pub fn settle(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<AdapterPlacement> {
         let records = replicas.records();
         self.adopt(replicas, now_ms);
@@ -223,10 +227,10 @@
                 .expires_ms
                 .is_some_and(|expires_ms| expires_ms <= now_ms);
             let visible = record.is_some_and(|record| holds(record, placement));
-            let answered = order.expires_ms.is_some() || order.may_be_running;
-            let done = order.kind == OrderKind::Load && visible && answered;
-            // Without its model it cannot come, and an order that brings the model back moves
-            // the engine's count past whatever was sent before.
+            let has_outcome = order.expires_ms.is_some() || order.may_be_running;
+            let done = order.kind == OrderKind::Load && visible && has_outcome;
+            // Without its model the adapter cannot be loaded. An order that loads the model again
+            // raises the engine's order count beyond all earlier orders.
             let has_model = record
                 .is_some_and(|record| record.models.contains_key(&placement.model))
                 || replicas.is_leaving(&placement.replica, &placement.model);
@@ -241,7 +245,7 @@
         settled
     }
 
-    /// Orders of the leader before count as if they had no answer.
+    /// Takes over the loads of the previous leader as loads without a reply.
     fn adopt(&mut self, replicas: &ReplicaDirectory, now_ms: u64) {
         if std::mem::replace(&mut self.adopted, true) {
             return;
@@ -263,7 +267,7 @@
         let order = PendingOrder {
             kind,
             expires_ms: None,
-            // An order out leaves at once.
+            // The caller sends an unload immediately.
             send_at_ms: (kind == OrderKind::Load).then_some(now_ms),
             may_be_running: false,
         };
@@ -279,7 +283,7 @@
             .count()
     }
 
-    /// Places that are taken, by whatever order may still be carried out.
+    /// Number of slots that are occupied, or claimed by an order that may still take effect.
     fn occupied_slots(&self, record: &ReplicaRecord, replicas: &ReplicaDirectory) -> usize {
         let held: usize = record.models.values().map(BTreeSet::len).sum();
         let pending = self.pending.keys().cloned();
@@ -311,7 +315,7 @@
     }
 }
 
-/// The places of a replica that stand in the log as ordered.
+/// Returns the adapters that the log lists as ordered into a replica.
 fn ordered_adapters<'a>(
     replicas: &'a ReplicaDirectory,
     id: &'a ReplicaId,
--- a/src/placement/congestion.rs
+++ b/src/placement/congestion.rs
@@ -1,14 +1,14 @@
-//! Where prompts pile up: the tokens that wait to be read at each replica, summed by the
-//! leader over all entries.
+//! Queue congestion: prompt tokens that wait to be processed at each replica, summed by the leader
+//! over all entries.
 //!
-//! An entry sees only its own requests and, on answers, what a replica tells of all. Where
-//! 31 entries share a home that answers eight requests a second, each hears of it once in
-//! four seconds, and together they keep a queue there that none of them sees.
+//! An entry sees only its own requests and the load that a replica reports in its responses. Where
+//! 31 entries share a home that responds to eight requests a second, each entry gets such a report
+//! about once in four seconds. Together they keep a queue at the home that none of them sees.
 //!
-//! A queue that goes by itself is left alone, as its requests are served late at worst. One
-//! that stands makes all requests late and serves none more: entries are told of it (the
-//! distinction, and the idea of a least time, are those of CoDel: Nichols and Jacobson,
-//! "Controlling Queue Delay", ACM Queue 10(5), 2012).
+//! A queue that drains by itself is left alone: at worst its requests are served late. A standing
+//! queue delays all requests and increases throughput for none, so entries are notified of it. The
+//! distinction and the minimum duration follow CoDel (Nichols and Jacobson, "Controlling Queue
+//! Delay", ACM Queue 10(5), 2012).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,20 +16,20 @@
 
 use crate::ids::{HostName, ReplicaId};
 
-/// Most replicas that an entry is told of: bounds the answer to a report.
+/// Maximum number of replicas in the reply to a report; bounds its size.
 const MAX_CONGESTED_REPLICAS: usize = 32;
-/// How long an entry's report counts, in milliseconds: four regular reports.
+/// Time for which the report of an entry counts, in milliseconds: four regular report intervals.
 const REPORT_TTL_MS: u64 = 2_000;
 
-/// Tokens of prompts that wait, by replica.
+/// Waiting prompt tokens by replica.
 pub type QueuedTokens = BTreeMap<ReplicaId, u64>;
 
-/// What one entry's requests have waiting.
+/// The prompt tokens of one entry's requests that wait at replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueReport {
-    /// The entry's host.
+    /// Host of the entry.
     pub host: HostName,
-    /// Replicas at which nothing waits are left out.
+    /// Waiting tokens by replica; replicas without any are left out.
     pub waiting: QueuedTokens,
 }
 
@@ -40,29 +40,30 @@
     waiting: QueuedTokens,
 }
 
-/// The leader's sums over all entries.
+/// Waiting tokens summed over all entries.
 #[derive(Debug, Default)]
 pub struct QueueTotals {
     entries: BTreeMap<HostName, EntrySample>,
     last_expiry_ms: u64,
     totals: QueuedTokens,
-    /// By tokens, so that the most crowded are found without a look at all replicas.
+    /// Replicas ordered by tokens, to find the most congested ones without scanning all replicas.
     by_tokens: BTreeSet<(u64, ReplicaId)>,
-    /// Since when each crowded replica has been so, without a pause.
+    /// Since when each congested replica has been at the token threshold without interruption.
     congested_since_ms: BTreeMap<ReplicaId, u64>,
 }
 
-/// From when on a replica counts as crowded.
+/// Conditions under which a replica is reported as congested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CongestionThreshold {
-    /// Tokens that wait there.
+    /// Minimum number of waiting tokens.
     pub tokens: u64,
-    /// For so long without a pause, in milliseconds.
+    /// Minimum time for which the number was reached without interruption, in milliseconds.
     pub min_duration_ms: u64,
 }
 
 impl QueueTotals {
-    /// Takes an entry's report in place of its last one. Returns the most crowded replicas.
+    /// Replaces the last report of an entry. Returns the most congested replicas with their waiting
+    /// tokens.
     pub fn record(
         &mut self,
         now_ms: u64,
@@ -70,7 +71,8 @@
         threshold: CongestionThreshold,
     ) -> QueuedTokens {
         self.expire_reports(now_ms, threshold);
-        // First what is new: a replica that is crowded by both reports stays so.
+        // Adds the new report before subtracting the last one, so that a replica that is congested
+        // under both keeps its start time.
         for (id, tokens) in &report.waiting {
             self.update_total(now_ms, threshold, id, |total| total.saturating_add(*tokens));
         }
@@ -87,13 +89,15 @@
             let since_ms = self.congested_since_ms.get(id);
             since_ms.is_some_and(|since_ms| now_ms >= since_ms + threshold.min_duration_ms)
         };
-        // Bounded before the filter: a burst may crowd thousands for a moment.
+        // The limit applies before the filter: a burst may congest thousands of replicas for a
+        // moment.
         let reported = congested.take(MAX_CONGESTED_REPLICAS);
         let reported = reported.filter(|(_, id)| is_standing(id));
         reported.map(|(tokens, id)| (id.clone(), *tokens)).collect()
     }
 
-    /// Forgets entries that have fallen silent, once in a while.
+    /// Removes the reports of entries that have not reported within [`REPORT_TTL_MS`]. Runs at most
+    /// once in that time.
     fn expire_reports(&mut self, now_ms: u64, threshold: CongestionThreshold) {
         if now_ms < self.last_expiry_ms + REPORT_TTL_MS {
             return;
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Changes one sum, its rank, and since when the replica is crowded.
+    /// Updates the total of one replica, its rank, and since when it is congested.
     fn update_total(
         &mut self,
         now_ms: u64,
--- a/src/placement/demand.rs
+++ b/src/placement/demand.rs
@@ -1,10 +1,10 @@
-//! Demand of each model, as the leader estimates it from beats.
+//! Demand for each model, as the leader estimates it from heartbeats and reports.
 
 use std::collections::BTreeMap;
 
 use crate::ids::ModelName;
 
-/// Demand of each model in concurrent requests: rises at once, falls slowly.
+/// Smoothed demand for each model, in concurrent requests. Rises quickly and decays slowly.
 #[derive(Clone, Debug)]
 pub struct DemandTracker {
     levels: BTreeMap<ModelName, f64>,
@@ -17,13 +17,14 @@
     }
 }
 
-/// Part of the level that remains after each quieter sample, if nothing else is said.
+/// Default share of the level that remains after a sample below it.
 const DEFAULT_DECAY: f64 = 0.97;
-/// Part of the way that a higher sample takes the level up.
+/// Share of the distance to a higher sample by which the level rises.
 const RISE_FACTOR: f64 = 0.5;
 
 impl DemandTracker {
-    /// No demand yet; `decay` of a level remains after each quieter sample.
+    /// Creates a tracker without demand. `decay` is the share of a level that remains after a
+    /// sample below it.
     pub fn with_decay(decay: f64) -> Self {
         Self {
             levels: BTreeMap::new(),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Takes a sample of all models' concurrent requests.
+    /// Updates the levels from a sample of the concurrent requests of all models.
     pub fn sample(&mut self, samples: &BTreeMap<ModelName, f64>) {
         for (model, level) in &mut self.levels {
             let sample = samples.get(model).copied().unwrap_or(0.0);
@@ -47,12 +48,12 @@
         self.levels.retain(|_, level| *level > 0.01);
     }
 
-    /// Whether there is no demand for any model.
+    /// Returns whether no model has demand.
     pub fn is_empty(&self) -> bool {
         self.levels.is_empty()
     }
 
-    /// The level of one model.
+    /// Returns the demand for one model.
     pub fn level(&self, model: &ModelName) -> f64 {
         self.levels.get(model).copied().unwrap_or(0.0)
     }
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -279,7 +279,7 @@
             .adapters
             .decide(record, slots, &state.replicas, request, now_ms)
         {
-            AdapterDecision::Known => (true, None),
+            AdapterDecision::Available => (true, None),
             AdapterDecision::Refused => (false, None),
             AdapterDecision::Load => {
                 let (id, model) = (request.replica.clone(), request.model.clone());
--- a/src/placement/fleet/preload_adapters.rs
+++ b/src/placement/fleet/preload_adapters.rs
@@ -1,4 +1,4 @@
-//! The leader's orders for adapters that are nowhere; see [`crate::placement::preload`].
+//! The leader's orders to load adapters that no replica holds; see [`crate::placement::preload`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,11 +10,13 @@
 
 use super::{FleetController, open_records};
 
-/// Adapters on their way in from which none are brought before somebody asks: wishes go first.
-const MAX_PENDING_LOADS: usize = 32;
+/// Number of pending adapter loads of all replicas at which no adapter is preloaded: adapter
+/// requests come first.
+const MAX_LOADS_WITH_PRELOADS: usize = 32;
 
 impl FleetController {
-    /// Brings adapters that are nowhere to a home of their model, before somebody asks.
+    /// Starts to load adapters that no replica holds at a home of their model, before a request
+    /// needs them.
     pub(super) fn preload_adapters(
         &mut self,
         state: &SiteState,
@@ -23,7 +25,7 @@
         now_ms: u64,
     ) {
         let pending = self.adapters.pending_loads().count();
-        let limit = MAX_PENDING_LOADS.saturating_sub(pending);
+        let limit = MAX_LOADS_WITH_PRELOADS.saturating_sub(pending);
         if limit == 0 || engine.adapter_slots == 0 {
             return;
         }
@@ -44,8 +46,8 @@
         }
     }
 
-    /// The adapters that none of these replicas holds or is to hold, those of the most wanted
-    /// model first.
+    /// Returns the adapters that none of these replicas holds and for which no load is pending,
+    /// with the models of highest demand first.
     fn missing_adapters(
         &self,
         engine: &EngineSpec,
@@ -71,7 +73,8 @@
         missing
     }
 
-    /// A replica that adapters may be brought to.
+    /// Returns the capacity of a replica for preloading; `None` for a replica that is warming up or
+    /// accepts no adapter orders.
     fn preload_replica(
         &self,
         state: &SiteState,
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,8 +1,9 @@
-//! Where models and adapters live: demand, moves, and the leader's orders to replicas.
+//! Placement of models and adapters: demand tracking, planning, and the leader's orders to
+//! replicas.
 //!
-//! Pure and soft: a leader starts with nothing and learns it again from heartbeats.
-//! Heartbeats and entries' reports enter; commands for the log and orders come out. Uses
-//! `table`, `consensus` and `admission`.
+//! Pure code with soft state: a new leader starts with no state and rebuilds it from heartbeats.
+//! Inputs are heartbeats and reports of entries; outputs are commands for the log and orders for
+//! replicas. Uses `table`, `consensus` and `admission`.
 
 pub mod adapters;
 pub mod congestion;
--- a/src/placement/preload.rs
+++ b/src/placement/preload.rs
@@ -1,31 +1,33 @@
-//! Adapters that are brought before anybody asks for them: each to one home of its model.
+//! Preloading: adapters that no replica holds are loaded at one home of their model each, before a
+//! request needs them.
 //!
-//! Without a leader, and for a lease after it, nobody brings an adapter: a request for one that
-//! is nowhere could only be refused for as long.
+//! Without a leader, and until a new one has waited for the lease of the previous one, no adapter
+//! is loaded. During that time a request for an adapter that no replica holds can only be refused.
 //!
-//! Pure. Only placements that stay free beside are used, so that a wish never has to wait for one
-//! to be taken away.
+//! Pure code. Preloading leaves some slots of each replica free, so that an adapter request does
+//! not have to wait for an eviction.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{ModelName, ReplicaId};
 use crate::placement::order::AdapterPlacement;
 
-/// Places of a replica that are left to wishes.
+/// Number of adapter slots of a replica that preloading leaves free for adapter requests.
 pub const RESERVED_SLOTS: usize = 2;
 
-/// The adapters of a model that are nowhere.
+/// The adapters of one model that no replica holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MissingAdapters {
     /// The model.
     pub model: ModelName,
-    /// Their names.
+    /// Names of the adapters.
     pub names: Vec<String>,
 }
 
 impl MissingAdapters {
-    /// Those of a model with `count` of them, named `a1`, `a2` and so forth, but for those that
-    /// are `known` to be somewhere or to come.
+    /// Returns the adapters of a model that are not in `known`, the names that are loaded or being
+    /// loaded; `None` if there are none. The model has `count` adapters, named `a1`, `a2` and so
+    /// on.
     pub fn of(model: &ModelName, count: u32, known: &BTreeSet<&str>) -> Option<Self> {
         let all = (1..=count).map(|number| format!("a{number}"));
         let names: Vec<String> = all.filter(|name| !known.contains(name.as_str())).collect();
@@ -34,16 +36,16 @@
     }
 }
 
-/// A replica that adapters may be brought to.
+/// A replica at which adapters may be preloaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PreloadReplica {
-    /// Its id.
+    /// Id of the replica.
     pub id: ReplicaId,
-    /// The models that it holds.
+    /// Models that the replica holds.
     pub models: BTreeSet<ModelName>,
-    /// Places that nothing takes or may come to take.
+    /// Number of slots that are neither occupied nor claimed by an order.
     pub free_slots: usize,
-    /// Adapters that may be on their way to it besides.
+    /// Number of further loads that may be started at the replica.
     pub loads_allowed: usize,
 }
 
@@ -53,7 +55,8 @@
     }
 }
 
-/// What is brought where, `limit` at a time, in the order of what is `missing`.
+/// Plans up to `limit` loads, in the order of `missing`. Each goes to the home of its model with
+/// the most free slots.
 pub fn plan_preloads(
     missing: &[MissingAdapters],
     replicas: &mut [PreloadReplica],
@@ -84,7 +87,7 @@
     placements
 }
 
-/// The numbers of the replicas that hold each model: a look at all of them for each adapter
+/// Returns the indexes of the replicas that hold each model. Scanning all replicas for each adapter
 /// would cost adapters × replicas.
 fn homes_by_model(replicas: &[PreloadReplica]) -> BTreeMap<ModelName, Vec<usize>> {
     let mut homes: BTreeMap<ModelName, Vec<usize>> = BTreeMap::new();
