--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -1,8 +1,8 @@
-//! The leader's duties over the replicas that registered themselves: who is
-//! still heard from, which models go where, and the orders that bring them there.
+//! The leader's controller for the fleet, the replicas that register themselves: their liveness,
+//! the placement of models, and the orders that carry it out.
 //!
-//! Pure. Soft state only: a new leader starts with none, and gives no order
-//! until one of whoever led before can neither have arrived lately nor arrive any more.
+//! Pure code with soft state: a new leader starts with no state. It sends no order while an order
+//! of a previous leader may still arrive or may have arrived too recently.
 
 mod preload_adapters;
 
@@ -21,33 +21,36 @@
 use crate::placement::report::EntryReport;
 use crate::table::configuration::EngineSpec;
 
-/// How the fleet is watched and ordered.
+/// Settings of the fleet controller.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetPolicy {
-    /// Silence after which a replica is the last choice, in milliseconds.
+    /// Time without a heartbeat after which a replica is used only as a last choice, in
+    /// milliseconds.
     pub silent_ms: u64,
-    /// Silence after which a replica has ended, in milliseconds.
+    /// Time without a heartbeat after which a replica counts as ended, in milliseconds.
     pub lost_ms: u64,
-    /// Least time between orders of two leaders to a replica, in milliseconds.
+    /// Minimum time between orders of two leaders to one replica, in milliseconds.
     pub order_lease_ms: u64,
-    /// Longest way of an order after the end of its leader's lease, in milliseconds: what
-    /// the kernel of a sender that stands still goes on for, and a trip to the engine.
+    /// Longest time that an order is in transit after the end of its leader's lease, in
+    /// milliseconds: the retransmissions by the kernel of a suspended sender, and one trip to the
+    /// engine.
     pub order_transit_ms: u64,
     /// Time between placement rounds, in milliseconds.
     pub round_ms: u64,
-    /// Relief in concurrent requests that a load for demand must bring.
+    /// Minimum relief of a load for demand, in concurrent requests.
     pub move_price: f64,
-    /// Part of a model's demand that remains after each quieter half second: with 0.7
-    /// what was asked for gives way within two seconds, about the time of a stream.
+    /// Share of a model's demand that remains after each lower sample, one every half second. With
+    /// 0.7, past demand fades within two seconds, about the duration of a stream.
     pub demand_fall: f64,
-    /// Time after which an order that was taken and shows no effect is sent again, in
-    /// milliseconds.
+    /// Time after which an accepted order without a visible effect is sent again, in milliseconds.
     pub order_ms: u64,
-    /// Tokens that wait at a replica from which entries are told of it: a quarter of a second
-    /// of an engine that reads 16 in a millisecond. What is less is read before they know.
+    /// Number of waiting tokens from which a replica is congested: a quarter of a second of work
+    /// for an engine that processes 16 prompt tokens in a millisecond. A shorter queue is processed
+    /// before entries learn of it.
     pub crowded_tokens: u64,
-    /// For how long without a pause, in milliseconds: a shorter queue goes by itself.
+    /// Time for which the queue must stand without interruption, in milliseconds. A queue that
+    /// stands for less drains by itself.
     pub crowded_ms: u64,
 }
 
@@ -68,12 +71,12 @@
     }
 }
 
-/// What the leader must do now.
+/// Actions of one round.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetActions {
-    /// To be proposed.
+    /// Commands to propose.
     pub commands: Vec<Command>,
-    /// To be sent to engines.
+    /// Orders to send to engines.
     pub orders: Vec<EngineOrder>,
 }
 
@@ -81,19 +84,19 @@
 struct PendingOrder {
     kind: OrderKind,
     model: ModelName,
-    /// The model that an unload makes room for.
+    /// The model that an unload frees memory for.
     for_model: Option<ModelName>,
-    /// Its command has been seen in the log.
+    /// The log has shown the order's command as committed.
     committed: bool,
     since_ms: u64,
-    /// When it is to be sent; none while an answer is awaited.
+    /// When the order is to be sent; `None` while a reply is awaited.
     send_ms: Option<u64>,
-    /// The engine refused it, and the log is to say so: it is neither sent again nor
-    /// taken over anew meanwhile.
+    /// The engine refused the order and the log has not settled it yet. Until then the order is
+    /// neither sent again nor taken over from the log anew.
     refused: bool,
 }
 
-/// Room that was made for a model: no other may take it for a while.
+/// Memory that an unload freed for a model: no other model may take it for a while.
 #[derive(Clone, Debug)]
 struct Reservation {
     model: ModelName,
@@ -106,13 +109,13 @@
     busy: BTreeMap<ModelName, f64>,
 }
 
-/// The leader's soft state.
+/// Soft state of the leader.
 #[derive(Debug)]
 pub struct FleetController {
     policy: FleetPolicy,
     holder: HostName,
     term: Term,
-    /// Orders given in this term.
+    /// Number of orders issued in this term.
     orders_issued: u64,
     since_ms: u64,
     last_seen_ms: BTreeMap<ReplicaId, u64>,
@@ -126,43 +129,43 @@
     pending: BTreeMap<ReplicaId, PendingOrder>,
     reservations: BTreeMap<ReplicaId, Reservation>,
     adapters: AdapterOrders,
-    /// Lives that refuse this leader: an engine forgets fences when it starts again.
+    /// Incarnations that refuse this leader's orders. An engine forgets fences when it restarts.
     fenced: BTreeSet<ReplicaLife>,
-    /// Lives that name a limit.
+    /// Incarnations that advertise a rate limit.
     limited: BTreeSet<ReplicaLife>,
-    /// The change of limits that this is from.
+    /// Revision of the limits that `limited` was taken from.
     limits_revision: u64,
     /// Commands for the next round.
     queued_commands: Vec<Command>,
-    /// Commands that follow from what the log says, and when each was proposed:
-    /// the log says the same until they are committed.
+    /// Commands that follow from the state of the log, each with the time of its proposal. The log
+    /// stays the same until they are committed.
     uncommitted: Vec<(u64, Command)>,
 }
 
-/// A wait is longer by this part of it, as this host's clock may run 5% fast.
+/// Waits are extended by the reciprocal of this, as the clock of this host may run 5% fast.
 const CLOCK_DRIFT_DIVISOR: u64 = 20;
 /// Time between two samples of demand, in milliseconds.
 const DEMAND_SAMPLE_INTERVAL_MS: u64 = 500;
-/// An entry that has not reported for so long counts no more, in milliseconds.
+/// Time for which an entry's report counts, in milliseconds.
 const ENTRY_REPORT_TTL_MS: u64 = 2_500;
-/// Pause before an order is sent again to an engine that was busy or did not answer, in
+/// Delay before an order is sent again to an engine that was busy or did not reply, in
 /// milliseconds.
 const RESEND_DELAY_MS: u64 = 1_000;
-/// Time in which an order's command is committed, in milliseconds.
+/// Time within which a command is expected to be committed, in milliseconds.
 const COMMIT_TIMEOUT_MS: u64 = 2_000;
-/// How long a new leader that has heard of no demand orders nothing out, in milliseconds:
-/// it would take further homes of models that will be busy for others that will not.
+/// Time for which a new leader without any known demand unloads no model, in milliseconds. It would
+/// replace further homes of models that will be busy by models that will not.
 const NO_DEMAND_WAIT_MS: u64 = 30_000;
-/// Demand for a model from which a home that names a limit does not count as one, in concurrent
-/// requests.
+/// Demand for a model from which a home that advertises a rate limit does not count as a home, in
+/// concurrent requests.
 const LIMITED_HOME_MAX_DEMAND: f64 = 1.0;
-/// How long room that was made for a model is kept for it, in milliseconds.
+/// Time for which freed memory is reserved for a model, in milliseconds.
 const RESERVATION_MS: u64 = 4_000;
 
-/// Time between two looks at adapters that are nowhere, in milliseconds.
+/// Time between two rounds of preloading, in milliseconds.
 const PRELOAD_INTERVAL_MS: u64 = 500;
 
-/// Whether an order stands in the log and its effect does not show yet.
+/// Returns whether an order is in the log and its effect does not show yet.
 fn is_under_way(replicas: &ReplicaDirectory, id: &ReplicaId, order: &PendingOrder) -> bool {
     match order.kind {
         OrderKind::Load => replicas.loading(id).any(|model| *model == order.model),
@@ -170,8 +173,8 @@
     }
 }
 
-/// The replicas of a service in open halls: nothing is placed in an evacuated one, and what it
-/// holds counts as gone.
+/// Returns the replicas of a service in open halls. Nothing is placed in an evacuated hall, and
+/// what its replicas hold counts as gone.
 fn open_records<'a>(
     state: &'a SiteState,
     service: &'a ServiceName,
@@ -182,7 +185,7 @@
 }
 
 impl FleetController {
-    /// A new leader's duties.
+    /// Creates the controller of a new leader.
     pub fn new(policy: FleetPolicy, holder: HostName, term: Term, now_ms: u64) -> Self {
         Self {
             policy,
@@ -209,19 +212,19 @@
         }
     }
 
-    /// The term these duties belong to.
+    /// Returns the term of the leader.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Replicas that some control host has heard.
+    /// Records that a control host has received heartbeats of these replicas.
     pub fn on_heartbeats(&mut self, now_ms: u64, ids: &[ReplicaId]) {
         for id in ids {
             self.last_seen_ms.insert(id.clone(), now_ms);
         }
     }
 
-    /// An entry's report. Returns how many entries report.
+    /// Records an entry's report. Returns the number of entries that report.
     pub fn on_report(&mut self, now_ms: u64, report: EntryReport) -> u32 {
         for placement in report.adapters {
             self.adapters.record_use(placement, now_ms);
@@ -234,7 +237,7 @@
         self.entries.len() as u32
     }
 
-    /// What an entry has waiting at replicas. Returns the most crowded ones.
+    /// Records the waiting tokens of an entry's requests. Returns the most congested replicas.
     pub fn on_queue_report(&mut self, now_ms: u64, report: QueueReport) -> QueuedTokens {
         let bound = CongestionThreshold {
             tokens: self.policy.crowded_tokens,
@@ -243,7 +246,8 @@
         self.queue_totals.record(now_ms, report, bound)
     }
 
-    /// Takes over which replicas name a limit, as of a change that rises.
+    /// Updates which replicas advertise a rate limit, unless `revision` is the one already taken
+    /// over.
     pub fn update_limited<'a>(
         &mut self,
         revision: u64,
@@ -255,7 +259,8 @@
         }
     }
 
-    /// An entry's wish. Returns whether it will be met soon, and the order to send.
+    /// Handles an entry's request for an adapter. Returns whether it will be available soon, and
+    /// the order to send.
     pub fn on_adapter_request(
         &mut self,
         state: &SiteState,
@@ -297,7 +302,7 @@
         }
     }
 
-    /// An engine's answer to an order. Returns what it proves.
+    /// Handles the outcome of an order. Returns the commands that follow from it.
     pub fn on_outcome(
         &mut self,
         now_ms: u64,
@@ -344,14 +349,14 @@
         let Some(pending) = self.pending.get_mut(id) else {
             return Vec::new();
         };
-        // Time alone settles no order: one without an answer may be carried out long after,
-        // and one that was taken may wait for requests. It takes room until its effect
-        // shows, and is sent again meanwhile; the engine's count of orders lets one act.
+        // No order is settled by time alone: one without a reply may be carried out much later, and
+        // an accepted one may wait for running requests. It occupies memory until its effect shows,
+        // and is sent again meanwhile. The engine's order count lets only one attempt take effect.
         match outcome {
             OrderOutcome::Taken | OrderOutcome::Held => {
                 pending.send_ms = Some(now_ms + self.policy.order_ms);
             }
-            // Perhaps with this very order, sent before or by the leader before.
+            // The engine may be busy with this same order, sent earlier or by the previous leader.
             OrderOutcome::Busy | OrderOutcome::Unknown => {
                 pending.send_ms = Some(now_ms + RESEND_DELAY_MS);
             }
@@ -363,7 +368,7 @@
         Vec::new()
     }
 
-    /// Keeps those commands that were not proposed a moment ago.
+    /// Drops commands that were proposed within the last [`COMMIT_TIMEOUT_MS`].
     fn propose_once(&mut self, now_ms: u64, mut commands: Vec<Command>) -> Vec<Command> {
         self.uncommitted
             .retain(|(at_ms, _)| at_ms + COMMIT_TIMEOUT_MS > now_ms);
@@ -373,7 +378,8 @@
         commands
     }
 
-    /// One look at the clock: marks the silent, and plans where a round is due.
+    /// Handles a timer tick: marks silent and lost replicas, returns the orders that are due, and
+    /// plans placement where a round is due.
     pub fn round(&mut self, state: &SiteState, now_ms: u64) -> FleetActions {
         let liveness = self.check_liveness(&state.replicas, now_ms);
         let mut actions = FleetActions {
@@ -441,8 +447,8 @@
         self.demand.sample(&sum);
     }
 
-    /// Forgets orders whose effect shows, or that were refused, and takes over those of
-    /// the leader before.
+    /// Removes orders whose effect shows or whose refusal is settled, and takes over those of the
+    /// previous leader from the log. Returns commands that settle orders in the log.
     fn settle_orders(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<Command> {
         let records = replicas.records();
         let mut commands = Vec::new();
@@ -458,7 +464,7 @@
                 }
                 return open;
             }
-            // Until its command is committed, its effect cannot show.
+            // The effect cannot show before the command is committed.
             order.committed |= open;
             let awaits_commit = !order.committed && order.since_ms + COMMIT_TIMEOUT_MS > now_ms;
             let stays = awaits_commit || open;
@@ -505,7 +511,7 @@
         commands
     }
 
-    /// Sends the orders that are due and whose commands are committed.
+    /// Returns the orders that are due and whose commands are committed.
     fn send_due(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<EngineOrder> {
         let mut due = Vec::new();
         for (id, order) in &mut self.pending {
@@ -551,18 +557,20 @@
         }
     }
 
-    /// Whether an order of the leader before may have arrived so lately, or may still arrive,
-    /// that one of this leader would meet it: its lease had ended when this one was elected.
+    /// Returns whether an order of the previous leader may still arrive, or may have arrived within
+    /// the minimum time between orders of two leaders. The previous lease had ended when this
+    /// leader was elected.
     fn must_wait_for_predecessor(&self, now_ms: u64) -> bool {
         let wait_ms = self.policy.order_lease_ms + self.policy.order_transit_ms;
         now_ms < self.since_ms + wait_ms + wait_ms / CLOCK_DRIFT_DIVISOR
     }
 
-    /// Whether adapters may be ordered to a replica: no model comes or goes there, and its hall
-    /// is open.
+    /// Returns whether adapters may be ordered to a replica: no model is being loaded or unloaded
+    /// there, and its hall is open.
     fn accepts_adapter_orders(&self, state: &SiteState, record: &ReplicaRecord) -> bool {
-        // By the log as well: the leader before may have ordered a model out that is still
-        // there with its adapters, and the first round after the lease may yet come.
+        // Checks the log as well: the previous leader may have ordered a model to be unloaded that
+        // is still there with its adapters, and the first round after the lease may not have run
+        // yet.
         let loading = state.replicas.loading(&record.id).next();
         let model_order = loading.or(state.replicas.leaving(&record.id).next());
         let ordered = model_order.is_some() || self.pending.contains_key(&record.id);
@@ -587,7 +595,7 @@
         let demand_unknown = self.demand.is_empty() && now_ms < self.since_ms + NO_DEMAND_WAIT_MS;
         let replicas = open_records(state, service).map(|record| {
             let mut replica = self.plan_replica(state, record, engine);
-            // Only what fits without anything going first.
+            // Without known demand, only replicas that fit any model without an unload.
             replica.accepts_orders &= !demand_unknown || replica.free_mb >= largest_mb.unwrap_or(0);
             replica
         });
@@ -607,7 +615,8 @@
         }
     }
 
-    /// Loads into the room that was made for them, and how many come from the store.
+    /// Plans the loads into reserved memory. Returns the steps, and how many of them load from the
+    /// weight store.
     fn use_reservations(
         &mut self,
         replicas: &[PlanReplica],
@@ -682,7 +691,7 @@
         let reserved = self.reservations.get(&record.id);
         let reserved = reserved.map(|reservation| reservation.model.clone());
         let weight = |model: &ModelName| engine.models.get(model).map_or(0, |m| m.weights_mb);
-        // What may be there, by whatever order is carried out or not.
+        // Models that may occupy memory, whether or not their orders are carried out.
         let taken: BTreeSet<&ModelName> = held.iter().chain(&loading).chain(&unloading).collect();
         let taken_mb: u64 = taken.into_iter().map(weight).sum();
         let open = !self.pending.contains_key(&record.id) && reserved.is_none();
@@ -741,9 +750,8 @@
         if step.from_store {
             self.last_load_ms.insert(service.clone(), now_ms);
         }
-        // The order leaves once its command is committed: whoever leads next
-        // must know of the room that it takes, and entries must have stopped
-        // sending to what goes.
+        // The order is sent once its command is committed: a later leader must know which memory it
+        // takes, and entries must have stopped sending to a model that is unloaded.
         let command = match step.kind {
             OrderKind::Load => Command::ReplicaLoad(id, step.model),
             OrderKind::Unload => Command::ReplicaUnload(id, step.model),
--- a/src/placement/target_controller.rs
+++ b/src/placement/target_controller.rs
@@ -1,7 +1,7 @@
-//! The leader's duties besides the log: who lives, what moves, who may use what.
+//! The leader's controller for targets: member liveness, model moves and shares of row limits.
 //!
-//! Soft state only: a new leader starts with none and decides nothing that
-//! rests on silence until a whole grace time has passed.
+//! Soft state only: a new leader starts with no state. It decides nothing based on silence until a
+//! full grace period has passed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,20 +12,20 @@
 use crate::table::limits::{LimitClaim, ShareGrantor};
 use crate::table::site::ModelKind;
 
-/// Settings of the leader's duties.
+/// Settings of the target controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ControllerPolicy {
-    /// Silence after which a member is lost, in milliseconds.
+    /// Time without a heartbeat after which a member is lost, in milliseconds.
     pub loss_ms: u64,
     /// Lease of a target's plan, in milliseconds; shorter than `loss_ms`.
     pub lease_ms: u64,
     /// Time between placement rounds, in milliseconds.
     pub round_ms: u64,
-    /// How models are placed.
+    /// Placement settings.
     pub placement: PlacementPolicy,
 }
 
-/// What a member told last.
+/// State from the last heartbeat of a member.
 #[derive(Clone, Debug)]
 struct MemberState {
     incarnation: Incarnation,
@@ -34,47 +34,47 @@
     busy: BTreeMap<ModelName, f64>,
 }
 
-/// An agent's beat.
+/// Heartbeat of an agent.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct AgentHeartbeat {
-    /// The agent's host, which is also its target's name.
+    /// Host of the agent, which is also the name of its target.
     pub host: HostName,
-    /// Its life.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// How far it follows the log.
+    /// Log position that the agent follows.
     pub position: Position,
-    /// The position of the plan that it acts on.
+    /// Log position of the plan that the agent acts on.
     pub plan: Position,
-    /// What its target holds; none until it knows.
+    /// Models on the target, each with whether it is ready; `None` until the agent knows.
     pub holds: Option<BTreeMap<ModelName, bool>>,
-    /// Queued and running requests of each model.
+    /// Number of queued and running requests of each model.
     pub busy: BTreeMap<ModelName, u32>,
-    /// It is leaving.
+    /// The agent is draining.
     pub leaving: bool,
-    /// It has nothing left to do, and stops.
+    /// The agent has no work left and stops.
     pub stopped: bool,
 }
 
-/// An entry's beat.
+/// Heartbeat of an entry.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct EntryHeartbeat {
-    /// The entry's host.
+    /// Host of the entry.
     pub host: HostName,
-    /// Its life.
+    /// Incarnation of the entry.
     pub incarnation: Incarnation,
-    /// How far it follows the log.
+    /// Log position that the entry follows.
     pub position: Position,
-    /// Number of this beat in its life.
+    /// Number of this heartbeat within the incarnation.
     pub number: u64,
-    /// Its claims on row limits.
+    /// Claims on row limits.
     pub limits: BTreeMap<RowId, LimitClaim>,
-    /// Requests of each model refused for overload since the last beat.
+    /// Number of requests of each model that were refused for overload since the last heartbeat.
     pub refused: BTreeMap<ModelName, u32>,
-    /// It stops.
+    /// The entry stops.
     pub stopped: bool,
 }
 
-/// The leader's soft state.
+/// Soft state of the leader.
 #[derive(Debug)]
 pub struct TargetController {
     policy: ControllerPolicy,
@@ -84,16 +84,16 @@
     demand: DemandTracker,
     grantor: ShareGrantor,
     round_due_ms: u64,
-    /// Hosts that the platform's list names as leaving.
+    /// Hosts that the platform lists as leaving.
     platform_leaving: BTreeSet<HostName>,
-    /// When this leader last could decide.
+    /// Time of the last call of [`Self::round`].
     decided_ms: u64,
-    /// Position of the last round's proposals: the next waits for them.
+    /// Log position of the last round's proposals; the next round waits for it.
     awaited_position: Position,
 }
 
 impl TargetController {
-    /// A new leader's duties.
+    /// Creates the controller of a new leader.
     pub fn new(policy: ControllerPolicy, state: &SiteState, term: Term, now_ms: u64) -> Self {
         Self {
             policy,
@@ -109,12 +109,12 @@
         }
     }
 
-    /// The term these duties belong to.
+    /// Returns the term of the leader.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Takes an agent's beat; returns the commands that it proves.
+    /// Handles an agent's heartbeat. Returns the commands that follow from it.
     pub fn on_agent_heartbeat(
         &mut self,
         state: &SiteState,
@@ -146,7 +146,8 @@
         commands
     }
 
-    /// Takes an entry's beat; returns its grants and the commands that it proves.
+    /// Handles an entry's heartbeat. Returns the granted shares of row limits and the commands that
+    /// follow from the heartbeat.
     pub fn on_entry_heartbeat(
         &mut self,
         state: &SiteState,
@@ -191,13 +192,13 @@
         (grants, commands)
     }
 
-    /// Takes the platform's list of leaving hosts. It lags, so it only ever
-    /// turns work away; life and loss are told by beats.
+    /// Updates the hosts that the platform lists as leaving. The list lags behind, so it only takes
+    /// work away from hosts; heartbeats decide which members are alive or lost.
     pub fn on_leaving_hosts(&mut self, leaving: BTreeSet<HostName>) {
         self.platform_leaving = leaving;
     }
 
-    /// A round: losses, leaving hosts, and moves.
+    /// Runs a round: lost members, leaving hosts and model moves.
     ///
     /// `wall_ms` is the clock that commands are stamped with.
     pub fn round(&mut self, state: &SiteState, now_ms: u64, wall_ms: u64) -> Vec<Command> {
@@ -228,12 +229,12 @@
         commands
     }
 
-    /// Notes where the round's last command stands.
+    /// Sets the log position of the last round's last command.
     pub fn await_position(&mut self, position: Position) {
         self.awaited_position = position;
     }
 
-    /// The whole wish for one target.
+    /// Returns the full plan for one target.
     pub fn target_plan(
         &self,
         state: &SiteState,
@@ -249,7 +250,7 @@
         }
     }
 
-    /// How many members have a row's version in force, of how many, and who lags.
+    /// Returns the number of members, and the hosts that do not follow the log up to `version` yet.
     pub fn in_force(&self, state: &SiteState, version: Position) -> (usize, Vec<HostName>) {
         let lagging = state
             .members
@@ -266,8 +267,8 @@
         (state.members.len(), lagging)
     }
 
-    /// A leader that was frozen or cut off heard nobody meanwhile: that says
-    /// nothing of the members.
+    /// Restarts the grace period and all silence timers if this leader was suspended or cut off: it
+    /// received no heartbeats meanwhile, which says nothing about the members.
     fn reset_silence_after_pause(&mut self, now_ms: u64) {
         if self.decided_ms + self.policy.loss_ms / 2 < now_ms {
             self.grace_start_ms = now_ms;
@@ -278,7 +279,8 @@
         self.decided_ms = now_ms;
     }
 
-    /// A new leader has heard nobody yet, and must not take that for loss.
+    /// Returns whether silence counts. A new leader has received no heartbeats yet and must not
+    /// take that for loss.
     fn is_past_grace_period(&self, now_ms: u64) -> bool {
         now_ms >= self.grace_start_ms + self.policy.loss_ms
     }
@@ -356,8 +358,8 @@
     }
 }
 
-/// The models to hold; none while the agent has not told what it holds, or
-/// while that is not all in the log.
+/// Returns the models that the target is to hold, with their sizes in MiB; `None` until the agent
+/// reports what it holds, and until the log lists all of that.
 fn planned_models(
     state: &SiteState,
     target: &TargetName,
@@ -380,7 +382,7 @@
     Some(sized.collect())
 }
 
-/// What the agent's account proves of its homes, given the plan it acts on.
+/// Returns the changes of homes that an agent's report proves, given the plan it acts on.
 fn home_reports(
     state: &SiteState,
     heartbeat: &AgentHeartbeat,
@@ -397,7 +399,7 @@
         let phase = homes.get(model).map(|home| home.phase);
         let known = state.site.models.contains_key(model);
         match phase {
-            // Also what is still loading: an unknown load is adopted, not undone.
+            // Includes models that are still loading: an unknown load is adopted instead of undone.
             None if known => commands.push(report(model, HomeReport::Resident)),
             Some(HomePhase::Loading) if *ready => {
                 commands.push(report(model, HomeReport::Resident));
@@ -406,7 +408,7 @@
         }
     }
     for (model, home) in homes {
-        // An agent that has not seen the order yet proves nothing of it.
+        // A heartbeat from before the agent received the order proves nothing about its outcome.
         let informed = heartbeat.plan >= home.order;
         let absent = !holds.contains_key(model);
         let fixed = state
