--- a/src/placement/fleet_plan.rs
+++ b/src/placement/fleet_plan.rs
@@ -1,57 +1,58 @@
-//! Decides which model goes to which replica of an engine service.
+//! Decides which model is loaded at which replica of an engine service.
 //!
-//! Pure. A greedy choice by what a move is worth: a model without a home costs
-//! all its demand and more, a crowded one costs its demand by home. A replica
-//! takes one order at a time, so the order of moves counts as much as the moves.
+//! Pure code. A greedy choice by the value of each move: a model without a home costs a multiple of
+//! its demand, any other model its demand per home. A replica takes one order at a time, so the
+//! order of the moves matters as much as the moves themselves.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{HallName, ModelName, ReplicaId};
 use crate::placement::order::OrderKind;
 
-/// What the absence of a model costs, by its demand.
+/// Cost of a model without a home, as a multiple of its demand.
 const ABSENCE_COST_FACTOR: f64 = 4.0;
-/// What the absence of a model costs without any demand, in concurrent requests, where
-/// there is a place for each model: enough to take the room of a further home of a model
-/// with little demand. Where there are fewer places, it is worth free room only: else
-/// models that nobody asks for take all further homes of the busy ones.
+/// Cost of a model without a home and without demand, in concurrent requests, where there is
+/// capacity for all models: enough to replace a further home of a model with little demand. Where
+/// capacity is short, it counts only while there is free memory; otherwise models without demand
+/// would take all further homes of the busy ones.
 const FIRST_HOME_VALUE: f64 = 2.0;
-/// What the load of a model without a home must bring at most, in concurrent requests.
+/// Upper limit of the price of a model's first home, in concurrent requests.
 const MAX_FIRST_HOME_PRICE: f64 = 0.5;
-/// Models that are looked at for each step, those with most to gain.
+/// Number of models considered for each step: those with the highest gain.
 const MAX_CANDIDATE_MODELS: usize = 8;
-/// Most steps of one round.
-const MAX_STEPS: usize = 8;
-/// Weight of a replica's own load against what a move is worth.
+/// Maximum number of steps in one round.
+const MAX_STEPS_PER_ROUND: usize = 8;
+/// Weight of a replica's own demand against the value of a move.
 const REPLICA_DEMAND_WEIGHT: f64 = 0.1;
-/// What a further hall is worth.
+/// Value of a home in a further hall.
 const NEW_HALL_VALUE: f64 = 0.05;
-/// Fixed time of a move besides the load, in milliseconds.
+/// Fixed time of a move in addition to the load, in milliseconds.
 const MOVE_OVERHEAD_MS: f64 = 1_000.0;
 
-/// A replica as the plan sees it.
+/// A replica as input of the plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanReplica {
-    /// This life.
+    /// Id of the replica.
     pub id: ReplicaId,
-    /// Its data hall.
+    /// Data hall of the replica.
     pub hall: HallName,
-    /// It may take an order now.
+    /// The replica can take an order now.
     pub accepts_orders: bool,
-    /// Room that no model takes or may come to take, in MB.
+    /// Memory that no model occupies or may come to occupy, in MB.
     pub free_mb: u64,
-    /// Models that are there and stay.
+    /// Models that the replica holds and keeps.
     pub held: BTreeSet<ModelName>,
-    /// Models that are on their way in.
+    /// Models that are being loaded.
     pub loading: BTreeSet<ModelName>,
-    /// Models with a copy at hand, and the time of their load, in milliseconds.
+    /// Models with a copy in host memory or on disk, with the time of a load from it, in
+    /// milliseconds.
     pub cached_load_ms: BTreeMap<ModelName, u64>,
 }
 
-/// A model as the plan sees it.
+/// A model as input of the plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlanModel {
-    /// Size, in MB.
+    /// Size of the weights, in MB.
     pub weights_mb: u64,
     /// Time of a load from the weight store, in milliseconds.
     pub load_ms: u64,
@@ -59,22 +60,22 @@
     pub level: f64,
 }
 
-/// A decided step.
+/// A planned step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanStep {
     /// The replica.
     pub replica: ReplicaId,
     /// The model.
     pub model: ModelName,
-    /// In or out.
+    /// Load or unload.
     pub kind: OrderKind,
     /// The load comes from the weight store.
     pub from_store: bool,
-    /// The model that an unload makes room for.
+    /// The model that an unload frees memory for.
     pub for_model: Option<ModelName>,
 }
 
-/// How often each model stands in a list.
+/// Counts the occurrences of each model.
 fn count<'a>(models: impl Iterator<Item = &'a ModelName>) -> BTreeMap<ModelName, usize> {
     let mut counts = BTreeMap::new();
     for model in models {
@@ -86,20 +87,20 @@
 struct PlanState<'a> {
     replicas: Vec<PlanReplica>,
     models: &'a BTreeMap<ModelName, PlanModel>,
-    /// Replicas that hold a model or are to hold it.
+    /// Number of replicas that hold a model or are to hold it.
     homes: BTreeMap<ModelName, usize>,
-    /// Replicas that hold a model now.
+    /// Number of replicas that hold a model now.
     holders: BTreeMap<ModelName, usize>,
     price: f64,
-    /// There is a place for each model.
+    /// There is capacity for all models.
     all_fit: bool,
     /// Size of the largest model, in MB.
     largest_mb: u64,
-    /// What the absence of a model costs without any demand, as the replicas stand now.
+    /// Cost of a model without a home and without demand, as the replicas are now.
     first_home_value: f64,
 }
 
-/// A move that could be made.
+/// A possible move.
 struct Candidate {
     rank: f64,
     replica: usize,
@@ -107,8 +108,8 @@
     evicted: Option<ModelName>,
 }
 
-/// The steps to take now. `store_loads` bounds loads from the weight store, and
-/// `price` is the relief in concurrent requests that a move must bring.
+/// Plans the steps to take now. `store_loads` is the maximum number of loads from the weight store,
+/// and `price` the minimum relief of a move, in concurrent requests.
 pub fn plan(
     replicas: Vec<PlanReplica>,
     models: &BTreeMap<ModelName, PlanModel>,
@@ -136,7 +137,7 @@
     };
     let mut left = store_loads;
     let mut steps = Vec::new();
-    while steps.len() < MAX_STEPS {
+    while steps.len() < MAX_STEPS_PER_ROUND {
         let Some(candidate) = plan_state.best_candidate(left > 0) else {
             break;
         };
@@ -147,7 +148,7 @@
     steps
 }
 
-/// How many of the largest models all replicas hold together.
+/// Returns how many models of the largest size the replicas can hold in total.
 fn model_capacity(
     replicas: &[PlanReplica],
     models: &BTreeMap<ModelName, PlanModel>,
@@ -162,7 +163,7 @@
 }
 
 impl PlanState<'_> {
-    /// What a model costs with so many homes.
+    /// Returns the cost of a model with this number of homes.
     fn cost(&self, level: f64, homes: usize) -> f64 {
         match homes {
             0 => level * ABSENCE_COST_FACTOR + self.first_home_value,
@@ -170,8 +171,8 @@
         }
     }
 
-    /// What the absence of a model costs without any demand: nothing where it could only
-    /// take the place of another.
+    /// Returns the cost of a model without a home and without demand: 0 where it could only replace
+    /// another model.
     fn first_home_value_now(&self) -> f64 {
         let free =
             |replica: &PlanReplica| replica.accepts_orders && replica.free_mb >= self.largest_mb;
@@ -195,8 +196,8 @@
         self.cost(level, homes) - self.cost(level, homes + 1)
     }
 
-    /// What a move for a model must bring; less where the model has no home yet, as
-    /// it must stay reachable.
+    /// Returns the minimum relief of a move for a model. It is lower for the first home, as each
+    /// model should stay reachable.
     fn price_of(&self, model: &ModelName) -> f64 {
         match self.homes(model) {
             0 => self.price.min(MAX_FIRST_HOME_PRICE),
@@ -204,15 +205,15 @@
         }
     }
 
-    /// What is lost at once where a model goes from a replica: a home that is still
-    /// to come serves nobody yet.
+    /// Returns the immediate loss when a replica unloads a model. A home that is still loading
+    /// serves no requests yet and does not count.
     fn loss(&self, model: &ModelName) -> f64 {
         let level = self.models.get(model).map_or(0.0, |model| model.level);
         let holders = self.holders(model);
         self.cost(level, holders.saturating_sub(1)) - self.cost(level, holders.max(1))
     }
 
-    /// Demand on a replica, shared with the other homes of its models.
+    /// Returns the demand on a replica, where each model's demand is split evenly over its homes.
     fn replica_demand(&self, replica: &PlanReplica) -> f64 {
         let level = |model: &ModelName| {
             let level = self.models.get(model).map_or(0.0, |model| model.level);
@@ -222,7 +223,7 @@
     }
 
     fn best_candidate(&mut self, store_load_allowed: bool) -> Option<Candidate> {
-        // Once a step: every cost below asks for it, and only a step changes it.
+        // Computed once per step: all costs below use it, and only a step changes it.
         self.first_home_value = self.first_home_value_now();
         let mut gains: Vec<(f64, &ModelName)> = self
             .models
@@ -285,9 +286,9 @@
         candidates.max_by(|a, b| a.rank.total_cmp(&b.rank))
     }
 
-    /// What must go from a replica first to make room, and what that costs. The
-    /// last home of a model goes only for the first one of another, or, where there are
-    /// fewer places than models, if nobody asks for it.
+    /// Returns the model to unload from a replica to free `need_mb`, if any, and the loss; `None`
+    /// where no single unload frees enough. The last home of a model is unloaded only for the first
+    /// home of another, or, where capacity is short, if it has no demand.
     fn eviction_for(
         &self,
         replica: &PlanReplica,
@@ -315,7 +316,7 @@
         match candidate.evicted {
             Some(evicted) => {
                 replica.held.remove(&evicted);
-                // The room is spoken for, though the load itself comes later.
+                // The memory is claimed, although the load comes later.
                 replica.loading.insert(candidate.model.clone());
                 *self.homes.entry(evicted.clone()).or_default() -= 1;
                 *self.holders.entry(evicted.clone()).or_default() -= 1;
--- a/src/placement/moves.rs
+++ b/src/placement/moves.rs
@@ -1,4 +1,5 @@
-//! Decides which models move: repair first, then spread, then what demand is worth.
+//! Decides which models move between targets: first homes come first, then demand, then spare
+//! homes.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,35 +10,35 @@
 use crate::table::packing::{self, Layout};
 use crate::table::site::{ModelKind, SiteSpec};
 
-/// How moves are decided.
+/// Placement settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementPolicy {
-    /// Relief that a load for demand must bring, in concurrent requests a
-    /// home. High: few moves; low: follow demand closely.
+    /// Minimum relief of a load for demand, in concurrent requests per home. A high value gives few
+    /// moves; with a low one, placement follows demand closely.
     pub move_price: f64,
-    /// Homes that each model keeps where memory allows.
+    /// Number of homes that each model keeps where memory allows.
     pub spread: usize,
-    /// Follow demand at all; else only repair and spread.
+    /// Whether placement follows demand; otherwise it only repairs and spreads.
     pub by_demand: bool,
 }
 
-/// What a spare home is worth by itself, in concurrent requests a home.
+/// Value of a spare home by itself, in concurrent requests per home.
 const SPARE_HOME_VALUE: f64 = 1.0;
 
-/// A decided move.
+/// A planned move.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementMove {
     /// The target.
     pub target: TargetName,
     /// The model.
     pub model: ModelName,
-    /// In or out.
+    /// Load or unload.
     pub kind: MoveKind,
 }
 
-/// The moves to order now, most urgent first; the weight store's limits are kept.
+/// Returns the moves to order now, most urgent first, within the limits of the weight store.
 ///
-/// `wall_ms` is the proposer's clock: the state's stands still while nothing is
+/// `wall_ms` is the clock of the proposer. The clock of the state stands still while nothing is
 /// committed, and a repair must not wait for that.
 pub fn plan(
     state: &SiteState,
@@ -48,7 +49,7 @@
     let mut snapshot = PlacementSnapshot::new(state);
     let mut moves = Vec::new();
     let wanted = packing::resident_set(&state.site, state.table.models());
-    // Bases come before the adapters that need them, large ones before small:
+    // Base models come before the adapters that need them, and large models before small ones, as
     // they are the hardest to place.
     let mut ordered: Vec<&ModelName> = wanted.iter().copied().collect();
     ordered.sort_by_key(|model| {
@@ -64,8 +65,8 @@
     for model in &homeless {
         snapshot.add_home(model, &wanted, &mut moves);
     }
-    // A spare home must not take the room that is being made for a first one,
-    // nor that for a home which relieves more than a spare is worth.
+    // A spare home must not take memory that is being freed for a first home, nor memory for a home
+    // that relieves more than a spare home is worth.
     let claimed = !homeless.is_empty()
         || policy.by_demand
             && snapshot.relieve_busiest(policy, demand, &ordered, &wanted, &mut moves);
@@ -79,7 +80,8 @@
     cap_loads(moves, loads_allowed)
 }
 
-/// Loads that may start now, by the weight store's rate and its loads at once.
+/// Returns how many loads may start now, by the weight store's rate and its limit on concurrent
+/// loads.
 fn loads_allowed_now(state: &SiteState, wall_ms: u64) -> usize {
     let loading = state.homes.values().flat_map(|homes| homes.values());
     let loading = loading
@@ -116,13 +118,13 @@
 struct PlacementSnapshot<'a> {
     site: &'a SiteSpec,
     targets: BTreeMap<&'a TargetName, TargetSnapshot<'a>>,
-    /// Homes of each model that are not on their way out, kept along: counting
-    /// them anew would cost models × targets.
+    /// Number of homes of each model that are not being unloaded. Kept up to date, as counting them
+    /// anew would cost models × targets.
     counts: BTreeMap<&'a ModelName, usize>,
 }
 
 impl<'a> PlacementSnapshot<'a> {
-    /// Only targets with a live agent that stays, in halls that are open.
+    /// Includes only targets in open halls whose agent is alive and not leaving.
     fn new(state: &'a SiteState) -> Self {
         let mut targets = BTreeMap::new();
         for (target, spec) in &state.site.targets {
@@ -185,8 +187,9 @@
         self.counts.get(model).copied().unwrap_or(0)
     }
 
-    /// Targets that could take the model as they are, best first: in a hall
-    /// without it, then with the most room.
+    /// Returns the best target that fits the model without an unload: in a hall without it if
+    /// possible, then with the most free memory. An adapter fits only where its base model has a
+    /// home.
     fn best_fit(&self, model: &ModelName) -> Option<&'a TargetName> {
         let mib = self.mib(model);
         let base = self.base_of(model);
@@ -220,8 +223,8 @@
         }
     }
 
-    /// A first home: where it fits, else where room can be made, for an adapter
-    /// if need be with a further home of its base.
+    /// Adds a first home: where the model fits, otherwise where memory can be freed. An adapter may
+    /// first need a further home of its base model.
     fn add_home(
         &mut self,
         model: &ModelName,
@@ -256,8 +259,8 @@
         }
     }
 
-    /// Whether a home may go: nobody wants the model, or it has another ready
-    /// home. A base goes only without its adapters.
+    /// Returns whether a home may be unloaded: the model is not wanted or has another ready home,
+    /// and none of its adapters is on the target.
     fn is_dispensable(
         &self,
         snapshot: &TargetSnapshot<'a>,
@@ -272,13 +275,14 @@
         !missed && !self.has_adapters_of(snapshot, model)
     }
 
-    /// Whether adapters of the model are on the target.
+    /// Returns whether adapters of the model are on the target.
     fn has_adapters_of(&self, snapshot: &TargetSnapshot<'a>, model: &ModelName) -> bool {
         let mut neighbours = snapshot.homes.keys();
         neighbours.any(|other| self.base_of(other) == Some(model))
     }
 
-    /// The homes on a target that may go, each by itself, those missed least first.
+    /// Returns the homes on a target that may be unloaded, each considered by itself: unwanted
+    /// models first, then small ones.
     fn dispensable(
         &self,
         snapshot: &TargetSnapshot<'a>,
@@ -294,7 +298,8 @@
         models
     }
 
-    /// Unloads what can be spared on the target where that takes least.
+    /// Frees memory for a model on the target that needs the fewest unloads. If no target has
+    /// enough, prepares for it with loads elsewhere.
     fn make_room(
         &mut self,
         model: &ModelName,
@@ -355,8 +360,8 @@
         }
     }
 
-    /// Room is there but split: gives one sole home that is in the way a second
-    /// home elsewhere, so that the first can go later.
+    /// Handles fragmented memory: gives a model whose only home is in the way a second home
+    /// elsewhere, so that the first can be unloaded later. Returns whether that was possible.
     fn relocate_sole_home(
         &mut self,
         model: &ModelName,
@@ -395,8 +400,8 @@
         }
     }
 
-    /// Goes over, step by step, to a layout that is known to fit, always
-    /// loading before unloading.
+    /// Takes the next steps towards a layout that is known to fit. Loads come before unloads: no
+    /// model loses its last ready home.
     fn step_to_packing(
         &mut self,
         wanted: &BTreeSet<&'a ModelName>,
@@ -424,7 +429,8 @@
         }
     }
 
-    /// The models that the layout puts on a target and that are not there.
+    /// Returns the size of the models that the layout puts on a target and that are not there, in
+    /// MiB.
     fn missing_mib(&self, layout: &Layout, target: &TargetName) -> u64 {
         let snapshot = &self.targets[target];
         let here = layout.iter().filter(|(_, home)| *home == target);
@@ -432,7 +438,7 @@
         absent.map(|(model, _)| self.mib(model)).sum()
     }
 
-    /// Unloads what may go from targets that need the room.
+    /// Unloads dispensable homes from targets that need the memory for the layout.
     fn unload_for_layout(
         &mut self,
         layout: &Layout,
@@ -446,7 +452,7 @@
                 let snapshot = &self.targets[target];
                 let short = snapshot.free_mib + self.unloading_mib(snapshot) < missing_mib;
                 let misplaced = layout.get(model) != Some(target);
-                // An unload before may have made this the last ready home.
+                // An earlier unload may have made this the last ready home.
                 if short && misplaced && self.is_dispensable(snapshot, model, wanted) {
                     self.unload(target, model, moves);
                 }
@@ -454,8 +460,8 @@
         }
     }
 
-    /// A ring of models that wait for each other's room: one of them gets a
-    /// further home wherever there is any.
+    /// Breaks a cycle of models that wait for each other's memory: loads one of them at a further
+    /// home on any target that fits it.
     fn break_cycle(&mut self, layout: &Layout, moves: &mut Vec<PlacementMove>) {
         let mut stuck = Vec::new();
         for (target, snapshot) in &self.targets {
@@ -476,8 +482,8 @@
         }
     }
 
-    /// One load for the model whose homes are most crowded, if worth its price.
-    /// Returns whether free room is spoken for.
+    /// Plans one load for the model with the highest relief from a further home, if the relief
+    /// exceeds the price. Returns whether memory is claimed for it.
     fn relieve_busiest(
         &mut self,
         policy: &PlacementPolicy,
@@ -505,15 +511,15 @@
         let pending = |snapshot: &TargetSnapshot<'_>| self.unloading_mib(snapshot) > 0;
         match self.best_fit(model) {
             Some(target) => self.load(target, model, moves),
-            // The room that was made before comes first.
+            // Memory that is already being freed is used first.
             None if self.targets.values().any(pending) => {}
             None => return self.swap_surplus_home(model, gain, policy, demand, wanted, moves),
         }
         true
     }
 
-    /// Unloads the surplus home that is missed least, where that is less than
-    /// the gain by the price of both moves.
+    /// Unloads the surplus home with the least loss, if the loss plus the move price is below
+    /// `gain`. Returns whether one was unloaded.
     fn swap_surplus_home(
         &mut self,
         model: &ModelName,
