--- a/src/placement/moves.rs
+++ b/src/placement/moves.rs
@@ -87,11 +87,11 @@
     let loading = loading
         .filter(|home| home.phase == HomePhase::Loading)
         .count();
-    let room = state.site.loads_at_once.saturating_sub(loading);
+    let free_loads = state.site.loads_at_once.saturating_sub(loading);
     let due = wall_ms.max(state.clock_ms) >= state.last_load_ms + state.site.load_gap_ms;
     match due || state.site.load_gap_ms == 0 {
-        true if state.site.load_gap_ms > 0 => room.min(1),
-        true => room,
+        true if state.site.load_gap_ms > 0 => free_loads.min(1),
+        true => free_loads,
         false => 0,
     }
 }
@@ -377,11 +377,11 @@
             }
             let spare = self.dispensable(snapshot, wanted);
             let spare: u64 = spare.iter().map(|model| self.mib(model)).sum();
-            let room = snapshot.free_mib + spare + self.unloading_mib(snapshot);
+            let available_mib = snapshot.free_mib + spare + self.unloading_mib(snapshot);
             for (only_home, home) in &snapshot.homes {
                 let mib = self.mib(only_home);
                 let stuck = home.phase == HomePhase::Ready && self.homes(only_home) == 1;
-                let helps = room + mib >= need && Some(*only_home) != base;
+                let helps = available_mib + mib >= need && Some(*only_home) != base;
                 let cheaper = best.is_none_or(|(least, _, _)| mib < least);
                 if stuck && helps && cheaper && !self.has_adapters_of(snapshot, only_home) {
                     best = self
@@ -400,8 +400,8 @@
         }
     }
 
-    /// Takes the next steps towards a layout that is known to fit. Loads come before unloads: no
-    /// model loses its last ready home.
+    /// Takes the next steps towards a layout that is known to fit. A model is loaded at its new
+    /// home before its last ready home is unloaded.
     fn step_to_packing(
         &mut self,
         wanted: &BTreeSet<&'a ModelName>,
--- a/src/placement/named_limits.rs
+++ b/src/placement/named_limits.rs
@@ -1,12 +1,12 @@
-//! Which replicas name a limit, by what all entries heard of their answers: kept by the leader,
-//! and told to all entries as changes since the last they know.
+//! Rate limits that replicas advertise, as observed in responses by all entries. The leader keeps
+//! them and sends each entry the changes since the last ones it has.
 //!
-//! A limit begins once an answer that names one has come. It ends by an answer without one to a
-//! request that was permitted after the limit had begun: as a replica says so in all its
-//! answers, no older answer can be without it. Of two answers whose order cannot be known, the
-//! one with the limit counts.
+//! A limit begins with the first response that advertises it. It ends with a response without a
+//! limit to a request that was permitted after the limit had begun. A replica advertises its limit
+//! in all responses, so no older response can lack it. If the order of two responses is unknown,
+//! the one with the limit counts.
 //!
-//! Pure, and soft state: entries tell a new leader what they know.
+//! Pure code with soft state: entries report the limits that they know to a new leader.
 
 use std::collections::BTreeMap;
 
@@ -15,78 +15,79 @@
 use crate::ids::{ReplicaLife, Term};
 use crate::placement::named_rate::AdvertisedRate;
 
-/// How long an ended limit is remembered, and one whose replica the log does not know, in
-/// milliseconds. What was heard longer ago is not believed: its end may be forgotten.
+/// Time for which an ended limit is kept, and a limit of a replica that the log does not know, in
+/// milliseconds. Older observations are ignored, as their end may have been removed.
 const RETENTION_MS: u64 = 600_000;
-/// How long a new leader gathers what entries know, in milliseconds: two regular reports.
+/// Time for which a new leader gathers the limits that entries know, in milliseconds: two regular
+/// reports.
 const STARTUP_GATHER_MS: u64 = 1_250;
 
-/// Proof of when a request was let through: a moment of a leader's clock.
+/// Proof of when a request was permitted, by the clock of one leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitStamp {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: Term,
-    /// By its steady clock, in milliseconds.
+    /// Time by the leader's monotonic clock, in milliseconds.
     pub granted_ms: u64,
 }
 
-/// An answer that names a limit.
+/// Observation of a response that advertises a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitObservation {
     /// The replica.
     pub replica: ReplicaLife,
-    /// What it takes.
+    /// The advertised rate.
     pub rate: AdvertisedRate,
-    /// Time since the answer came, in milliseconds.
+    /// Time since the response was received, in milliseconds.
     pub age_ms: u64,
-    /// Of the request that was answered, where it needed one.
+    /// Permit of the request, if it needed one.
     pub permit: Option<PermitStamp>,
 }
 
-/// An answer that names no limit any more.
+/// Observation of a response that no longer advertises a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitEnd {
     /// The replica.
     pub replica: ReplicaLife,
-    /// Of the request that was answered.
+    /// Permit of the request.
     pub permit: PermitStamp,
 }
 
-/// Up to where an entry knows what a leader knows.
+/// Position in the changes of one leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LimitCursor {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: Term,
-    /// The last change.
+    /// Revision of the last change.
     pub revision: u64,
 }
 
-/// What an entry heard, and what it knows.
+/// Observations of an entry, and the changes that it has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// Answers with a limit.
+    /// Responses with a limit.
     pub observed: Vec<LimitObservation>,
-    /// Answers without one any more.
+    /// Responses without a limit after earlier ones with it.
     pub ended: Vec<LimitEnd>,
-    /// The changes that it has.
+    /// Changes that the entry has.
     pub cursor: LimitCursor,
 }
 
-/// What is known of one replica.
+/// Limit of one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitState {
     /// The replica.
     pub replica: ReplicaLife,
-    /// None where it names no limit any more.
+    /// The advertised rate; `None` if the replica no longer advertises one.
     pub rate: Option<AdvertisedRate>,
 }
 
-/// Changes for an entry.
+/// Changes of limits for an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitPage {
-    /// Up to where the entry knows all, with these.
+    /// Position of the entry after these changes.
     pub cursor: LimitCursor,
-    /// These are all limits: what the entry has of other replicas has ended.
+    /// The page is a full snapshot: limits of replicas that it does not list have ended.
     pub full: bool,
     /// The changes.
     pub limits: Vec<LimitState>,
@@ -95,32 +96,32 @@
 #[derive(Debug, Default)]
 struct LimitRecord {
     rate: Option<AdvertisedRate>,
-    /// When this rate was heard of first.
+    /// When this rate was first reported, in milliseconds of the leader's clock.
     observed_ms: u64,
-    /// When the request was permitted whose answer showed the end or a higher rate: answers that
-    /// came before say nothing.
+    /// Grant time of the permit whose response showed the end of the limit or a higher rate.
+    /// Responses received up to then are ignored.
     relaxed_ms: Option<u64>,
-    /// Its last change.
+    /// Revision of the last change.
     revision: u64,
-    /// When the log knew the replica last, or the limit ended.
+    /// When the log last knew the replica, or when the limit last changed.
     retained_since_ms: u64,
 }
 
-/// All limits that one leader knows.
+/// All limits known to one leader.
 #[derive(Debug)]
 pub struct AdvertisedLimits {
     term: Term,
     since_ms: u64,
     records: BTreeMap<ReplicaLife, LimitRecord>,
-    /// Replicas by their last change.
+    /// Replicas by the revision of their last change.
     changes: BTreeMap<u64, ReplicaLife>,
     revision: u64,
-    /// Changes up to this one are not known any more.
+    /// Changes up to this revision may have been removed.
     pruned_through: u64,
 }
 
 impl AdvertisedLimits {
-    /// Nothing is known yet by a leader of this term, who leads since `now_ms`.
+    /// Creates the empty state of a leader of this term that leads since `now_ms`.
     pub fn new(term: Term, now_ms: u64) -> Self {
         Self {
             term,
@@ -132,17 +133,17 @@
         }
     }
 
-    /// The rate that a replica names.
+    /// Returns the rate that a replica advertises.
     pub fn rate(&self, replica: &ReplicaLife) -> Option<AdvertisedRate> {
         self.records.get(replica)?.rate
     }
 
-    /// The last change.
+    /// Returns the revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Replicas that name a limit.
+    /// Returns the replicas that advertise a limit.
     pub fn limited(&self) -> impl Iterator<Item = &ReplicaLife> {
         let limited = self
             .records
@@ -151,12 +152,12 @@
         limited.map(|(replica, _)| replica)
     }
 
-    /// Whether an entry follows this leader.
+    /// Returns whether a cursor belongs to the term of this leader.
     pub fn is_current(&self, cursor: LimitCursor) -> bool {
         cursor.term == self.term
     }
 
-    /// The stamp of a permit that is given now.
+    /// Returns the stamp of a permit that is granted now.
     pub fn stamp(&self, now_ms: u64) -> PermitStamp {
         PermitStamp {
             term: self.term,
@@ -164,7 +165,8 @@
         }
     }
 
-    /// An answer named a limit. Returns whether the replica takes less than was known.
+    /// Records a response that advertises a limit. Returns whether the limit is new or stricter
+    /// than the known one.
     pub fn observe(&mut self, now_ms: u64, observation: &LimitObservation) -> bool {
         if observation.age_ms >= RETENTION_MS {
             return false;
@@ -195,7 +197,7 @@
         is_stricter
     }
 
-    /// An answer named no limit any more. Returns whether one ends by it.
+    /// Records a response that no longer advertises a limit. Returns whether the limit ends.
     pub fn observe_end(&mut self, now_ms: u64, end: &LimitEnd) -> bool {
         let granted_ms = end.permit.granted_ms;
         let record = self.records.get_mut(&end.replica);
@@ -221,8 +223,7 @@
         self.changes.insert(self.revision, replica.clone());
     }
 
-    /// Takes what an entry heard. Returns what changed for it, with the state of all replicas
-    /// that it told of.
+    /// Returns the changes for an entry, with the state of all replicas that its report covers.
     pub fn report(&mut self, now_ms: u64, report: &LimitReport) -> LimitPage {
         let mut page = self.page(now_ms, report.cursor);
         let observed = report
@@ -238,8 +239,8 @@
         page
     }
 
-    /// What changed since an entry's last page. While a new leader gathers what entries know, it
-    /// takes nothing back.
+    /// Returns the changes since an entry's cursor. While a new leader gathers the limits that
+    /// entries know, it ends none of them at an entry whose cursor it does not know.
     pub fn page(&self, now_ms: u64, cursor: LimitCursor) -> LimitPage {
         let known = cursor.term == self.term && cursor.revision >= self.pruned_through;
         let gathering = now_ms < self.since_ms + STARTUP_GATHER_MS;
@@ -267,8 +268,8 @@
         }
     }
 
-    /// Forgets limits that ended long ago, and those of lives that are over;
-    /// `state_of` looks a life up in the log.
+    /// Removes limits that ended long ago and those of replaced incarnations. `state_of` looks up
+    /// an incarnation in the log.
     pub fn prune(&mut self, now_ms: u64, state_of: impl Fn(&ReplicaLife) -> IncarnationState) {
         let mut expired = Vec::new();
         for (replica, record) in &mut self.records {
@@ -292,13 +293,13 @@
     }
 }
 
-/// What the log tells of a replica's life.
+/// State of a replica's incarnation in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IncarnationState {
-    /// It lives.
+    /// The incarnation is in the log.
     Current,
-    /// The replica has started again.
+    /// The replica has started again since.
     Replaced,
-    /// The log knows no replica of this id.
+    /// The log knows no replica with this id.
     Unknown,
 }
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -1,4 +1,4 @@
-//! Orders to the engines of replicas that registered themselves, and what they answer.
+//! Orders to the engines of replicas that register themselves, and their outcomes.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,21 +7,21 @@
 
 use crate::ids::{HostName, ModelName, ReplicaId, ReplicaLife, Term};
 
-/// What an order does.
+/// Kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// Bring the model or adapter in.
+    /// Loads the model or adapter.
     Load,
-    /// Take it out.
+    /// Unloads the model or adapter.
     Unload,
 }
 
-/// Tells an order apart in all logs: the leader's term, and a number within it.
+/// Identifies an order in all logs by the leader's term and a number within it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OrderId {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: Term,
-    /// The number of the order in that term, from 1.
+    /// Number of the order within the term, from 1.
     pub number: u64,
 }
 
@@ -34,28 +34,28 @@
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Its number within the leader's term, from 1.
+    /// Number of the order within the leader's term, from 1.
     pub number: u64,
-    /// The replica that is meant.
+    /// The replica that the order is for.
     pub replica: ReplicaId,
-    /// When its life that is meant began; see [`ReplicaLife`].
+    /// Start time of the replica's incarnation that the order is for; see [`ReplicaLife`].
     pub started_ms: u64,
-    /// Where it listens.
+    /// Address of the replica.
     pub address: SocketAddr,
-    /// Who orders.
+    /// Host of the leader that sends the order.
     pub holder: HostName,
-    /// The fencing token: the leader's term.
+    /// Fencing token: the leader's term.
     pub fence: Term,
-    /// In or out.
+    /// Load or unload.
     pub kind: OrderKind,
     /// The model.
     pub model: ModelName,
-    /// The adapter, where not the model itself is meant.
+    /// The adapter; `None` for an order on the model itself.
     pub adapter: Option<String>,
 }
 
 impl EngineOrder {
-    /// The replica's life that is meant.
+    /// Returns the incarnation of the replica that the order is for.
     pub fn incarnation(&self) -> ReplicaLife {
         ReplicaLife {
             id: self.replica.clone(),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Which order it is.
+    /// Returns the id of the order.
     pub fn id(&self) -> OrderId {
         OrderId {
             term: self.fence,
@@ -72,29 +72,29 @@
     }
 }
 
-/// How an order ended at the engine.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// It is being carried out.
+    /// The engine has accepted the order and carries it out.
     Taken,
-    /// It holds already.
+    /// The effect of the order already holds.
     Held,
-    /// The engine is busy, its count of orders is another, or nothing was sent.
+    /// The engine is busy or expected another order count, or the order was not sent.
     Busy,
-    /// Another holder has a higher fencing token.
+    /// The engine has accepted a higher fencing token from another holder.
     Fenced,
-    /// The engine refuses it, or is another one.
+    /// The engine refused the order, or is not the replica that the order names.
     Refused,
-    /// No answer: it may be carried out, or not.
+    /// No reply: the order may be carried out or not.
     Unknown,
 }
 
-/// An adapter on a replica: wanted, used, or ordered there.
+/// An adapter at a replica, as requested, used or ordered there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AdapterPlacement {
     /// The replica.
     pub replica: ReplicaId,
-    /// The base model, which is there.
+    /// The base model, which the replica holds.
     pub model: ModelName,
     /// The adapter.
     pub adapter: String,
--- a/src/placement/rate_limit.rs
+++ b/src/placement/rate_limit.rs
@@ -1,49 +1,49 @@
-//! A token bucket for each replica that takes few requests: the leader counts them over all
-//! entries together.
+//! Token buckets of the leader for replicas with a limited request rate, shared by all entries.
 //!
-//! An entry asks for each request, right before it leaves, and may use the permit for
-//! [`PERMIT_VALIDITY_MS`] only: what a replica gets in any span is then bounded by its rate, whatever
-//! happens to entries in between. Without a leader nobody sends to such a replica.
+//! An entry requests a permit for each request right before sending it, and may use the permit only
+//! within [`PERMIT_VALIDITY_MS`]. The number of requests that a replica receives in any window is
+//! thus bounded by its rate, even if entries stall in between. Without a leader, no entry sends to
+//! such a replica.
 //!
-//! Pure, and soft state: a new leader waits until nothing that the one before gave can count
-//! beside its own.
+//! Pure code with soft state: a new leader grants nothing until no permit of the previous leader
+//! can fall into the same window as its own.
 
 use std::collections::BTreeMap;
 
 use crate::ids::ReplicaLife;
 
-/// How long a permit may be used from before it was asked for, in milliseconds: a call between
-/// halls, and the opening of a connection.
+/// Validity of a permit from the time it was requested, in milliseconds: covers a call between
+/// halls and the opening of a connection.
 pub const PERMIT_VALIDITY_MS: u64 = 250;
-/// The span in which arrivals at a replica that warms up are counted, in milliseconds.
+/// Window in which the arrivals at a replica that warms up are counted, in milliseconds.
 const COUNT_WINDOW_MS: u64 = 1_000;
-/// Requests that may go at once, where none went for a while.
+/// Number of requests that may be sent at once after an idle time.
 const BURST: u64 = 2;
-/// Longest time until a refused entry asks again, in milliseconds: others may have stopped
-/// asking since.
+/// Longest time until a refused entry requests a permit again, in milliseconds. Other entries may
+/// have stopped requesting since.
 const MAX_WAIT_MS: u64 = 10_000;
-/// Entries that are told the longest wait come back at so many times, so far apart, in
-/// microseconds: not all at once.
+/// Number of different retry times of entries that are given the longest wait, and the time between
+/// two of them in microseconds. Keeps these entries from returning at the same time.
 const SPREAD_STEPS: u64 = 64;
 const SPREAD_STEP_US: u64 = 8_000;
-/// Replicas from which on those that are done are forgotten.
+/// Number of buckets from which idle ones are removed.
 const PRUNE_THRESHOLD: usize = 64;
 
-/// When requests of one replica are due, in microseconds.
+/// Request schedule of one replica.
 #[derive(Clone, Copy, Debug, Default)]
 struct TokenBucket {
-    /// The next one.
+    /// When the next request is due, in microseconds.
     due_us: u64,
-    /// The one that the last refused entry was told to ask for.
+    /// Retry time given to the last refused entry, in microseconds.
     last_offer_us: u64,
-    /// Entries that were told the longest wait.
+    /// Number of entries that were given the longest wait.
     max_wait_count: u64,
-    /// Time between two requests, as it was last.
+    /// Last known time between two requests, in microseconds.
     gap_us: u64,
 }
 
 impl TokenBucket {
-    /// Takes over a gap; after a shorter one nothing waits for the longer one before.
+    /// Sets the time between two requests. After a decrease, no request waits for the longer gap.
     fn set_gap(&mut self, now_us: u64, gap_us: u64) {
         if gap_us < self.gap_us {
             self.due_us = self.due_us.min(now_us.saturating_add(gap_us));
@@ -52,7 +52,7 @@
         self.gap_us = gap_us;
     }
 
-    /// When the next refused entry asks again.
+    /// Returns when the next refused entry is to request a permit again.
     fn next_offer_us(&mut self, now_us: u64, due_us: u64) -> u64 {
         let latest_us = now_us.saturating_add(MAX_WAIT_MS * 1_000);
         let next_us = self.last_offer_us.saturating_add(self.gap_us);
@@ -70,7 +70,7 @@
     }
 }
 
-/// The buckets of one leader.
+/// The token buckets of one leader.
 #[derive(Debug)]
 pub struct RateLimiter {
     starts_ms: u64,
@@ -78,7 +78,7 @@
 }
 
 impl RateLimiter {
-    /// The limiter of a leader that leads since `now_ms`.
+    /// Creates the limiter of a leader that leads since `now_ms`.
     pub fn new(now_ms: u64) -> Self {
         Self {
             starts_ms: now_ms + COUNT_WINDOW_MS + PERMIT_VALIDITY_MS,
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Lets one request go to a replica that takes one in `gap_us`, or returns for how long an
-    /// entry waits until it asks again, in milliseconds.
+    /// Grants a permit for one request to a replica that accepts one request per `gap_us`, or
+    /// returns the time until the entry is to request it again, in milliseconds.
     pub fn try_acquire(
         &mut self,
         now_ms: u64,
@@ -101,20 +101,20 @@
         self.forget_idle(now_us);
         let bucket = self.buckets.entry(replica.clone()).or_default();
         bucket.set_gap(now_us, gap_us);
-        // As if requests had gone evenly until now, but for the few that may go at once.
+        // Due times in the past expire, except for the burst.
         let burst_us = gap_us.saturating_mul(BURST - 1);
         let due_us = bucket.due_us.max(now_us.saturating_sub(burst_us));
         if due_us <= now_us {
             bucket.due_us = due_us.saturating_add(gap_us);
             return Ok(());
         }
-        // Each refused entry is told a time of its own: if all came back for the next request,
-        // all but one would have asked in vain.
+        // Each refused entry gets a retry time of its own. If all returned for the next due
+        // request, all but one would request in vain.
         let wait_us = bucket.next_offer_us(now_us, due_us) - now_us;
         Err(wait_us.div_ceil(1_000).min(MAX_WAIT_MS))
     }
 
-    /// Empties a replica's bucket: what was saved up under another rate does not count.
+    /// Removes the tokens of a replica: those accumulated under another rate do not count.
     pub fn clear_tokens(&mut self, now_ms: u64, replica: &ReplicaLife, gap_us: u64) {
         let bucket = self.buckets.entry(replica.clone()).or_default();
         let next_us = now_ms.saturating_mul(1_000).saturating_add(gap_us);
--- a/src/placement/replica_rates.rs
+++ b/src/placement/replica_rates.rs
@@ -1,8 +1,7 @@
-//! What replicas get that take few requests, over all entries together: those that warm up, by
-//! the rate of their service, and those that name a limit. Where both hold, the lower rate
-//! counts.
+//! Rate limits of replicas over all entries: the warm-up rate of their service, and the rates that
+//! replicas advertise. If both apply, the lower rate counts.
 //!
-//! One leader's state; see [`crate::placement::rate_limit`] and
+//! This is the state of one leader; see [`crate::placement::rate_limit`] and
 //! [`crate::placement::named_limits`].
 
 use serde::{Deserialize, Serialize};
@@ -16,47 +15,48 @@
 use crate::placement::rate_limit::RateLimiter;
 use crate::table::configuration::WarmupSpec;
 
-/// When an entry asks again that has not heard of this leader, in milliseconds.
+/// Time after which an entry that has not synchronized its limits with this leader requests a
+/// permit again, in milliseconds.
 const SYNC_RETRY_MS: u64 = 100;
-/// Time between two looks at what can be forgotten, in milliseconds.
+/// Time between two prunings, in milliseconds.
 const PRUNE_INTERVAL_MS: u64 = 1_000;
 
-/// An entry asks to send one request to a replica.
+/// Request of an entry for a permit to send one request to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
     /// The replica.
     pub replica: ReplicaLife,
-    /// Its service.
+    /// Service of the replica.
     pub service: ServiceName,
-    /// It warms up, as far as the entry knows.
+    /// The replica is warming up, as far as the entry knows.
     pub is_cold: bool,
-    /// It names a limit, as far as the entry knows.
+    /// The replica advertises a rate limit, as far as the entry knows.
     pub is_limited: bool,
-    /// The last answer with a limit that the entry heard.
+    /// The last response with a limit that the entry received.
     pub observed: Option<LimitObservation>,
-    /// The changes of limits that the entry has.
+    /// Changes of limits that the entry has.
     pub cursor: LimitCursor,
 }
 
-/// What the leader says to it.
+/// Reply to a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitReply {
-    /// One request may go there.
+    /// One request may be sent.
     Granted(PermitStamp),
-    /// None may for now.
+    /// No request may be sent now.
     Refused(PermitRefusal),
 }
 
-/// Why a permit is not given, and for how long.
+/// Refusal of a permit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRefusal {
-    /// Time until the entry asks again, in milliseconds.
+    /// Time until the entry is to request a permit again, in milliseconds.
     pub wait_ms: u64,
-    /// The limit that the replica names, as the leader knows it.
+    /// The rate that the replica advertises, as far as the leader knows.
     pub rate: Option<AdvertisedRate>,
 }
 
-/// Rates and limits as one leader knows them.
+/// Rate limits as one leader knows them.
 #[derive(Debug)]
 pub struct ReplicaRateLimits {
     limits: AdvertisedLimits,
@@ -65,7 +65,7 @@
 }
 
 impl ReplicaRateLimits {
-    /// Those of a leader of this term, who leads since `now_ms`.
+    /// Creates the rate limits of a leader of this term that leads since `now_ms`.
     pub fn new(term: Term, now_ms: u64) -> Self {
         Self {
             limits: AdvertisedLimits::new(term, now_ms),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Answers a request for a permit; `warm_up` is what the replica's service names.
+    /// Handles a permit request; `warm_up` is the warm-up setting of the replica's service.
     pub fn permit(
         &mut self,
         now_ms: u64,
@@ -84,7 +84,8 @@
         if let Some(observation) = &request.observed {
             self.observe(now_ms, observation);
         }
-        // The entry tells this leader first what it knows by the one before.
+        // The entry must first report to this leader the limits that it knows from the previous
+        // one.
         if request.is_limited && !self.limits.is_current(request.cursor) {
             return PermitReply::Refused(PermitRefusal {
                 wait_ms: SYNC_RETRY_MS,
@@ -96,7 +97,7 @@
         let rate = self.limits.rate(&request.replica);
         let taken = match cold_us.max(rate.map(|rate| rate.gap_us)) {
             Some(gap_us) => self.limiter.try_acquire(now_ms, &request.replica, gap_us),
-            // The entry has not heard yet that it may send freely.
+            // No limit applies any more, which the entry does not know yet.
             None => Ok(()),
         };
         match taken {
@@ -105,35 +106,35 @@
         }
     }
 
-    /// Takes what an entry heard of limits. Returns what changed for it.
+    /// Records the limits that an entry has observed. Returns the changes for the entry.
     pub fn report(&mut self, now_ms: u64, report: &LimitReport) -> LimitPage {
         for observation in &report.observed {
             self.observe(now_ms, observation);
         }
         for end in &report.ended {
             if self.limits.observe_end(now_ms, end) {
-                tracing::info!(replica = %end.replica, "limit of a replica ended");
+                tracing::info!(replica = %end.replica, "rate limit of a replica ended");
             }
         }
         self.limits.report(now_ms, report)
     }
 
-    /// What changed since an entry's last page.
+    /// Returns the changes since an entry's cursor.
     pub fn page(&self, now_ms: u64, cursor: LimitCursor) -> LimitPage {
         self.limits.page(now_ms, cursor)
     }
 
-    /// The last change of limits.
+    /// Returns the revision of the last change of limits.
     pub fn revision(&self) -> u64 {
         self.limits.revision()
     }
 
-    /// Replicas that name a limit.
+    /// Returns the replicas that advertise a rate limit.
     pub fn limited(&self) -> impl Iterator<Item = &ReplicaLife> {
         self.limits.limited()
     }
 
-    /// Forgets what is over, once in a while.
+    /// Removes state that is no longer needed, at most once per [`PRUNE_INTERVAL_MS`].
     pub fn prune(&mut self, now_ms: u64, state_of: impl Fn(&ReplicaLife) -> IncarnationState) {
         if now_ms >= self.prune_due_ms {
             self.prune_due_ms = now_ms + PRUNE_INTERVAL_MS;
@@ -148,6 +149,6 @@
         self.limiter
             .clear_tokens(now_ms, &observation.replica, observation.rate.gap_us);
         let (replica, per_s) = (&observation.replica, observation.rate.per_s());
-        tracing::info!(%replica, per_s, age_ms = observation.age_ms, "replica names a limit");
+        tracing::info!(%replica, per_s, age_ms = observation.age_ms, "replica advertises a rate limit");
     }
 }
--- a/src/placement/report.rs
+++ b/src/placement/report.rs
@@ -1,4 +1,4 @@
-//! What an entry tells the leader of demand, and whether it can be true.
+//! Demand reports of entries and their validation.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,43 +9,43 @@
 use crate::placement::named_limits::{LimitCursor, LimitPage};
 use crate::placement::order::AdapterPlacement;
 
-/// What an entry asks of the leader and tells it.
+/// Periodic report of an entry to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EntryReport {
-    /// The entry's host.
+    /// Host of the entry.
     pub host: String,
-    /// Requests of each model under way, waiting or refused lately.
+    /// Number of requests of each model that are running, waiting or were refused lately.
     pub busy: BTreeMap<ModelName, f64>,
-    /// Adapters in use by replica.
+    /// Adapters in use, by replica.
     pub adapters: BTreeSet<AdapterPlacement>,
-    /// The changes of replicas' limits that it has.
+    /// Changes of rate limits that the entry has.
     pub limits: LimitCursor,
 }
 
-/// What the leader says to a report.
+/// Reply to a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportReply {
-    /// How many entries report.
+    /// Number of entries that report.
     pub entries: u32,
-    /// Changes of replicas' limits.
+    /// Changes of rate limits.
     pub limits: LimitPage,
 }
 
-/// A figure of an entry's report that cannot be true.
+/// An invalid value in an entry's report.
 #[derive(Clone, Debug, PartialEq, Snafu)]
-#[snafu(display("field busy.{}: {value}", model.as_str()))]
+#[snafu(display("field busy.{}: {value} is not a finite number of at least 0", model.as_str()))]
 pub struct ReportError {
-    /// The model that it was told of.
+    /// The model that the value is reported for.
     pub model: ModelName,
-    /// What was told.
+    /// The reported value.
     pub value: f64,
 }
 
 impl EntryReport {
-    /// Whether the figures can be true: one that is not would spoil the sum of all entries.
+    /// Checks that all values are valid: an invalid one would corrupt the sum over all entries.
     pub fn check(&self) -> Result<(), ReportError> {
-        let sound = |value: f64| value.is_finite() && value >= 0.0;
-        match self.busy.iter().find(|(_, value)| !sound(**value)) {
+        let is_valid = |value: f64| value.is_finite() && value >= 0.0;
+        match self.busy.iter().find(|(_, value)| !is_valid(**value)) {
             Some((model, value)) => Err(ReportError {
                 model: model.clone(),
                 value: *value,
--- a/src/placement/suspect_leases.rs
+++ b/src/placement/suspect_leases.rs
@@ -1,12 +1,12 @@
-//! Turns of suspect contents: the leader lets one attempt of each run at a time, over all
-//! entries, so that its next crash is known before the next attempt leaves.
+//! Leases for attempts of suspect contents. The leader lets one attempt of each content run at a
+//! time, over all entries, so that a crash during it is known before the next attempt is sent.
 //!
-//! A crash makes suspects of all that ran at the replica, up to a batch of its engine, and
-//! one of them did it. Suspects are kept apart so that they do not share the next crash, too:
-//! those with one crash where another replica is free of suspects, those with more always.
-//! So who ran beside is not drawn along to the third.
+//! A crash makes all contents that ran at the replica suspects, up to a batch of its engine, while
+//! only one of them caused it. Suspects are kept apart so that they do not share the next crash as
+//! well: those with one crash while another replica is free of suspects, those with more crashes
+//! always. A content that merely ran at the same replica thus does not reach the third crash.
 //!
-//! Pure, and soft state: a new leader knows of no turns, and one attempt more may run then.
+//! Pure code with soft state: a new leader knows no leases, so one further attempt may run then.
 
 use std::collections::BTreeMap;
 
@@ -15,45 +15,45 @@
 use crate::consensus::crashes::ContentStanding;
 use crate::ids::{ContentDigest, ReplicaId};
 
-/// Longest turn, in milliseconds: an entry that ended tells of no end.
+/// Longest lease, in milliseconds: an entry that has ended does not release its leases.
 const MAX_SUSPECT_LEASE_MS: u64 = 60_000;
-/// Crashes from which a suspect shares a replica with no other suspect.
+/// Number of crashes from which a suspect does not share a replica with another suspect.
 const EXCLUSIVE_CRASHES: u8 = 2;
 
-/// An entry asks for the turn of one attempt at a replica.
+/// Request of an entry for the lease of one attempt at a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectLeaseRequest {
-    /// What it asks.
+    /// Content of the attempt.
     pub content: ContentDigest,
-    /// Where it is to run.
+    /// Replica that the attempt is to run at.
     pub replica: ReplicaId,
-    /// Drawn for this ask: tells the turn apart from others that were asked for.
+    /// Random number of this request, which distinguishes its lease from others of the content.
     pub ticket: u64,
-    /// How long it may run, in milliseconds.
+    /// Time for which the attempt may run, in milliseconds.
     pub duration_ms: u64,
     /// No replica is free of suspects, as far as the entry knows.
     pub no_free_replica: bool,
 }
 
-/// An attempt has ended, and what it has done is known; or it never left.
+/// Release of a lease: the attempt has ended and its effect is known, or it was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectLeaseRelease {
-    /// What it asked.
+    /// Content of the attempt.
     pub content: ContentDigest,
-    /// The attempt.
+    /// Ticket of the lease request.
     pub ticket: u64,
 }
 
-/// What the leader says to an ask.
+/// Reply to a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SuspectLeaseReply {
-    /// It may run there now.
+    /// The attempt may run at the replica now.
     Granted,
-    /// Another attempt of the same content runs.
+    /// Another attempt of the same content is running.
     Wait,
-    /// Another suspect runs there: another replica is better.
+    /// Another suspect runs at the replica; another replica should be used.
     Elsewhere,
-    /// It is sent no more.
+    /// The content is quarantined and must not be sent.
     Barred,
 }
 
@@ -65,14 +65,14 @@
     expires_ms: u64,
 }
 
-/// The turns that are taken.
+/// The active leases.
 #[derive(Debug, Default)]
 pub struct SuspectLeases {
     active: BTreeMap<ContentDigest, ActiveLease>,
 }
 
 impl SuspectLeases {
-    /// Answers an ask; `standing` is what the log says of its content.
+    /// Handles a lease request; `standing` is the standing of its content in the log.
     pub fn request(
         &mut self,
         now_ms: u64,
@@ -81,7 +81,7 @@
     ) -> SuspectLeaseReply {
         self.active.retain(|_, lease| lease.expires_ms > now_ms);
         let crashes = match standing {
-            // Its entry has not heard yet that it was cleared.
+            // The entry has not received the update yet that cleared the content.
             ContentStanding::Harmless => return SuspectLeaseReply::Granted,
             ContentStanding::Barred => return SuspectLeaseReply::Barred,
             ContentStanding::Suspect(crashes) => crashes,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Ends a turn.
+    /// Releases a lease.
     pub fn release(&mut self, release: SuspectLeaseRelease) {
         let active = self.active.get(&release.content);
         if active.is_some_and(|lease| lease.ticket == release.ticket) {
--- a/src/placement/target_controller.rs
+++ b/src/placement/target_controller.rs
@@ -329,10 +329,10 @@
     }
 
     fn leaving_members(&self, state: &SiteState) -> Vec<Command> {
-        let named = state.members.iter();
-        let named =
-            named.filter(|(host, member)| !member.leaving && self.platform_leaving.contains(*host));
-        named
+        let members = state.members.iter();
+        let members = members
+            .filter(|(host, member)| !member.leaving && self.platform_leaving.contains(*host));
+        members
             .map(|(host, member)| Command::Leave(host.clone(), member.incarnation))
             .collect()
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -568,7 +568,10 @@
     assert_eq!(busy("a", 1.0).check(), Ok(()));
     for level in [f64::NAN, f64::INFINITY, -1.0] {
         let error = busy("a", level).check().unwrap_err();
-        assert_eq!(error.to_string(), format!("field busy.a: {level}"));
+        assert_eq!(
+            error.to_string(),
+            format!("field busy.a: {level} is not a finite number of at least 0")
+        );
     }
 }
 
