--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -17,13 +17,13 @@
 use crate::control::journal::{DiskJournal, JournalError, WriteCheck};
 use crate::control::outbox::PeerOutbox;
 use crate::ids::{HostName, NodeId, Position, ReplicaIncarnation, TargetName, Term};
-use crate::placement::duties::{AgentBeat, EntryBeat, LeaderDuties};
-use crate::placement::fleet::FleetDuties;
-use crate::placement::named_limits::{LifeState, LimitPage, LimitReport};
-use crate::placement::order::{AdapterPlace, EngineOrder, OrderOutcome};
-use crate::placement::replica_rates::{PermitReply, PermitRequest, ReplicaRates};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat, TargetController};
+use crate::placement::fleet::FleetController;
+use crate::placement::named_limits::{IncarnationState, LimitPage, LimitReport};
+use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
+use crate::placement::replica_rates::{PermitReply, PermitRequest, ReplicaRateLimits};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::turns::{TurnAnswer, TurnAsk, TurnDesk};
+use crate::placement::turns::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeases};
 use crate::process::settings::ControlSettings;
 use crate::process::wire::{
     self, AccountStatus, AgentOrders, ControlRefusal, ControlStatus, EntryOrders, LimitStatus,
@@ -94,11 +94,11 @@
     settings: ControlSettings,
     replica: LogReplica,
     journal: DiskJournal,
-    duties: Option<LeaderDuties>,
-    fleet: Option<FleetDuties>,
+    duties: Option<TargetController>,
+    fleet: Option<FleetController>,
     quotas: Option<QuotaGrantor>,
-    turns: Option<TurnDesk>,
-    rates: Option<ReplicaRates>,
+    turns: Option<SuspectLeases>,
+    rates: Option<ReplicaRateLimits>,
     /// The newest configuration that a leader confirmed, and when this host asked.
     confirmed: Option<(u64, u64)>,
     orders: Option<mpsc::UnboundedSender<EngineOrder>>,
@@ -251,7 +251,7 @@
             }
             ControlEvent::Platform(leaving) => {
                 if let Some(duties) = &mut self.duties {
-                    duties.on_platform(leaving);
+                    duties.on_leaving_hosts(leaving);
                 }
             }
             ControlEvent::Notice {
@@ -284,13 +284,13 @@
                 let _ = answer.send(granted);
             }
             ControlEvent::Heard(ids, answer) => {
-                self.tell_fleet(answer, |fleet| fleet.on_heard(now_ms, &ids));
+                self.tell_fleet(answer, |fleet| fleet.on_heartbeats(now_ms, &ids));
             }
             ControlEvent::Report(report, answer) => {
                 let _ = answer.send(self.on_report(now_ms, report));
             }
             ControlEvent::Crowd(report, answer) => {
-                self.tell_fleet(answer, |fleet| fleet.on_crowd(now_ms, report));
+                self.tell_fleet(answer, |fleet| fleet.on_queue_report(now_ms, report));
             }
             ControlEvent::Wish(wish, answer) => {
                 let _ = answer.send(self.on_wish(now_ms, &wish));
@@ -299,7 +299,7 @@
                 let _ = answer.send(self.on_turn(now_ms, &ask));
             }
             ControlEvent::TurnEnded(end, answer) => {
-                let ended = self.turns.as_mut().map(|turns| turns.end(end));
+                let ended = self.turns.as_mut().map(|turns| turns.release(end));
                 let _ = answer.send(ended.ok_or_else(|| self.not_leader()));
             }
             ControlEvent::Permit(request, answer) => {
@@ -405,7 +405,7 @@
         }
     }
 
-    fn tell_fleet<T>(&mut self, answer: Answer<T>, tell: impl FnOnce(&mut FleetDuties) -> T) {
+    fn tell_fleet<T>(&mut self, answer: Answer<T>, tell: impl FnOnce(&mut FleetController) -> T) {
         let told = match &mut self.fleet {
             Some(fleet) => Ok(tell(fleet)),
             None => Err(self.not_leader()),
@@ -444,23 +444,27 @@
         Ok(make(quotas, book))
     }
 
-    fn on_wish(&mut self, now_ms: u64, wish: &AdapterPlace) -> Result<bool, ControlRefusal> {
+    fn on_wish(&mut self, now_ms: u64, wish: &AdapterPlacement) -> Result<bool, ControlRefusal> {
         let (Some(state), Some(fleet)) = (self.replica.newest(now_ms), &mut self.fleet) else {
             return Err(self.not_leader());
         };
-        let (soon, order) = fleet.on_wish(state, now_ms, wish);
+        let (soon, order) = fleet.on_adapter_request(state, now_ms, wish);
         if let Some(order) = order {
             self.send_order(now_ms, order);
         }
         Ok(soon)
     }
 
-    fn on_turn(&mut self, now_ms: u64, ask: &TurnAsk) -> Result<TurnAnswer, ControlRefusal> {
+    fn on_turn(
+        &mut self,
+        now_ms: u64,
+        ask: &SuspectLeaseRequest,
+    ) -> Result<SuspectLeaseReply, ControlRefusal> {
         let (Some(state), Some(turns)) = (self.replica.newest(now_ms), &mut self.turns) else {
             return Err(self.not_leader());
         };
         let standing = ContentStanding::of(state.crashes.count(&ask.content));
-        let answer = turns.ask(now_ms, standing, ask);
+        let answer = turns.request(now_ms, standing, ask);
         let (content, replica) = (ask.content, &ask.replica);
         tracing::debug!(%content, %replica, ?standing, ?answer, "turn of a suspect content");
         Ok(answer)
@@ -487,7 +491,7 @@
     fn use_rates<T>(
         &mut self,
         now_ms: u64,
-        make: impl FnOnce(&mut ReplicaRates, &SiteState) -> T,
+        make: impl FnOnce(&mut ReplicaRateLimits, &SiteState) -> T,
     ) -> Result<T, ControlRefusal> {
         match (self.replica.newest(now_ms), &mut self.rates) {
             (Some(state), Some(rates)) => Ok(make(rates, state)),
@@ -565,7 +569,7 @@
             return;
         };
         if let Some(rates) = &self.rates {
-            fleet.follow_limits(rates.revision(), rates.limited());
+            fleet.update_limited(rates.revision(), rates.limited());
         }
         let actions = fleet.round(state, now_ms);
         for command in actions.commands {
@@ -577,15 +581,15 @@
         }
     }
 
-    fn on_agent(&mut self, now_ms: u64, beat: &AgentBeat, answer: Answer<AgentOrders>) {
+    fn on_agent(&mut self, now_ms: u64, beat: &AgentHeartbeat, answer: Answer<AgentOrders>) {
         let (Some(state), Some(duties)) = (self.replica.newest(now_ms), &mut self.duties) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let commands = duties.on_agent(state, now_ms, beat);
+        let commands = duties.on_agent_heartbeat(state, now_ms, beat);
         let target = TargetName(beat.host.0.clone());
         let member = state.members.get(&beat.host);
-        let current = member.is_some_and(|member| member.incarnation == beat.life);
+        let current = member.is_some_and(|member| member.incarnation == beat.incarnation);
         let orders = AgentOrders {
             plan: current.then(|| duties.target_plan(state, &target, beat)),
             position: state.changed(),
@@ -596,16 +600,16 @@
         }
     }
 
-    fn on_entry(&mut self, now_ms: u64, beat: &EntryBeat, answer: Answer<EntryOrders>) {
+    fn on_entry(&mut self, now_ms: u64, beat: &EntryHeartbeat, answer: Answer<EntryOrders>) {
         let (Some(state), Some(duties)) = (self.replica.newest(now_ms), &mut self.duties) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let (grants, commands) = duties.on_entry(state, now_ms, beat);
+        let (grants, commands) = duties.on_entry_heartbeat(state, now_ms, beat);
         let member = state.members.get(&beat.host);
         let orders = EntryOrders {
             grants,
-            rejoin: member.is_none_or(|member| member.incarnation != beat.life),
+            rejoin: member.is_none_or(|member| member.incarnation != beat.incarnation),
             position: state.changed(),
         };
         let _ = answer.send(Ok(orders));
@@ -690,12 +694,12 @@
             true => {
                 let policy = self.settings.duties.policy();
                 let state = self.replica.state();
-                self.duties = Some(LeaderDuties::new(policy, state, term, now_ms));
+                self.duties = Some(TargetController::new(policy, state, term, now_ms));
                 let holder = self.settings.common.host.clone();
-                let fleet = FleetDuties::new(self.settings.fleet, holder, term, now_ms);
+                let fleet = FleetController::new(self.settings.fleet, holder, term, now_ms);
                 self.fleet = Some(fleet);
-                self.turns = Some(TurnDesk::default());
-                self.rates = Some(ReplicaRates::new(term, now_ms));
+                self.turns = Some(SuspectLeases::default());
+                self.rates = Some(ReplicaRateLimits::new(term, now_ms));
                 self.quotas = Some(match term {
                     FIRST_TERM => QuotaGrantor::of_first_leader(now_ms),
                     _ => QuotaGrantor::new(now_ms),
@@ -862,11 +866,11 @@
 
 /// An entry's report, without figures where one cannot be true: the entry still counts
 /// among those that report.
-fn life_state(state: &SiteState, life: &ReplicaIncarnation) -> LifeState {
+fn life_state(state: &SiteState, life: &ReplicaIncarnation) -> IncarnationState {
     match state.replicas.records().get(&life.id) {
-        Some(record) if record.started_ms > life.started_ms => LifeState::Over,
-        Some(_) => LifeState::Known,
-        None => LifeState::Unknown,
+        Some(record) if record.started_ms > life.started_ms => IncarnationState::Replaced,
+        Some(_) => IncarnationState::Current,
+        None => IncarnationState::Unknown,
     }
 }
 
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -15,7 +15,7 @@
 use crate::entry::caller;
 use crate::entry::flight_steps::CallerRequest;
 use crate::ids::{AttemptId, Incarnation, ModelName, Position, RowId};
-use crate::placement::duties::EntryBeat;
+use crate::placement::target_controller::EntryHeartbeat;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::member::{self, SiteFollower};
 use crate::process::metrics::{MetricBook, MetricKey};
@@ -238,7 +238,7 @@
     }
 }
 
-fn make_beat(entry: &EntryShared, stopped: bool) -> (u64, EntryBeat) {
+fn make_beat(entry: &EntryShared, stopped: bool) -> (u64, EntryHeartbeat) {
     let limits = {
         let view = entry.follower.view();
         let rows = view.rows.iter();
@@ -252,9 +252,9 @@
     let (asked, claims) = state
         .shares
         .next_request(now_ms, |row| limits.get(row).copied());
-    let beat = EntryBeat {
+    let beat = EntryHeartbeat {
         host: entry.settings.common.host.clone(),
-        life: entry.life,
+        incarnation: entry.life,
         position,
         number: asked,
         limits: claims,
@@ -264,7 +264,10 @@
     (asked, beat)
 }
 
-async fn send_beat(entry: &EntryShared, beat: &EntryBeat) -> Result<EntryOrders, peers::PeerError> {
+async fn send_beat(
+    entry: &EntryShared,
+    beat: &EntryHeartbeat,
+) -> Result<EntryOrders, peers::PeerError> {
     entry
         .link
         .decide("entry_beat", BEAT_TIME, |client, context| {
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -7,7 +7,7 @@
 use crate::forward::daemon::EntryCore;
 use crate::ids::ReplicaIncarnation;
 use crate::placement::named_limits::{LimitPage, PermitStamp};
-use crate::placement::named_rate::NamedRate;
+use crate::placement::named_rate::AdvertisedRate;
 
 /// Least time between two reports.
 const PAUSE: Duration = Duration::from_millis(50);
@@ -64,7 +64,7 @@
     pub fn hear_limit(
         &self,
         replica: &ReplicaIncarnation,
-        rate: NamedRate,
+        rate: AdvertisedRate,
         permit: Option<PermitStamp>,
     ) {
         let now_ms = clock::monotonic_ms();
--- a/src/forward/request/crashes.rs
+++ b/src/forward/request/crashes.rs
@@ -11,7 +11,7 @@
 use crate::forward::turns::Clearance;
 use crate::forward::upstream::ExchangeError;
 use crate::ids::{ContentDigest, ReplicaId};
-use crate::placement::turns::TurnAsk;
+use crate::placement::suspect_leases::SuspectLeaseRequest;
 use crate::routing::content::{self, ContentParts};
 
 use super::{Flight, Tried, asked_host};
@@ -49,13 +49,13 @@
             return Clearance::Go(None);
         }
         let content = self.content();
-        let ask = TurnAsk {
+        let ask = SuspectLeaseRequest {
             content,
             replica: replica.clone(),
             // Another one each time: the end of a turn that it had may still be on its way.
             ticket: rand::rng().random(),
-            lasts_ms: self.left().as_millis() as u64,
-            insists: self.shared.contains(replica),
+            duration_ms: self.left().as_millis() as u64,
+            no_free_replica: self.shared.contains(replica),
         };
         let clearance = self.core.clear_turn(ask).await;
         if !matches!(clearance, Clearance::Go(None)) {
--- a/src/placement/demand.rs
+++ b/src/placement/demand.rs
@@ -1,58 +1,59 @@
-//! Demand of each model, as the leader estimates it from beats.
+//! Demand for each model, as the leader estimates it from heartbeats and reports.
 
 use std::collections::BTreeMap;
 
 use crate::ids::ModelName;
 
-/// Demand of each model in concurrent requests: rises at once, falls slowly.
+/// Smoothed demand for each model, in concurrent requests. Rises quickly and decays slowly.
 #[derive(Clone, Debug)]
-pub struct DemandBook {
+pub struct DemandTracker {
     levels: BTreeMap<ModelName, f64>,
-    fall: f64,
+    decay: f64,
 }
 
-impl Default for DemandBook {
+impl Default for DemandTracker {
     fn default() -> Self {
-        Self::falling(FALL)
+        Self::with_decay(DEFAULT_DECAY)
     }
 }
 
-/// Part of the level that remains after each quieter sample, if nothing else is said.
-const FALL: f64 = 0.97;
-/// Part of the way that a higher sample takes the level up.
-const RISE: f64 = 0.5;
+/// Default share of the level that remains after a sample below it.
+const DEFAULT_DECAY: f64 = 0.97;
+/// Share of the distance to a higher sample by which the level rises.
+const RISE_FACTOR: f64 = 0.5;
 
-impl DemandBook {
-    /// No demand yet; `fall` of a level remains after each quieter sample.
-    pub fn falling(fall: f64) -> Self {
+impl DemandTracker {
+    /// Creates a tracker without demand. `decay` is the share of a level that remains after a
+    /// sample below it.
+    pub fn with_decay(decay: f64) -> Self {
         Self {
             levels: BTreeMap::new(),
-            fall,
+            decay,
         }
     }
 
-    /// Takes a sample of all models' concurrent requests.
-    pub fn sample(&mut self, now: &BTreeMap<ModelName, f64>) {
+    /// Updates the levels from a sample of the concurrent requests of all models.
+    pub fn sample(&mut self, samples: &BTreeMap<ModelName, f64>) {
         for (model, level) in &mut self.levels {
-            let sample = now.get(model).copied().unwrap_or(0.0);
+            let sample = samples.get(model).copied().unwrap_or(0.0);
             *level = match sample > *level {
-                true => *level + (sample - *level) * RISE,
-                false => (*level * self.fall).max(sample),
+                true => *level + (sample - *level) * RISE_FACTOR,
+                false => (*level * self.decay).max(sample),
             };
         }
-        for (model, sample) in now {
-            let level = sample * RISE;
+        for (model, sample) in samples {
+            let level = sample * RISE_FACTOR;
             self.levels.entry(model.clone()).or_insert(level);
         }
         self.levels.retain(|_, level| *level > 0.01);
     }
 
-    /// Whether there is no demand for any model.
+    /// Returns whether no model has demand.
     pub fn is_empty(&self) -> bool {
         self.levels.is_empty()
     }
 
-    /// The level of one model.
+    /// Returns the demand for one model.
     pub fn level(&self, model: &ModelName) -> f64 {
         self.levels.get(model).copied().unwrap_or(0.0)
     }
--- /dev/null
+++ b/src/placement/fleet/preload_adapters.rs
@@ -0,0 +1,99 @@
+//! The leader's orders to load adapters that no replica holds; see [`crate::placement::preload`].
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::consensus::directory::ReplicaRecord;
+use crate::consensus::state::{Command, SiteState};
+use crate::ids::{ModelName, ServiceName};
+use crate::placement::preload::{self, MissingAdapters, PreloadReplica};
+use crate::table::configuration::EngineSpec;
+
+use super::{FleetController, open_records};
+
+/// Number of pending adapter loads of all replicas at which no adapter is preloaded: adapter
+/// requests come first.
+const MAX_LOADS_WITH_PRELOADS: usize = 32;
+
+impl FleetController {
+    /// Starts to load adapters that no replica holds at a home of their model, before a request
+    /// needs them.
+    pub(super) fn preload_adapters(
+        &mut self,
+        state: &SiteState,
+        service: &ServiceName,
+        engine: &EngineSpec,
+        now_ms: u64,
+    ) {
+        let pending = self.adapters.pending_loads().count();
+        let limit = MAX_LOADS_WITH_PRELOADS.saturating_sub(pending);
+        if limit == 0 || engine.adapter_slots == 0 {
+            return;
+        }
+        let records: Vec<&ReplicaRecord> = open_records(state, service).collect();
+        let missing = self.missing_adapters(engine, &records);
+        if missing.is_empty() {
+            return;
+        }
+        let replicas = records
+            .into_iter()
+            .filter_map(|record| self.preload_replica(state, record, engine, now_ms));
+        let mut replicas: Vec<PreloadReplica> = replicas.collect();
+        for placement in preload::plan_preloads(&missing, &mut replicas, limit) {
+            self.adapters.start_load(placement.clone(), now_ms);
+            let (id, model) = (placement.replica, placement.model);
+            let command = Command::ReplicaAdapterOrdered(id, model, placement.adapter);
+            self.queued_commands.push(command);
+        }
+    }
+
+    /// Returns the adapters that none of these replicas holds and for which no load is pending,
+    /// with the models of highest demand first.
+    fn missing_adapters(
+        &self,
+        engine: &EngineSpec,
+        records: &[&ReplicaRecord],
+    ) -> Vec<MissingAdapters> {
+        let mut loaded_or_loading: BTreeMap<&ModelName, BTreeSet<&str>> = BTreeMap::new();
+        for placement in self.adapters.pending_loads() {
+            let names = loaded_or_loading.entry(&placement.model).or_default();
+            names.insert(&placement.adapter);
+        }
+        for (model, held) in records.iter().flat_map(|record| &record.models) {
+            let names = loaded_or_loading.entry(model).or_default();
+            names.extend(held.iter().map(String::as_str));
+        }
+        let nothing = BTreeSet::new();
+        let missing = engine.models.iter().filter_map(|(model, spec)| {
+            let loaded_or_loading = loaded_or_loading.get(model).unwrap_or(&nothing);
+            MissingAdapters::of(model, spec.adapters, loaded_or_loading)
+        });
+        let mut missing: Vec<MissingAdapters> = missing.collect();
+        let level = |missing: &MissingAdapters| self.demand.level(&missing.model);
+        missing.sort_by(|a, b| level(b).total_cmp(&level(a)));
+        missing
+    }
+
+    /// Returns the capacity of a replica for preloading; `None` for a replica that is warming up or
+    /// accepts no adapter orders.
+    fn preload_replica(
+        &self,
+        state: &SiteState,
+        record: &ReplicaRecord,
+        engine: &EngineSpec,
+        now_ms: u64,
+    ) -> Option<PreloadReplica> {
+        if record.cold_ms > 0 || !self.accepts_adapter_orders(state, record) {
+            return None;
+        }
+        let slots = engine.adapter_slots as usize;
+        let capacity = self
+            .adapters
+            .capacity(record, slots, &state.replicas, now_ms);
+        Some(PreloadReplica {
+            id: record.id.clone(),
+            models: record.models.keys().cloned().collect(),
+            free_slots: capacity.free_slots,
+            loads_allowed: capacity.loads_allowed,
+        })
+    }
+}
--- a/src/placement/named_limits.rs
+++ b/src/placement/named_limits.rs
@@ -1,159 +1,163 @@
-//! Which replicas name a limit, by what all entries heard of their answers: kept by the leader,
-//! and told to all entries as changes since the last they know.
+//! Rate limits that replicas advertise, as observed in responses by all entries. The leader keeps
+//! them and sends each entry the changes since the last ones it has.
 //!
-//! A limit begins once an answer that names one has come. It ends by an answer without one to a
-//! request that was permitted after the limit had begun: as a replica says so in all its
-//! answers, no older answer can be without it. Of two answers whose order cannot be known, the
-//! one with the limit counts.
+//! A limit begins with the first response that advertises it. It ends with a response without a
+//! limit to a request that was permitted after the limit had begun. A replica advertises its limit
+//! in all responses, so no older response can lack it. If the order of two responses is unknown,
+//! the one with the limit counts.
 //!
-//! Pure, and soft state: entries tell a new leader what they know.
+//! Pure code with soft state: entries report the limits that they know to a new leader.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{ReplicaIncarnation, Term};
-use crate::placement::named_rate::NamedRate;
+use crate::placement::named_rate::AdvertisedRate;
 
-/// How long an ended limit is remembered, and one whose replica the log does not know, in
-/// milliseconds. What was heard longer ago is not believed: its end may be forgotten.
-const KEPT_MS: u64 = 600_000;
-/// How long a new leader gathers what entries know, in milliseconds: two regular reports.
-const GATHER_MS: u64 = 1_250;
+/// Time for which an ended limit is kept, and a limit of a replica that the log does not know, in
+/// milliseconds. Older observations are ignored, as their end may have been removed.
+const RETENTION_MS: u64 = 600_000;
+/// Time for which a new leader gathers the limits that entries know, in milliseconds: two regular
+/// reports.
+const STARTUP_GATHER_MS: u64 = 1_250;
 
-/// Proof of when a request was let through: a moment of a leader's clock.
+/// Proof of when a request was permitted, by the clock of one leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitStamp {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: Term,
-    /// By its steady clock, in milliseconds.
+    /// Time by the leader's monotonic clock, in milliseconds.
     pub granted_ms: u64,
 }
 
-/// An answer that names a limit.
+/// Observation of a response that advertises a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitNotice {
+pub struct LimitObservation {
     /// The replica.
     pub replica: ReplicaIncarnation,
-    /// What it takes.
-    pub rate: NamedRate,
-    /// Time since the answer came, in milliseconds.
+    /// The advertised rate.
+    pub rate: AdvertisedRate,
+    /// Time since the response was received, in milliseconds.
     pub age_ms: u64,
-    /// Of the request that was answered, where it needed one.
+    /// Permit of the request, if it needed one.
     pub permit: Option<PermitStamp>,
 }
 
-/// An answer that names no limit any more.
+/// Observation of a response that no longer advertises a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitEnd {
     /// The replica.
     pub replica: ReplicaIncarnation,
-    /// Of the request that was answered.
+    /// Permit of the request.
     pub permit: PermitStamp,
 }
 
-/// Up to where an entry knows what a leader knows.
+/// Position in the changes of one leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LimitCursor {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: Term,
-    /// The last change.
+    /// Revision of the last change.
     pub revision: u64,
 }
 
-/// What an entry heard, and what it knows.
+/// Observations of an entry, and the changes that it has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// Answers with a limit.
-    pub named: Vec<LimitNotice>,
-    /// Answers without one any more.
+    /// Responses with a limit.
+    pub observed: Vec<LimitObservation>,
+    /// Responses without a limit after earlier ones with it.
     pub ended: Vec<LimitEnd>,
-    /// The changes that it has.
+    /// Changes that the entry has.
     pub cursor: LimitCursor,
 }
 
-/// What is known of one replica.
+/// Limit of one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitState {
     /// The replica.
     pub replica: ReplicaIncarnation,
-    /// None where it names no limit any more.
-    pub rate: Option<NamedRate>,
+    /// The advertised rate; `None` if the replica no longer advertises one.
+    pub rate: Option<AdvertisedRate>,
 }
 
-/// Changes for an entry.
+/// Changes of limits for an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitPage {
-    /// Up to where the entry knows all, with these.
+    /// Position of the entry after these changes.
     pub cursor: LimitCursor,
-    /// These are all limits: what the entry has of other replicas has ended.
-    pub whole: bool,
+    /// The page is a full snapshot: limits of replicas that it does not list have ended.
+    pub full: bool,
     /// The changes.
     pub limits: Vec<LimitState>,
 }
 
 #[derive(Debug, Default)]
-struct LimitNote {
-    rate: Option<NamedRate>,
-    /// When this rate was heard of first.
-    named_ms: u64,
-    /// When the request was permitted whose answer showed the end or a higher rate: answers that
-    /// came before say nothing.
-    settled_ms: Option<u64>,
-    /// Its last change.
+struct LimitRecord {
+    rate: Option<AdvertisedRate>,
+    /// When this rate was first reported, in milliseconds of the leader's clock.
+    observed_ms: u64,
+    /// Grant time of the permit whose response showed the end of the limit or a higher rate.
+    /// Responses received up to then are ignored.
+    relaxed_ms: Option<u64>,
+    /// Revision of the last change.
     revision: u64,
-    /// When the log knew the replica last, or the limit ended.
-    kept_since_ms: u64,
+    /// When the log last knew the replica, or when the limit last changed.
+    retained_since_ms: u64,
 }
 
-/// All limits that one leader knows.
+/// All limits known to one leader.
 #[derive(Debug)]
-pub struct NamedLimits {
+pub struct AdvertisedLimits {
     term: Term,
     since_ms: u64,
-    notes: BTreeMap<ReplicaIncarnation, LimitNote>,
-    /// Replicas by their last change.
+    records: BTreeMap<ReplicaIncarnation, LimitRecord>,
+    /// Replicas by the revision of their last change.
     changes: BTreeMap<u64, ReplicaIncarnation>,
     revision: u64,
-    /// Changes up to this one are not known any more.
-    forgotten: u64,
+    /// Changes up to this revision may have been removed.
+    pruned_through: u64,
 }
 
-impl NamedLimits {
-    /// Nothing is known yet by a leader of this term, who leads since `now_ms`.
+impl AdvertisedLimits {
+    /// Creates the empty state of a leader of this term that leads since `now_ms`.
     pub fn new(term: Term, now_ms: u64) -> Self {
         Self {
             term,
             since_ms: now_ms,
-            notes: BTreeMap::new(),
+            records: BTreeMap::new(),
             changes: BTreeMap::new(),
             revision: 0,
-            forgotten: 0,
+            pruned_through: 0,
         }
     }
 
-    /// The rate that a replica names.
-    pub fn rate(&self, replica: &ReplicaIncarnation) -> Option<NamedRate> {
-        self.notes.get(replica)?.rate
+    /// Returns the rate that a replica advertises.
+    pub fn rate(&self, replica: &ReplicaIncarnation) -> Option<AdvertisedRate> {
+        self.records.get(replica)?.rate
     }
 
-    /// The last change.
+    /// Returns the revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Replicas that name a limit.
+    /// Returns the replicas that advertise a limit.
     pub fn limited(&self) -> impl Iterator<Item = &ReplicaIncarnation> {
-        let limited = self.notes.iter().filter(|(_, note)| note.rate.is_some());
+        let limited = self
+            .records
+            .iter()
+            .filter(|(_, record)| record.rate.is_some());
         limited.map(|(replica, _)| replica)
     }
 
-    /// Whether an entry follows this leader.
-    pub fn is_followed(&self, cursor: LimitCursor) -> bool {
+    /// Returns whether a cursor belongs to the term of this leader.
+    pub fn is_current(&self, cursor: LimitCursor) -> bool {
         cursor.term == self.term
     }
 
-    /// The stamp of a permit that is given now.
+    /// Returns the stamp of a permit that is granted now.
     pub fn stamp(&self, now_ms: u64) -> PermitStamp {
         PermitStamp {
             term: self.term,
@@ -161,81 +165,85 @@
         }
     }
 
-    /// An answer named a limit. Returns whether the replica takes less than was known.
-    pub fn name(&mut self, now_ms: u64, notice: &LimitNotice) -> bool {
-        if notice.age_ms >= KEPT_MS {
+    /// Records a response that advertises a limit. Returns whether the limit is new or stricter
+    /// than the known one.
+    pub fn observe(&mut self, now_ms: u64, observation: &LimitObservation) -> bool {
+        if observation.age_ms >= RETENTION_MS {
             return false;
         }
-        let heard_ms = now_ms.saturating_sub(notice.age_ms);
-        let note = self.notes.entry(notice.replica.clone()).or_default();
-        if note
-            .settled_ms
-            .is_some_and(|settled_ms| heard_ms <= settled_ms)
+        let received_ms = now_ms.saturating_sub(observation.age_ms);
+        let record = self.records.entry(observation.replica.clone()).or_default();
+        if record
+            .relaxed_ms
+            .is_some_and(|relaxed_ms| received_ms <= relaxed_ms)
         {
             return false;
         }
-        let proof = notice.permit.filter(|permit| permit.term == self.term);
-        let proof = proof.filter(|permit| permit.granted_ms > note.named_ms);
-        let tightens = match (note.rate, proof) {
+        let permit_proof = observation.permit.filter(|permit| permit.term == self.term);
+        let permit_proof = permit_proof.filter(|permit| permit.granted_ms > record.observed_ms);
+        let is_stricter = match (record.rate, permit_proof) {
             (None, _) => true,
-            (Some(known), _) if notice.rate > known => true,
-            (Some(known), Some(permit)) if notice.rate < known => {
-                note.settled_ms = Some(permit.granted_ms);
+            (Some(known), _) if observation.rate > known => true,
+            (Some(known), Some(permit)) if observation.rate < known => {
+                record.relaxed_ms = Some(permit.granted_ms);
                 false
             }
             _ => return false,
         };
-        note.rate = Some(notice.rate);
-        note.named_ms = now_ms;
-        note.kept_since_ms = now_ms;
-        self.note_change(&notice.replica);
-        tightens
+        record.rate = Some(observation.rate);
+        record.observed_ms = now_ms;
+        record.retained_since_ms = now_ms;
+        self.record_change(&observation.replica);
+        is_stricter
     }
 
-    /// An answer named no limit any more. Returns whether one ends by it.
-    pub fn end(&mut self, now_ms: u64, end: &LimitEnd) -> bool {
+    /// Records a response that no longer advertises a limit. Returns whether the limit ends.
+    pub fn observe_end(&mut self, now_ms: u64, end: &LimitEnd) -> bool {
         let granted_ms = end.permit.granted_ms;
-        let note = self.notes.get_mut(&end.replica);
-        let limited = note.filter(|note| note.rate.is_some() && granted_ms > note.named_ms);
-        let Some(note) = limited.filter(|_| end.permit.term == self.term) else {
+        let record = self.records.get_mut(&end.replica);
+        let limited =
+            record.filter(|record| record.rate.is_some() && granted_ms > record.observed_ms);
+        let Some(record) = limited.filter(|_| end.permit.term == self.term) else {
             return false;
         };
-        note.rate = None;
-        note.settled_ms = Some(granted_ms);
-        note.kept_since_ms = now_ms;
-        self.note_change(&end.replica);
+        record.rate = None;
+        record.relaxed_ms = Some(granted_ms);
+        record.retained_since_ms = now_ms;
+        self.record_change(&end.replica);
         true
     }
 
-    fn note_change(&mut self, replica: &ReplicaIncarnation) {
+    fn record_change(&mut self, replica: &ReplicaIncarnation) {
         self.revision += 1;
-        let Some(note) = self.notes.get_mut(replica) else {
+        let Some(record) = self.records.get_mut(replica) else {
             return;
         };
-        self.changes.remove(&note.revision);
-        note.revision = self.revision;
+        self.changes.remove(&record.revision);
+        record.revision = self.revision;
         self.changes.insert(self.revision, replica.clone());
     }
 
-    /// Takes what an entry heard. Returns what changed for it, with the state of all replicas
-    /// that it told of.
+    /// Returns the changes for an entry, with the state of all replicas that its report covers.
     pub fn report(&mut self, now_ms: u64, report: &LimitReport) -> LimitPage {
         let mut page = self.page(now_ms, report.cursor);
-        let named = report.named.iter().map(|notice| &notice.replica);
+        let observed = report
+            .observed
+            .iter()
+            .map(|observation| &observation.replica);
         let ended = report.ended.iter().map(|end| &end.replica);
-        let told = named.chain(ended).map(|replica| LimitState {
+        let reported = observed.chain(ended).map(|replica| LimitState {
             replica: replica.clone(),
             rate: self.rate(replica),
         });
-        page.limits.extend(told);
+        page.limits.extend(reported);
         page
     }
 
-    /// What changed since an entry's last page. While a new leader gathers what entries know, it
-    /// takes nothing back.
+    /// Returns the changes since an entry's cursor. While a new leader gathers the limits that
+    /// entries know, it ends none of them at an entry whose cursor it does not know.
     pub fn page(&self, now_ms: u64, cursor: LimitCursor) -> LimitPage {
-        let known = cursor.term == self.term && cursor.revision >= self.forgotten;
-        let gathers = now_ms < self.since_ms + GATHER_MS;
+        let known = cursor.term == self.term && cursor.revision >= self.pruned_through;
+        let gathering = now_ms < self.since_ms + STARTUP_GATHER_MS;
         let from = match known {
             true => cursor.revision,
             false => 0,
@@ -244,13 +252,13 @@
         let limits = changes.filter_map(|(_, replica)| {
             Some(LimitState {
                 replica: replica.clone(),
-                rate: self.notes.get(replica)?.rate,
+                rate: self.records.get(replica)?.rate,
             })
         });
         LimitPage {
             limits: limits.collect(),
-            whole: !known && !gathers,
-            cursor: match gathers && !known {
+            full: !known && !gathering,
+            cursor: match gathering && !known {
                 true => LimitCursor::default(),
                 false => LimitCursor {
                     term: self.term,
@@ -260,38 +268,38 @@
         }
     }
 
-    /// Forgets limits that ended long ago, and those of lives that are over;
-    /// `life_of` looks a life up in the log.
-    pub fn prune(&mut self, now_ms: u64, life_of: impl Fn(&ReplicaIncarnation) -> LifeState) {
-        let mut over = Vec::new();
-        for (replica, note) in &mut self.notes {
-            let kept_ms = match (note.rate, life_of(replica)) {
-                (None, _) | (Some(_), LifeState::Unknown) => KEPT_MS,
-                (Some(_), LifeState::Over) => 0,
-                (Some(_), LifeState::Known) => {
-                    note.kept_since_ms = now_ms;
+    /// Removes limits that ended long ago and those of replaced incarnations. `state_of` looks up
+    /// an incarnation in the log.
+    pub fn prune(&mut self, now_ms: u64, state_of: impl Fn(&ReplicaIncarnation) -> IncarnationState) {
+        let mut expired = Vec::new();
+        for (replica, record) in &mut self.records {
+            let retention_ms = match (record.rate, state_of(replica)) {
+                (None, _) | (Some(_), IncarnationState::Unknown) => RETENTION_MS,
+                (Some(_), IncarnationState::Replaced) => 0,
+                (Some(_), IncarnationState::Current) => {
+                    record.retained_since_ms = now_ms;
                     continue;
                 }
             };
-            if now_ms >= note.kept_since_ms + kept_ms {
-                over.push((replica.clone(), note.revision));
+            if now_ms >= record.retained_since_ms + retention_ms {
+                expired.push((replica.clone(), record.revision));
             }
         }
-        for (replica, revision) in over {
-            self.notes.remove(&replica);
+        for (replica, revision) in expired {
+            self.records.remove(&replica);
             self.changes.remove(&revision);
-            self.forgotten = self.forgotten.max(revision);
+            self.pruned_through = self.pruned_through.max(revision);
         }
     }
 }
 
-/// What the log tells of a replica's life.
+/// State of a replica's incarnation in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeState {
-    /// It lives.
-    Known,
-    /// The replica has started again.
-    Over,
-    /// The log knows no replica of this id.
+pub enum IncarnationState {
+    /// The incarnation is in the log.
+    Current,
+    /// The replica has started again since.
+    Replaced,
+    /// The log knows no replica with this id.
     Unknown,
 }
--- a/src/routing/limited_peers.rs
+++ b/src/routing/limited_peers.rs
@@ -10,14 +10,14 @@
 
 use crate::ids::ReplicaIncarnation;
 use crate::placement::named_limits::{
-    LimitCursor, LimitEnd, LimitNotice, LimitPage, LimitReport, LimitState, PermitStamp,
+    LimitCursor, LimitEnd, LimitObservation, LimitPage, LimitReport, LimitState, PermitStamp,
 };
-use crate::placement::named_rate::NamedRate;
+use crate::placement::named_rate::AdvertisedRate;
 
 /// The last answer with a limit.
 #[derive(Clone, Copy, Debug)]
 struct HeardLimit {
-    rate: NamedRate,
+    rate: AdvertisedRate,
     at_ms: u64,
     permit: Option<PermitStamp>,
     /// The leader has weighed it.
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 struct LimitNote {
     /// As the leader told.
-    known: Option<NamedRate>,
+    known: Option<AdvertisedRate>,
     /// When it told so.
     known_ms: u64,
     heard: Option<HeardLimit>,
@@ -50,7 +50,7 @@
         &mut self,
         now_ms: u64,
         peer: &ReplicaIncarnation,
-        rate: NamedRate,
+        rate: AdvertisedRate,
         permit: Option<PermitStamp>,
     ) -> bool {
         let note = self.notes.entry(peer.clone()).or_default();
@@ -90,9 +90,9 @@
     }
 
     /// The last answer of a peer that named a limit, for the leader.
-    pub fn last_notice(&self, now_ms: u64, peer: &ReplicaIncarnation) -> Option<LimitNotice> {
+    pub fn last_notice(&self, now_ms: u64, peer: &ReplicaIncarnation) -> Option<LimitObservation> {
         let heard = self.notes.get(peer)?.heard?;
-        Some(LimitNotice {
+        Some(LimitObservation {
             replica: peer.clone(),
             rate: heard.rate,
             age_ms: now_ms.saturating_sub(heard.at_ms),
@@ -130,7 +130,7 @@
             })
         });
         LimitReport {
-            named: named.collect(),
+            observed: named.collect(),
             ended: ended.collect(),
             cursor: self.cursor,
         }
@@ -144,7 +144,7 @@
                 _ => {}
             }
         }
-        for notice in &report.named {
+        for notice in &report.observed {
             self.confirm_notice(asked_ms, &notice.replica);
         }
     }
@@ -176,7 +176,7 @@
         if is_new_leader {
             self.report_anew(now_ms);
         }
-        if page.whole {
+        if page.full {
             for note in self.notes.values_mut() {
                 note.known = None;
                 note.heard = note.heard.filter(|heard| !heard.told);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,10 +10,10 @@
 };
 use dunlinspring::consensus::state::{Command, SiteState, Stamped};
 use dunlinspring::ids::{HallName, HostName, ModelName, Position, ReplicaId, ServiceName, Term};
-use dunlinspring::placement::adapters::{AdapterOrders, WishAnswer};
-use dunlinspring::placement::fleet::{FleetDuties, FleetPolicy};
+use dunlinspring::placement::adapters::{AdapterOrders, AdapterDecision};
+use dunlinspring::placement::fleet::{FleetController, FleetPolicy};
 use dunlinspring::placement::fleet_plan::{PlanModel, PlanReplica, plan};
-use dunlinspring::placement::order::{AdapterPlace, EngineOrder, OrderKind, OrderOutcome};
+use dunlinspring::placement::order::{AdapterPlacement, EngineOrder, OrderKind, OrderOutcome};
 use dunlinspring::placement::report::EntryReport;
 use dunlinspring::table::configuration::{
     Configuration, ConfigurationRecord, EngineModel, EngineSpec, ServiceSpec,
@@ -45,7 +45,7 @@
 /// A state that applies commands as they are proposed.
 struct World {
     state: SiteState,
-    duties: FleetDuties,
+    duties: FleetController,
     orders: Vec<EngineOrder>,
 }
 
@@ -109,7 +109,7 @@
 
     fn round(&mut self, now_ms: u64) {
         let ids: Vec<ReplicaId> = self.state.replicas.records().keys().cloned().collect();
-        self.duties.on_heard(now_ms, &ids);
+        self.duties.on_heartbeats(now_ms, &ids);
         let actions = self.duties.round(&self.state, now_ms);
         for command in actions.commands {
             self.apply(command);
@@ -124,13 +124,13 @@
     }
 }
 
-fn leader(term: u64, now_ms: u64) -> FleetDuties {
+fn leader(term: u64, now_ms: u64) -> FleetController {
     // Orders are at once where they go, unless a test is about their way.
     let policy = FleetPolicy {
         order_transit_ms: 0,
         ..FleetPolicy::default()
     };
-    FleetDuties::new(policy, HostName::from("c1"), Term(term), now_ms)
+    FleetController::new(policy, HostName::from("c1"), Term(term), now_ms)
 }
 
 fn busy(model: &str, level: f64) -> EntryReport {
@@ -166,7 +166,7 @@
 #[test]
 fn a_new_leader_waits_for_the_last_order_of_the_one_before_to_arrive() {
     let mut world = World::new(&["a"]);
-    world.duties = FleetDuties::new(FleetPolicy::default(), HostName::from("c1"), Term(1), 0);
+    world.duties = FleetController::new(FleetPolicy::default(), HostName::from("c1"), Term(1), 0);
     world.beat(&record("r1", 1, &[]));
     world.rounds(0, 3_900);
     assert!(world.orders.is_empty());
@@ -449,18 +449,18 @@
     replica.started_ms = 2_000;
     world.beat(&replica);
     let again = ordered(&mut world, 20_200).expect("a load in the new life");
-    assert_eq!((again.kind, again.born_ms), (OrderKind::Load, 2_000));
+    assert_eq!((again.kind, again.started_ms), (OrderKind::Load, 2_000));
 }
 
 fn plan_replica(id: &str, free_mb: u64, held: &[&str]) -> PlanReplica {
     PlanReplica {
         id: ReplicaId::from(id),
         hall: HallName::from("here"),
-        open: true,
+        accepts_orders: true,
         free_mb,
         held: held.iter().map(|model| ModelName::from(*model)).collect(),
-        coming: BTreeSet::new(),
-        at_hand: BTreeMap::new(),
+        loading: BTreeSet::new(),
+        cached_load_ms: BTreeMap::new(),
     }
 }
 
@@ -503,12 +503,12 @@
 #[test]
 fn the_only_home_that_serves_does_not_go_while_another_is_loading() {
     let models = plan_models(&[("busy", 2.0), ("hot", 60.0)]);
-    let mut loading = plan_replica("r2", 0, &[]);
-    loading.coming.insert(ModelName::from("busy"));
-    loading.open = false;
+    let mut second = plan_replica("r2", 0, &[]);
+    second.loading.insert(ModelName::from("busy"));
+    second.accepts_orders = false;
     let full = vec![
         plan_replica("r1", 0, &["busy"]),
-        loading,
+        second,
         plan_replica("r3", 0, &["hot"]),
     ];
     assert_eq!(plan(full, &models, 0.5, 1), []);
@@ -531,7 +531,7 @@
 fn a_copy_at_hand_goes_before_the_store_and_needs_no_permit() {
     let models = plan_models(&[("a", 1.0), ("b", 1.0)]);
     let mut with_copy = plan_replica("r1", 70, &[]);
-    with_copy.at_hand.insert(ModelName::from("b"), 2_000);
+    with_copy.cached_load_ms.insert(ModelName::from("b"), 2_000);
     let steps = plan(
         vec![with_copy, plan_replica("r2", 70, &[])],
         &models,
@@ -574,7 +574,10 @@
     assert_eq!(busy("a", 1.0).check(), Ok(()));
     for level in [f64::NAN, f64::INFINITY, -1.0] {
         let error = busy("a", level).check().unwrap_err();
-        assert_eq!(error.to_string(), format!("field busy.a: {level}"));
+        assert_eq!(
+            error.to_string(),
+            format!("field busy.a: {level} is not a finite number of at least 0")
+        );
     }
 }
 
@@ -623,8 +626,8 @@
     assert_eq!(idle.orders[0].kind, OrderKind::Unload);
 }
 
-fn place(adapter: &str) -> AdapterPlace {
-    AdapterPlace {
+fn place(adapter: &str) -> AdapterPlacement {
+    AdapterPlacement {
         replica: ReplicaId::from("r1"),
         model: ModelName::from("a"),
         adapter: adapter.to_owned(),
@@ -639,40 +642,40 @@
     directory.put(&record, 0);
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("x"), 0),
-        WishAnswer::Load
+        AdapterDecision::Load
     );
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("y"), 0),
-        WishAnswer::Load
+        AdapterDecision::Load
     );
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("z"), 0),
-        WishAnswer::Refused
+        AdapterDecision::Refused
     );
     assert!(!orders.on_outcome(&place("x"), OrderOutcome::Unknown, 0));
     orders.settle(&directory, 12_000);
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("z"), 12_000),
-        WishAnswer::Refused
+        AdapterDecision::Refused
     );
     // However long that is: only an answer shows that the try before is over.
     orders.settle(&directory, 60_000);
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("z"), 60_000),
-        WishAnswer::Refused
+        AdapterDecision::Refused
     );
     // Another order is under way: nothing is said of the try before.
     assert!(!orders.on_outcome(&place("x"), OrderOutcome::Busy, 60_000));
     orders.settle(&directory, 61_000);
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("z"), 61_000),
-        WishAnswer::Refused
+        AdapterDecision::Refused
     );
     assert!(!orders.on_outcome(&place("x"), OrderOutcome::Refused, 61_000));
     orders.settle(&directory, 62_000);
     assert_eq!(
         orders.decide(&record, 2, &directory, &place("z"), 62_000),
-        WishAnswer::Load
+        AdapterDecision::Load
     );
 }
 
@@ -684,7 +687,7 @@
     let (id, model) = (ReplicaId::from("r1"), ModelName::from("a"));
     let held = directory.records()[&id].clone();
     let answer = orders.decide(&held, 1, &directory, &place("x"), 0);
-    assert_eq!(answer, WishAnswer::Load);
+    assert_eq!(answer, AdapterDecision::Load);
     directory.record_adapter_order(&id, &model, "x");
     assert_eq!(orders.take_due(&directory, 0), [place("x")]);
     orders.on_outcome(&place("x"), OrderOutcome::Unknown, 0);
@@ -702,7 +705,12 @@
     world.beat(&record("r1", 1, &["a"]));
     world.rounds(3_000, 3_200);
     for adapter in ["x", "y"] {
-        assert!(world.duties.on_wish(&world.state, 3_200, &place(adapter)).0);
+        assert!(
+            world
+                .duties
+                .on_adapter_request(&world.state, 3_200, &place(adapter))
+                .0
+        );
     }
     assert!(world.orders.is_empty());
     world.rounds(3_200, 3_400);
@@ -716,12 +724,16 @@
     world.duties = leader(2, 3_400);
     world.rounds(3_400, 7_000);
     assert_eq!(
-        world.duties.on_wish(&world.state, 7_000, &place("z")),
+        world
+            .duties
+            .on_adapter_request(&world.state, 7_000, &place("z")),
         (false, None)
     );
     world.rounds(7_000, 60_000);
     assert_eq!(
-        world.duties.on_wish(&world.state, 60_000, &place("z")),
+        world
+            .duties
+            .on_adapter_request(&world.state, 60_000, &place("z")),
         (false, None)
     );
     // It asks the replica by sending them again, and goes by the answers.
@@ -733,7 +745,12 @@
         .on_outcome(60_000, &again[0], OrderOutcome::Refused);
     assert!(refused.is_empty());
     world.rounds(60_100, 61_000);
-    assert!(world.duties.on_wish(&world.state, 61_000, &place("z")).0);
+    assert!(
+        world
+            .duties
+            .on_adapter_request(&world.state, 61_000, &place("z"))
+            .0
+    );
 }
 
 /// A replica keeps the adapters of a model that is ordered out until its requests end.
@@ -750,7 +767,9 @@
     ));
     world.duties = leader(2, 4_000);
     // The lease is over, and no round has come yet.
-    let answer = world.duties.on_wish(&world.state, 7_000, &place("z"));
+    let answer = world
+        .duties
+        .on_adapter_request(&world.state, 7_000, &place("z"));
     assert_eq!(answer, (false, None));
 }
 
@@ -761,13 +780,13 @@
     let mut full = record("r1", 1, &["a"]);
     let names = BTreeSet::from(["x".to_owned(), "y".to_owned()]);
     full.models.insert(ModelName::from("a"), names);
-    orders.note_used(place("x"), 9_000);
-    orders.note_used(place("y"), 9_500);
+    orders.record_use(place("x"), 9_000);
+    orders.record_use(place("y"), 9_500);
     assert_eq!(
         orders.decide(&full, 2, &directory, &place("z"), 10_000),
-        WishAnswer::Refused
+        AdapterDecision::Refused
     );
-    let evict = WishAnswer::Evict(place("x"));
+    let evict = AdapterDecision::Evict(place("x"));
     assert_eq!(
         orders.decide(&full, 2, &directory, &place("z"), 11_000),
         evict
@@ -857,7 +876,7 @@
         &place("a2"),
         10_000,
     );
-    assert_eq!(evicted, WishAnswer::Evict(place("a1")));
+    assert_eq!(evicted, AdapterDecision::Evict(place("a1")));
     assert!(orders.on_outcome(&place("a1"), OrderOutcome::Taken, 10_000));
     replicas.set_adapter(&held.id, &model, "a1", AdapterEffect::Unloading, 10_000);
     for now_ms in (10_100..25_000).step_by(100) {
@@ -873,8 +892,8 @@
             &place("a2"),
             now_ms,
         );
-        assert_ne!(answer, WishAnswer::Load, "at {now_ms}");
-        if answer == WishAnswer::Evict(place("a1")) {
+        assert_ne!(answer, AdapterDecision::Load, "at {now_ms}");
+        if answer == AdapterDecision::Evict(place("a1")) {
             return;
         }
     }
@@ -888,7 +907,9 @@
     let mut world = World::new(&["a"]);
     world.beat(&beat(1, &["x", "y"]));
     world.rounds(3_000, 3_200);
-    let (soon, evicted) = world.duties.on_wish(&world.state, 3_200, &place("z"));
+    let (soon, evicted) = world
+        .duties
+        .on_adapter_request(&world.state, 3_200, &place("z"));
     let evicted = evicted.unwrap();
     assert!(soon && evicted.kind == OrderKind::Unload);
     let told = world
@@ -905,7 +926,9 @@
         "x"
     };
     for adapter in ["z", evicted.adapter.as_deref().unwrap()] {
-        let (_, order) = world.duties.on_wish(&world.state, 7_000, &place(adapter));
+        let (_, order) = world
+            .duties
+            .on_adapter_request(&world.state, 7_000, &place(adapter));
         assert_ne!(order.map(|order| order.kind), Some(OrderKind::Load));
         let coming = world.state.replicas.adapters_loading(&evicted.replica);
         assert_eq!(coming.count(), 0);
@@ -913,7 +936,12 @@
     world.beat(&beat(2, &[other]));
     world.duties = leader(3, 7_000);
     world.rounds(7_000, 10_200);
-    assert!(world.duties.on_wish(&world.state, 10_200, &place("z")).0);
+    assert!(
+        world
+            .duties
+            .on_adapter_request(&world.state, 10_200, &place("z"))
+            .0
+    );
     world.rounds(10_200, 10_400);
     let load = world.orders.last().unwrap();
     assert_eq!(load.adapter.as_deref(), Some("z"));
@@ -966,7 +994,7 @@
     world.beat(&record("r2", 2, &[]));
     world
         .duties
-        .follow_limits(1, [limited.incarnation()].iter());
+        .update_limited(1, [limited.incarnation()].iter());
     for now_ms in (3_000..6_000).step_by(100) {
         world.duties.on_report(now_ms, busy("a", 3.0));
         world.round(now_ms);
