--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -17,13 +17,13 @@
 use crate::control::journal::{DiskJournal, JournalError, WriteCheck};
 use crate::control::outbox::PeerOutbox;
 use crate::ids::{HostName, NodeId, Position, ReplicaIncarnation, TargetName, Term};
-use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat, TargetController};
 use crate::placement::fleet::FleetController;
 use crate::placement::named_limits::{IncarnationState, LimitPage, LimitReport};
 use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
 use crate::placement::replica_rates::{PermitReply, PermitRequest, ReplicaRateLimits};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::turns::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeases};
+use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeases};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat, TargetController};
 use crate::process::settings::ControlSettings;
 use crate::process::wire::{
     self, AccountStatus, AgentOrders, ControlRefusal, ControlStatus, EntryOrders, LimitStatus,
--- a/src/placement/named_limits.rs
+++ b/src/placement/named_limits.rs
@@ -270,7 +270,11 @@
 
     /// Removes limits that ended long ago and those of replaced incarnations. `state_of` looks up
     /// an incarnation in the log.
-    pub fn prune(&mut self, now_ms: u64, state_of: impl Fn(&ReplicaIncarnation) -> IncarnationState) {
+    pub fn prune(
+        &mut self,
+        now_ms: u64,
+        state_of: impl Fn(&ReplicaIncarnation) -> IncarnationState,
+    ) {
         let mut expired = Vec::new();
         for (replica, record) in &mut self.records {
             let retention_ms = match (record.rate, state_of(replica)) {
--- a/src/placement/replica_rates.rs
+++ b/src/placement/replica_rates.rs
@@ -135,7 +135,11 @@
     }
 
     /// Removes state that is no longer needed, at most once per [`PRUNE_INTERVAL_MS`].
-    pub fn prune(&mut self, now_ms: u64, state_of: impl Fn(&ReplicaIncarnation) -> IncarnationState) {
+    pub fn prune(
+        &mut self,
+        now_ms: u64,
+        state_of: impl Fn(&ReplicaIncarnation) -> IncarnationState,
+    ) {
         if now_ms >= self.prune_due_ms {
             self.prune_due_ms = now_ms + PRUNE_INTERVAL_MS;
             self.limits.prune(now_ms, state_of);
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -6,7 +6,9 @@
 };
 use dunlinspring::consensus::state::{Change, Command, Reply, SiteState, Stamped};
 use dunlinspring::ids::{ContentDigest, Position, ReplicaId, ReplicaIncarnation};
-use dunlinspring::placement::turns::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeases, SuspectLeaseRelease};
+use dunlinspring::placement::suspect_leases::{
+    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest, SuspectLeases,
+};
 use dunlinspring::routing::suspects::SuspectBook;
 
 const DAY_MS: u64 = 24 * 3600 * 1000;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,7 +10,7 @@
 };
 use dunlinspring::consensus::state::{Command, SiteState, Stamped};
 use dunlinspring::ids::{HallName, HostName, ModelName, Position, ReplicaId, ServiceName, Term};
-use dunlinspring::placement::adapters::{AdapterOrders, AdapterDecision};
+use dunlinspring::placement::adapters::{AdapterDecision, AdapterOrders};
 use dunlinspring::placement::fleet::{FleetController, FleetPolicy};
 use dunlinspring::placement::fleet_plan::{PlanModel, PlanReplica, plan};
 use dunlinspring::placement::order::{AdapterPlacement, EngineOrder, OrderKind, OrderOutcome};
