--- a/src/bin/dunlinspring-control.rs
+++ b/src/bin/dunlinspring-control.rs
@@ -1,6 +1,6 @@
 //! The control daemon: the replicated log and the leader's duties.
 
-use dunlinspring::control::founding;
+use dunlinspring::control::bootstrap;
 use dunlinspring::control::shell::ControlDaemon;
 use dunlinspring::process::settings::ControlSettings;
 use dunlinspring::process::{arguments, daemon};
@@ -11,7 +11,7 @@
 async fn main() {
     let start = arguments::start::<ControlSettings>(PROGRAM, |settings| &settings.common);
     if start.found {
-        match founding::found(&start.settings) {
+        match bootstrap::found(&start.settings) {
             Ok(()) => return,
             Err(error) => arguments::fail(PROGRAM, error),
         }
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -13,7 +13,7 @@
 use crate::agent::shell::AgentDaemon;
 use crate::cli::load::{LoadClass, LoadMix};
 use crate::consensus::raft::RaftTiming;
-use crate::control::founding;
+use crate::control::bootstrap;
 use crate::control::shell::ControlDaemon;
 use crate::entry::shell::EntryDaemon;
 use crate::ids::{HallName, HostName, ModelName, PartnerName, TargetName};
@@ -574,7 +574,7 @@
             fleet: Default::default(),
             site: site_spec(shape),
         };
-        founding::found(&settings)?;
+        bootstrap::found(&settings)?;
         let daemon = ControlDaemon::start_on(listener, settings, secret.clone()).await?;
         controls.push(daemon);
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -5,10 +5,10 @@
 //! log's changes and orders to replicas leave. Uses the pure folders, `process`, and the
 //! connections to replicas of [`crate::forward`].
 
+pub mod bootstrap;
 pub mod event;
-pub mod founding;
 pub mod journal;
-pub mod orderer;
+pub mod order_dispatcher;
 pub mod outbox;
 pub mod registry;
 pub mod relay;
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -21,7 +21,7 @@
 use crate::consensus::naming::{self, NamingAnswer, NamingAsk, NamingBook};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
-use crate::control::founding;
+use crate::control::bootstrap;
 use crate::ids::{HallName, HostName, Incarnation, NodeId, Position, ReplicaId};
 use crate::placement::crowd::{CrowdReport, WaitingTokens};
 use crate::placement::duties::{AgentBeat, EntryBeat};
@@ -278,7 +278,7 @@
         book: &Mutex<NamingBook>,
         ask: &NamingAsk,
     ) -> Option<Vec<NamingAnswer>> {
-        let mut answers = founding::ask_named(link, &self.others, ask).await;
+        let mut answers = bootstrap::ask_named(link, &self.others, ask).await;
         let mut book = peers::lock(book);
         answers.push(book.answer(ask));
         book.is_granted(&answers).then_some(answers)
@@ -439,7 +439,7 @@
             return Ok(founder.clone());
         }
         let Some(founder) = self.naming.agree(link, &host).await else {
-            let founded = founding::founded_host(link).await.map(Some);
+            let founded = bootstrap::founded_host(link).await.map(Some);
             return Err(founded.map_or(ControlRefusal::NoQuorum, ControlRefusal::NotLeader));
         };
         self.hosts.watch(founder.as_str());
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -19,8 +19,8 @@
 use crate::consensus::naming::{NamingAnswer, NamingAsk};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
+use crate::control::bootstrap::{self, FoundingPart};
 use crate::control::event::{ControlEvent, ControlHandle};
-use crate::control::founding::{self, FoundingPart};
 use crate::control::journal;
 use crate::control::outbox::{OpenPeer, PeerOutbox};
 use crate::control::voter::ControlLoop;
@@ -99,7 +99,7 @@
         secret: SiteSecret,
     ) -> Result<Self, DaemonError> {
         let blank = journal::is_blank(&settings.data_folder);
-        let begun = founding::unfinished_first_start(&settings)?;
+        let begun = bootstrap::unfinished_first_start(&settings)?;
         if blank && begun.is_none() {
             journal::begin_first_start(&settings.data_folder, &settings.common.control)?;
         }
@@ -119,7 +119,7 @@
         // Founders ask each other before any of them has a log.
         serve(listener, secret.clone(), handle.clone());
         // Also where a first start was broken off: only this disk still knows of it.
-        if let Some(named) = founding::unfinished_first_start(&settings)? {
+        if let Some(named) = bootstrap::unfinished_first_start(&settings)? {
             found_site(secret, &settings, &named).await?;
             // Founders know each other from nowhere else until they have a leader.
             let control = &mut settings.common.control;
@@ -195,10 +195,10 @@
     named: &[VoterSettings],
 ) -> Result<(), DaemonError> {
     let link = ControlLink::new(secret, Vec::new());
-    let part = founding::agree(&link, &settings.common.host, named).await;
+    let part = bootstrap::agree(&link, &settings.common.host, named).await;
     tracing::info!(?part, "the site starts for the first time");
     match part {
-        FoundingPart::Founds(founders) => Ok(founding::found_by(settings, founders.iter())?),
+        FoundingPart::Founds(founders) => Ok(bootstrap::found_by(settings, founders.iter())?),
         FoundingPart::Joins => Ok(()),
     }
 }
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -12,8 +12,8 @@
 use crate::consensus::raft::DiskRecord;
 use crate::consensus::replica::LogReplica;
 use crate::consensus::state::{Command, Reply, SiteState};
+use crate::control::bootstrap;
 use crate::control::event::{Answer, ControlEvent, SendPermit};
-use crate::control::founding;
 use crate::control::journal::{DiskJournal, JournalError, WriteCheck};
 use crate::control::outbox::PeerOutbox;
 use crate::ids::{HostName, NodeId, Position, ReplicaLife, TargetName, Term};
@@ -140,7 +140,7 @@
             settings.compact_after,
         );
         let voters = settings.common.control.iter();
-        let hosts = voters.map(|voter| (founding::founder_id(&voter.host), voter.host.clone()));
+        let hosts = voters.map(|voter| (bootstrap::founder_id(&voter.host), voter.host.clone()));
         let mut hosts: BTreeMap<NodeId, HostName> = hosts.collect();
         // The newest hosts may stand in entries that are not known to be committed.
         hosts.extend(replica.logged_hosts());
--- a/tests/forwarding/support/mod.rs
+++ b/tests/forwarding/support/mod.rs
@@ -19,7 +19,7 @@
 use dunlinspring::consensus::directory::{ReplicaPhase, ReplicaRecord};
 use dunlinspring::consensus::raft::RaftTiming;
 use dunlinspring::consensus::state::{Command, HallStanding, Reply};
-use dunlinspring::control::founding;
+use dunlinspring::control::bootstrap;
 use dunlinspring::control::registry::{LogAccess, Registry, RegistryError};
 use dunlinspring::control::shell::ControlDaemon;
 use dunlinspring::forward::chunked::ChunkDecoder;
@@ -301,7 +301,7 @@
         fleet: Default::default(),
         site: Default::default(),
     };
-    founding::found(&settings).unwrap();
+    bootstrap::found(&settings).unwrap();
     let control = ControlDaemon::start_on(listener, settings, secret())
         .await
         .unwrap();
--- a/tests/full_disk.rs
+++ b/tests/full_disk.rs
@@ -9,8 +9,8 @@
 
 use dunlinspring::consensus::raft::RaftTiming;
 use dunlinspring::consensus::state::{Command, ConfigureAnswer, Reply};
+use dunlinspring::control::bootstrap;
 use dunlinspring::control::event::{ControlEvent, ControlHandle};
-use dunlinspring::control::founding;
 use dunlinspring::control::journal::JournalError;
 use dunlinspring::control::voter::ControlLoop;
 use dunlinspring::ids::{HallName, HostName};
@@ -90,7 +90,7 @@
 async fn a_voter_waits_until_its_disk_has_room() {
     let folder = TempDir::new().unwrap();
     let settings = settings(&folder);
-    founding::found(&settings).unwrap();
+    bootstrap::found(&settings).unwrap();
     let mut voter = ControlLoop::open(settings).unwrap();
     let full = Arc::new(AtomicU32::new(0));
     let left = full.clone();
@@ -117,7 +117,7 @@
     let folder = TempDir::new().unwrap();
     let settings = settings(&folder);
     let slow = Duration::from_millis(3 * settings.timing.election_ms);
-    founding::found(&settings).unwrap();
+    bootstrap::found(&settings).unwrap();
     let mut voter = ControlLoop::open(settings).unwrap();
     voter.check_writes(Box::new(move |_| {
         thread::sleep(slow);
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -90,8 +90,8 @@
 mutant proof-without-age src/routing/authority.rs 's/asked_ms\.saturating_sub\(proof\.age_ms\)/asked_ms/' accounts a_proof_counts_for_whoever_holds_its_version
 mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding where_nothing_newer_can_be_heard_no_key_is_obeyed_for_long
 mutant key-passed-on src/forward/request/wire_heads.rs 's/drop\.extend\(\[names\.key, names\.account\]\);//' forwarding a_key_stays_here_and_its_account_goes_on
-mutant order-without-its-leader src/control/orderer.rs 's/\.ok_or\(CallError::Deposed\)\?;/.unwrap_or(SendPermit { until_ms: u64::MAX });/' orderer an_order_leaves_only_while_its_leader_decides
-mutant renewal-waits-for-the-voter src/control/orderer.rs 's/tokio::time::timeout\(left, self\.ask\(\)\)\.await/Ok::<_, ()>(self.ask().await)/' orderer an_order_ends_with_its_permit_also_while_the_voter_is_held_up
+mutant order-without-its-leader src/control/order_dispatcher.rs 's/\.ok_or\(CallError::Deposed\)\?;/.unwrap_or(SendPermit { until_ms: u64::MAX });/' orderer an_order_leaves_only_while_its_leader_decides
+mutant renewal-waits-for-the-voter src/control/order_dispatcher.rs 's/tokio::time::timeout\(left, self\.ask\(\)\)\.await/Ok::<_, ()>(self.ask().await)/' orderer an_order_ends_with_its_permit_also_while_the_voter_is_held_up
 mutant order-closed-in-good-order src/forward/upstream.rs 's/\.and_then\(\|\(\)\| socket\.set_linger\(Some\(Duration::ZERO\)\)\)//' orderer an_order_that_is_given_up_leaves_nothing_on_its_way
 mutant kernel-goes-on src/forward/upstream.rs 's/socket\n            \.set_tcp_user_timeout\(Some\(left\)\)\n            \.and_then\(\|\(\)\| (socket\.set_linger\(Some\(Duration::ZERO\)\))\)/$1/' bounded_sending the_kernel_sends_nothing_again_after_the_wait_for_an_orders_way
 mutant deposed-leader-is-free src/consensus/raft.rs 's/self\.silent_until_ms = self\.silent_until_ms\.max\(lease_ms\);/let _ = lease_ms;/' permit a_leader_that_steps_down_helps_nobody_to_power_before_its_permits_end
--- a/tests/orderer.rs
+++ b/tests/orderer.rs
@@ -9,7 +9,7 @@
 
 use dunlinspring::clock;
 use dunlinspring::control::event::{ControlEvent, ControlHandle, SendPermit};
-use dunlinspring::control::orderer::{self, EngineCall, EngineDialect, EngineReport};
+use dunlinspring::control::order_dispatcher::{self, EngineCall, EngineDialect, EngineReport};
 use dunlinspring::ids::{HostName, ModelName, ReplicaId, Term};
 use dunlinspring::placement::order::{EngineOrder, OrderKind, OrderOutcome};
 use dunlinspring::process::wire::ControlRefusal;
@@ -99,7 +99,7 @@
 /// Has one order of term 7 carried to `address`.
 fn start_order(handle: ControlHandle, address: SocketAddr, dialect: EngineDialect) {
     let (orders, ordered) = unbounded_channel();
-    ntex::rt::spawn(orderer::run(ordered, handle, dialect));
+    ntex::rt::spawn(order_dispatcher::run(ordered, handle, dialect));
     let order = order_of(1, address);
     orders.send(order).unwrap();
 }
@@ -401,7 +401,11 @@
         }
     });
     let (orders, ordered) = unbounded_channel();
-    ntex::rt::spawn(orderer::run(ordered, ControlHandle(events), counting()));
+    ntex::rt::spawn(order_dispatcher::run(
+        ordered,
+        ControlHandle(events),
+        counting(),
+    ));
     let mut seen = Vec::new();
     for (born_ms, report) in [(1, "4"), (2, "0")] {
         orders.send(order_of(born_ms, address)).unwrap();
--- a/tests/support_founders/mod.rs
+++ b/tests/support_founders/mod.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use dunlinspring::control::founding;
+use dunlinspring::control::bootstrap;
 use dunlinspring::control::shell::ControlDaemon;
 
 use crate::support_control::{listeners, secret, settings};
@@ -15,7 +15,7 @@
     let mut daemons = Vec::new();
     for (listener, address) in bound {
         let settings = settings(folder, address, &addresses);
-        founding::found(&settings).unwrap();
+        bootstrap::found(&settings).unwrap();
         let daemon = ControlDaemon::start_on(listener, settings, secret()).await;
         daemons.push(daemon.unwrap());
     }
