--- a/benches/core.rs
+++ b/benches/core.rs
@@ -375,7 +375,7 @@
             stopped: false,
         };
         let want = (0..models).map(|number| (ModelName(format!("model-{number}")), 1000));
-        let orders = dunlinspring::process::wire::AgentOrders {
+        let orders = dunlinspring::process::wire::AgentHeartbeatReply {
             plan: Some(TargetPlan {
                 term: Term(1),
                 position: Position(1),
--- a/benches/figures.rs
+++ b/benches/figures.rs
@@ -343,7 +343,7 @@
 /// Bytes of the page that one edit costs a member.
 async fn page_bytes(link: &ControlLink, way: &str) -> usize {
     let whole = link
-        .decide(
+        .call_leader(
             "sync",
             Duration::from_secs(5),
             |client, context| async move { client.sync(context, Position(0), 0, true).await },
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -26,10 +26,10 @@
 use crate::process::crash_report;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::member::{self, SiteFollower};
-use crate::process::metrics::{MetricBook, MetricKey};
+use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{self, ControlLink, SiteSecret};
 use crate::process::settings::AgentSettings;
-use crate::process::wire::{AgentOrders, AgentWire, AgentWord};
+use crate::process::wire::{AgentHeartbeatReply, AgentReply, AgentWire};
 use crate::routing::view::SiteView;
 
 /// Time between two beats.
@@ -90,12 +90,12 @@
         }
     }
 
-    fn word(&self, word: AttemptWord) -> AgentWord {
+    fn word(&self, status: AttemptWord) -> AgentReply {
         // The copy's lock is never taken under the gate's.
         let position = self.follower.position();
         let gate = self.gate();
-        AgentWord {
-            word,
+        AgentReply {
+            status,
             load: (gate.queued() + gate.running()) as u32,
             position,
         }
@@ -145,7 +145,7 @@
         });
         learn_rows(&shared, &shared.follower.view());
         serve(listener, secret, shared.clone());
-        let watch = serve_watch(&shared).await?;
+        let watch = serve_health(&shared).await?;
         start_tasks(&shared, &engine);
         tracing::info!(%address, %watch, %life, "agent started");
         Ok(Self {
@@ -233,10 +233,13 @@
     }
 }
 
-async fn send_beat(agent: &AgentShared, beat: AgentBeat) -> Result<AgentOrders, peers::PeerError> {
+async fn send_beat(
+    agent: &AgentShared,
+    beat: AgentBeat,
+) -> Result<AgentHeartbeatReply, peers::PeerError> {
     agent
         .link
-        .decide("agent_beat", BEAT_TIME, |client, context| {
+        .call_leader("agent_beat", BEAT_TIME, |client, context| {
             let beat = beat.clone();
             async move { client.agent_beat(context, beat).await }
         })
@@ -259,8 +262,8 @@
     }
 }
 
-async fn on_orders(agent: &AgentShared, asked_ms: u64, orders: AgentOrders) {
-    agent.follower.heard(orders.position);
+async fn on_orders(agent: &AgentShared, asked_ms: u64, orders: AgentHeartbeatReply) {
+    agent.follower.observe_position(orders.position);
     match orders.plan {
         Some(plan) => {
             if !agent.gate().on_plan(asked_ms, plan) {
@@ -291,7 +294,7 @@
             Ok(report) => {
                 let ended = agent.gate().on_report(&report, asked_ms);
                 for life in ended {
-                    tokio::spawn(tell_crash(agent.clone(), life));
+                    tokio::spawn(report_crash(agent.clone(), life));
                 }
             }
             Err(error) => tracing::debug!(%error, "no report"),
@@ -303,7 +306,7 @@
 }
 
 /// Tells the log of an end of the engine, until it holds it.
-async fn tell_crash(agent: Arc<AgentShared>, ended: EndedLife) {
+async fn report_crash(agent: Arc<AgentShared>, ended: EndedLife) {
     let report = CrashReport {
         replica: ReplicaLife {
             id: ReplicaId::from(agent.settings.common.host.as_str()),
@@ -315,7 +318,7 @@
         replica = %report.replica.id, boot = ended.boot, count = report.contents.len(),
         "engine ended under requests"
     );
-    crash_report::tell_crash(&agent.link, &report).await;
+    crash_report::report_crash(&agent.link, &report).await;
 }
 
 /// Starts what may run, gives the orders that are due, one of them at a time.
@@ -422,9 +425,9 @@
 }
 
 impl AgentWire for AgentServer {
-    async fn start(self, _: Context, position: Position, ask: RunAsk) -> AgentWord {
+    async fn start(self, _: Context, position: Position, ask: RunAsk) -> AgentReply {
         let agent = &self.shared;
-        agent.follower.heard(position);
+        agent.follower.observe_position(position);
         let word = agent.gate().start(clock::monotonic_ms(), ask);
         agent.wake.notify_one();
         agent.word(word)
@@ -437,7 +440,7 @@
         life: Incarnation,
         offset: u32,
         wait_ms: u64,
-    ) -> AgentWord {
+    ) -> AgentReply {
         let agent = &self.shared;
         let wait = Duration::from_millis(wait_ms.min(MAX_PULL_MS));
         let reader = agent.reader(attempt);
@@ -458,7 +461,7 @@
         }
     }
 
-    async fn seal(self, _: Context, attempt: AttemptId, life: Incarnation) -> AgentWord {
+    async fn seal(self, _: Context, attempt: AttemptId, life: Incarnation) -> AgentReply {
         let agent = &self.shared;
         let word = agent.gate().seal(clock::monotonic_ms(), attempt, life);
         agent.tell(attempt);
@@ -505,7 +508,7 @@
     tokio::spawn(peers::listen(listener, secret, serve));
 }
 
-async fn serve_watch(shared: &Arc<AgentShared>) -> Result<SocketAddr, DaemonError> {
+async fn serve_health(shared: &Arc<AgentShared>) -> Result<SocketAddr, DaemonError> {
     let address = shared.settings.common.watch;
     let agent = shared.clone();
     let read = move || {
@@ -514,10 +517,10 @@
             // Not in one expression: both take the gate's lock.
             let ready = agent.gate().has_lease(clock::monotonic_ms());
             let metrics = render(&agent);
-            daemon::WatchPage { ready, metrics }
-        }) as daemon::WatchRead
+            daemon::HealthPage { ready, metrics }
+        }) as daemon::HealthFuture
     };
-    daemon::serve_watch(address, Arc::new(read)).await
+    daemon::serve_health(address, Arc::new(read)).await
 }
 
 fn render(agent: &AgentShared) -> String {
@@ -532,7 +535,7 @@
         ("dunlinspring_attempts_remembered", gate.remembered() as u64),
         ("dunlinspring_leaving", u64::from(gate.is_leaving())),
     ];
-    let mut book = MetricBook::default();
+    let mut book = MetricRegistry::default();
     for (name, value) in gauges {
         book.gauge(MetricKey::new(name, &[]), value);
     }
--- a/src/bin/dunlinspring-agent.rs
+++ b/src/bin/dunlinspring-agent.rs
@@ -17,5 +17,5 @@
     daemon::announce(start.announce.as_deref(), &addresses);
     daemon::stop_signal().await;
     agent.stop().await;
-    daemon::end_logs();
+    daemon::flush_logs();
 }
--- a/src/bin/dunlinspring-control.rs
+++ b/src/bin/dunlinspring-control.rs
@@ -10,8 +10,8 @@
 #[ntex::main]
 async fn main() {
     let start = arguments::start::<ControlSettings>(PROGRAM, |settings| &settings.common);
-    if start.found {
-        match bootstrap::found(&start.settings) {
+    if start.bootstrap {
+        match bootstrap::bootstrap(&start.settings) {
             Ok(()) => return,
             Err(error) => arguments::fail(PROGRAM, error),
         }
@@ -27,11 +27,11 @@
         () = daemon::stop_signal() => control.stop().await,
         ended = control.ended() => {
             if let Err(error) = ended {
-                daemon::end_logs();
+                daemon::flush_logs();
                 eprintln!("{PROGRAM}: {error}");
                 std::process::exit(1);
             }
         }
     }
-    daemon::end_logs();
+    daemon::flush_logs();
 }
--- a/src/cli/accounts.rs
+++ b/src/cli/accounts.rs
@@ -12,7 +12,7 @@
     }
     let link = control::link(&matches)?;
     let call = |client: ControlWireClient, context| async move { client.accounts(context).await };
-    let asked = link.decide("accounts", control::PATIENCE, call).await;
+    let asked = link.call_leader("accounts", control::PATIENCE, call).await;
     let accounts = asked.map_err(|error| error.to_string())?;
     match matches.opt_present("json") {
         true => println!("{}", control::json(&accounts)?),
--- a/src/cli/commands.rs
+++ b/src/cli/commands.rs
@@ -14,7 +14,9 @@
 use crate::cli::explain_target;
 use crate::cli::load::{self, LoadMix, LoadPlan, LoadReport};
 use crate::ids::ReplicaId;
-use crate::process::settings::{self, AgentSettings, Checked, ControlSettings, EntrySettings};
+use crate::process::settings::{
+    self, AgentSettings, ControlSettings, EntrySettings, ValidatedSettings,
+};
 
 /// The commands.
 pub const USAGE: &str = "\
@@ -254,7 +256,7 @@
     }
 }
 
-fn show_checked<S: Checked>(path: &Path) -> Ended {
+fn show_checked<S: ValidatedSettings>(path: &Path) -> Ended {
     let settings: S = settings::load(path).map_err(|error| error.to_string())?;
     println!("{}", settings::show(&settings));
     Ok(0)
--- a/src/cli/contents.rs
+++ b/src/cli/contents.rs
@@ -20,7 +20,7 @@
 
 async fn list(link: &ControlLink, as_json: bool) -> Result<i32, String> {
     let call = |client: ControlWireClient, context| async move { client.contents(context).await };
-    let asked = link.decide("contents", control::PATIENCE, call).await;
+    let asked = link.call_leader("contents", control::PATIENCE, call).await;
     let book = asked.map_err(|error| error.to_string())?;
     match as_json {
         true => println!("{}", control::json(&rows(&book))?),
@@ -36,7 +36,7 @@
         let command = Command::ContentLifted(digest);
         client.propose(context, command).await
     };
-    let asked = link.decide("lift", control::PATIENCE, call).await;
+    let asked = link.call_leader("lift", control::PATIENCE, call).await;
     match asked.map_err(|error| error.to_string())? {
         (_, Reply::Lifted(true)) => {
             println!("{digest} may be tried again; one more crash bars it");
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -64,7 +64,7 @@
     /// Queues.
     pub queue: QueueSettings,
     /// Leases and placement.
-    pub duties: DutySettings,
+    pub duties: ControllerSettings,
 }
 
 impl Default for DemoShape {
@@ -85,7 +85,7 @@
             },
             route: RouteSettings::default(),
             queue: QueueSettings::default(),
-            duties: DutySettings::default(),
+            duties: ControllerSettings::default(),
         }
     }
 }
@@ -574,7 +574,7 @@
             fleet: Default::default(),
             site: site_spec(shape),
         };
-        bootstrap::found(&settings)?;
+        bootstrap::bootstrap(&settings)?;
         let daemon = ControlDaemon::start_on(listener, settings, secret.clone()).await?;
         controls.push(daemon);
     }
--- a/src/cli/halls.rs
+++ b/src/cli/halls.rs
@@ -72,7 +72,7 @@
     let call = |client: ControlWireClient, context| async move {
         client.sync(context, Position(0), 0, true).await
     };
-    let asked = link.decide("sync", control::PATIENCE, call).await;
+    let asked = link.call_leader("sync", control::PATIENCE, call).await;
     let page = asked.map_err(|error| error.to_string())?;
     let mut view = SiteView::default();
     view.follow(&page);
@@ -101,7 +101,7 @@
         let command = command.clone();
         async move { client.propose(context, command).await }
     };
-    let asked = link.decide("halls", control::PATIENCE, call).await;
+    let asked = link.call_leader("halls", control::PATIENCE, call).await;
     asked.map_err(|error| error.to_string())?;
     println!("{name}: taken");
     Ok(0)
--- a/src/cli/load.rs
+++ b/src/cli/load.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::ids::ModelName;
-use crate::process::settings::{Checked, SettingsError};
+use crate::process::settings::{SettingsError, ValidatedSettings};
 use crate::standin;
 
 /// Most requests in flight; arrivals beyond it are counted as not sent.
@@ -86,7 +86,7 @@
     pub phases: Vec<LoadPhase>,
 }
 
-impl Checked for LoadMix {
+impl ValidatedSettings for LoadMix {
     fn check(&self) -> Result<(), (&'static str, String)> {
         let wrong = |field, reason: &str| Err((field, reason.to_owned()));
         let sorted = self.phases.is_sorted_by(|a, b| a.from_s <= b.from_s);
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -19,23 +19,24 @@
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::turns::{TurnAnswer, TurnAsk, TurnEnd};
 use crate::process::wire::{
-    AccountStatus, AgentOrders, ControlRefusal, ControlStatus, EntryOrders, Notice, TableStatus,
+    AccountStatus, AgentHeartbeatReply, ControlRefusal, ControlStatus, EntryHeartbeatReply,
+    PositionUpdate, TableStatus,
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
 use crate::table::quota::{QuotaAsk, QuotaGrants};
 
 /// Where the answer to an event goes.
-pub type Answer<T> = oneshot::Sender<Result<T, ControlRefusal>>;
+pub type ReplySender<T> = oneshot::Sender<Result<T, ControlRefusal>>;
 
 /// What reaches the voter's thread.
 pub enum ControlEvent {
     /// A message from a voter.
     Raft(NodeId, HostName, RaftMessage),
     /// A process with a blank disk asks to be made a voter.
-    Enroll(NodeId, HostName, Answer<Notice>),
+    Enroll(NodeId, HostName, ReplySender<PositionUpdate>),
     /// Commit a command.
-    Propose(Command, Answer<(Position, Reply)>),
+    Propose(Command, ReplySender<(Position, Reply)>),
     /// The changes after a cursor.
     Sync {
         /// The cursor.
@@ -45,33 +46,33 @@
         /// Only from a state that is surely the newest.
         fresh: bool,
         /// The asker.
-        answer: Answer<SyncPage>,
+        answer: ReplySender<SyncPage>,
     },
     /// An agent's beat.
-    Agent(AgentBeat, Answer<AgentOrders>),
+    AgentHeartbeat(AgentBeat, ReplySender<AgentHeartbeatReply>),
     /// An entry's beat.
-    Entry(EntryBeat, Answer<EntryOrders>),
+    EntryHeartbeat(EntryBeat, ReplySender<EntryHeartbeatReply>),
     /// The table.
-    Table(Answer<TableStatus>),
+    Table(ReplySender<TableStatus>),
     /// A claim.
-    Claim(ClaimKey, Answer<Option<ClaimRecord>>),
+    Claim(ClaimKey, ReplySender<Option<ClaimRecord>>),
     /// This voter's account of itself.
     Status(oneshot::Sender<ControlStatus>),
     /// Hosts that the platform's list names as leaving.
-    Platform(BTreeSet<HostName>),
+    LeavingHosts(BTreeSet<HostName>),
     /// How far this voter has come.
-    Notice {
+    PositionUpdate {
         /// Wait for a change after this.
         cursor: Position,
         /// How long to wait for it, in milliseconds.
         wait_ms: u64,
         /// The asker.
-        answer: Answer<Notice>,
+        answer: ReplySender<PositionUpdate>,
     },
     /// The configuration, from a state that is surely the newest.
-    Configuration(Answer<Option<ConfigurationRecord>>),
+    Configuration(ReplySender<Option<ConfigurationRecord>>),
     /// The version of the newest configuration; for the leader.
-    Confirm(Answer<u64>),
+    Confirm(ReplySender<u64>),
     /// The leader confirmed that version, asked at a moment of this host's steady clock.
     Confirmed {
         /// The version; 0 for none.
@@ -80,47 +81,47 @@
         asked_ms: u64,
     },
     /// An entry draws from quotas; for the leader.
-    Quota(QuotaAsk, Answer<QuotaGrants>),
+    Quota(QuotaAsk, ReplySender<QuotaGrants>),
     /// All client accounts, for operators; for the leader.
-    Accounts(Answer<Vec<AccountStatus>>),
+    Accounts(ReplySender<Vec<AccountStatus>>),
     /// Replicas that a control host has heard; for the leader.
-    Heard(Vec<ReplicaId>, Answer<()>),
+    ReplicasSeen(Vec<ReplicaId>, ReplySender<()>),
     /// An entry's report; for the leader.
-    Report(EntryReport, Answer<ReportReply>),
+    Report(EntryReport, ReplySender<ReportReply>),
     /// What an entry has waiting at replicas; for the leader.
-    Crowd(CrowdReport, Answer<WaitingTokens>),
+    QueuedTokens(CrowdReport, ReplySender<WaitingTokens>),
     /// An entry's wish; for the leader.
-    Wish(AdapterPlace, Answer<bool>),
+    AdapterRequest(AdapterPlace, ReplySender<bool>),
     /// An entry asks for the turn of a suspect content; for the leader.
-    Turn(TurnAsk, Answer<TurnAnswer>),
+    SuspectLease(TurnAsk, ReplySender<TurnAnswer>),
     /// A turn has ended; for the leader.
-    TurnEnded(TurnEnd, Answer<()>),
+    SuspectLeaseEnd(TurnEnd, ReplySender<()>),
     /// Whether one request may go to a replica that takes few; for the leader.
-    Permit(PermitRequest, Answer<PermitReply>),
+    Permit(PermitRequest, ReplySender<PermitReply>),
     /// What an entry heard of replicas' limits; for the leader.
-    Limits(LimitReport, Answer<LimitPage>),
+    Limits(LimitReport, ReplySender<LimitPage>),
     /// The contents under which replicas ended, from a state that is surely the newest.
-    Contents(Answer<CrashBook>),
+    Contents(ReplySender<CrashBook>),
     /// Whether an order of that term may leave now, and for how long.
-    MayOrder(Term, Answer<SendPermit>),
+    OrderPermit(Term, ReplySender<SendPermit>),
     /// An engine's answer to an order of this leader.
-    Ordered(EngineOrder, OrderOutcome),
+    OrderDone(EngineOrder, OrderOutcome),
     /// Compares a replica's heartbeat with what is committed here.
-    Compare(Box<ReplicaRecord>, Answer<BeatNews>),
+    Compare(Box<ReplicaRecord>, ReplySender<BeatNews>),
     /// Stop: hand over first.
     Stop(oneshot::Sender<()>),
 }
 
 impl ControlEvent {
     /// Whether it asks for a state that nothing newer can exist besides.
-    pub(super) fn reads_newest(&self) -> bool {
+    pub(super) fn is_linearizable(&self) -> bool {
         match self {
             Self::Configuration(_)
             | Self::Table(_)
             | Self::Claim(..)
             | Self::Confirm(_)
             | Self::Contents(_)
-            | Self::Turn(..) => true,
+            | Self::SuspectLease(..) => true,
             Self::Sync { fresh, .. } => *fresh,
             _ => false,
         }
@@ -141,9 +142,9 @@
 
 impl ControlHandle {
     /// Asks, and waits for the answer.
-    pub async fn ask<T>(
+    pub async fn request<T>(
         &self,
-        make: impl FnOnce(Answer<T>) -> ControlEvent,
+        make: impl FnOnce(ReplySender<T>) -> ControlEvent,
     ) -> Result<T, ControlRefusal> {
         let (answer, wait) = oneshot::channel();
         let sent = self.0.send(make(answer));
@@ -154,7 +155,7 @@
     }
 
     /// Tells, and waits for nothing.
-    pub fn tell(&self, event: ControlEvent) {
+    pub fn notify(&self, event: ControlEvent) {
         let _ = self.0.send(event);
     }
 }
--- a/src/control/journal.rs
+++ b/src/control/journal.rs
@@ -20,9 +20,9 @@
 use crate::process::daemon::DaemonError;
 use crate::process::settings::VoterSettings;
 
-const HEADER_LEN: usize = 12;
+const HEADER_BYTES: usize = 12;
 /// Longest frame: a snapshot fits, a damaged length does not allocate more.
-const MAX_FRAME: usize = 1 << 30;
+const MAX_FRAME_BYTES: usize = 1 << 30;
 const LOG_FILE: &str = "log";
 const SNAPSHOT_FILE: &str = "snapshot";
 const IDENTITY_FILE: &str = "identity";
@@ -144,9 +144,9 @@
         let mut image = DiskImage::default();
         load_snapshot(folder, &mut image)?;
         let path = folder.join(LOG_FILE);
-        let sound = load_log(&path, &mut image)?;
+        let valid_len = load_log(&path, &mut image)?;
         let log = open_log(&path)?;
-        log.set_len(sound as u64).context(IoSnafu {
+        log.set_len(valid_len as u64).context(IoSnafu {
             step: "cut the torn tail of",
             path: &path,
         })?;
@@ -159,7 +159,7 @@
             folder: folder.to_owned(),
             log,
             identity,
-            written: sound as u64,
+            written: valid_len as u64,
             write_check: None,
         };
         Ok((journal, image))
@@ -187,7 +187,7 @@
     pub fn save(&mut self, records: &[DiskRecord]) -> Result<()> {
         let mut left = records;
         while !left.is_empty() {
-            let saved = self.save_part(left)?;
+            let saved = self.save_prefix(left)?;
             left = &left[saved..];
         }
         Ok(())
@@ -195,7 +195,7 @@
 
     /// Saves the first records, at least one, and returns how many: a snapshot, or
     /// all up to the next snapshot.
-    pub fn save_part(&mut self, records: &[DiskRecord]) -> Result<usize> {
+    pub fn save_prefix(&mut self, records: &[DiskRecord]) -> Result<usize> {
         if let Some(DiskRecord::Install(snapshot)) = records.first() {
             self.install(snapshot)?;
             return Ok(1);
@@ -217,7 +217,7 @@
         let appended = self.try_append(bytes);
         match &appended {
             Ok(()) => self.written += bytes.len() as u64,
-            Err(error) if error.is_full() => self.cut_log()?,
+            Err(error) if error.is_full() => self.truncate_torn_tail()?,
             Err(_) => {}
         }
         appended
@@ -225,7 +225,7 @@
 
     fn try_append(&mut self, bytes: &[u8]) -> Result<()> {
         let path = self.folder.join(LOG_FILE);
-        self.ask_write(bytes.len()).context(IoSnafu {
+        self.check_write(bytes.len()).context(IoSnafu {
             step: "append to",
             path: &path,
         })?;
@@ -240,7 +240,7 @@
     }
 
     /// Takes back what a write has left behind that did not get through.
-    fn cut_log(&mut self) -> Result<()> {
+    fn truncate_torn_tail(&mut self) -> Result<()> {
         let path = self.folder.join(LOG_FILE);
         self.log.set_len(self.written).context(IoSnafu {
             step: "cut the torn tail of",
@@ -248,7 +248,7 @@
         })
     }
 
-    fn ask_write(&mut self, len: usize) -> io::Result<()> {
+    fn check_write(&mut self, len: usize) -> io::Result<()> {
         match &mut self.write_check {
             Some(check) => check(len),
             None => Ok(()),
@@ -264,7 +264,7 @@
         load_log(&path, &mut image)?;
         let mut frame = Vec::new();
         push_frame(&mut frame, snapshot);
-        self.ask_write(frame.len()).context(IoSnafu {
+        self.check_write(frame.len()).context(IoSnafu {
             step: "write",
             path: self.folder.join(SNAPSHOT_FILE),
         })?;
@@ -302,34 +302,34 @@
 }
 
 enum Frame<'a> {
-    Whole { body: &'a [u8], next: usize },
+    Complete { body: &'a [u8], next: usize },
     Torn,
     Damaged(&'static str),
 }
 
-fn word(bytes: &[u8], at: usize) -> u32 {
-    let mut word = [0; 4];
-    word.copy_from_slice(&bytes[at..at + 4]);
-    u32::from_le_bytes(word)
+fn read_u32(bytes: &[u8], at: usize) -> u32 {
+    let mut le_bytes = [0; 4];
+    le_bytes.copy_from_slice(&bytes[at..at + 4]);
+    u32::from_le_bytes(le_bytes)
 }
 
 fn read_frame(bytes: &[u8], offset: usize) -> Frame<'_> {
     let rest = &bytes[offset..];
     // A file grown by a write that never reached the disk reads as zeros.
-    if rest.len() < HEADER_LEN || rest.iter().all(|byte| *byte == 0) {
+    if rest.len() < HEADER_BYTES || rest.iter().all(|byte| *byte == 0) {
         return Frame::Torn;
     }
-    let len = word(rest, 0) as usize;
-    if crc32fast::hash(&rest[..4]) != word(rest, 4) || len > MAX_FRAME {
+    let len = read_u32(rest, 0) as usize;
+    if crc32fast::hash(&rest[..4]) != read_u32(rest, 4) || len > MAX_FRAME_BYTES {
         return Frame::Damaged("the checksum of a length is wrong");
     }
-    let next = HEADER_LEN + len;
+    let next = HEADER_BYTES + len;
     if rest.len() < next {
         return Frame::Torn;
     }
-    let body = &rest[HEADER_LEN..next];
-    match crc32fast::hash(body) == word(rest, 8) {
-        true => Frame::Whole {
+    let body = &rest[HEADER_BYTES..next];
+    match crc32fast::hash(body) == read_u32(rest, 8) {
+        true => Frame::Complete {
             body,
             next: offset + next,
         },
@@ -357,7 +357,7 @@
     Ok(bytes)
 }
 
-fn damaged<T>(path: &Path, offset: usize, what: &'static str) -> Result<T> {
+fn damage_error<T>(path: &Path, offset: usize, what: &'static str) -> Result<T> {
     Err(JournalError::Damaged {
         path: path.to_owned(),
         offset,
@@ -372,10 +372,10 @@
     while offset < bytes.len() {
         match read_frame(&bytes, offset) {
             Frame::Torn => break,
-            Frame::Damaged(what) => return damaged(path, offset, what),
-            Frame::Whole { body, next } => {
+            Frame::Damaged(what) => return damage_error(path, offset, what),
+            Frame::Complete { body, next } => {
                 let Ok(record) = bincode::deserialize(body) else {
-                    return damaged(path, offset, "a record does not decode");
+                    return damage_error(path, offset, "a record does not decode");
                 };
                 replay(image, record);
                 offset = next;
@@ -401,12 +401,12 @@
         return Ok(());
     }
     match read_frame(&bytes, 0) {
-        Frame::Whole { body, .. } => match bincode::deserialize(body) {
+        Frame::Complete { body, .. } => match bincode::deserialize(body) {
             Ok(snapshot) => image.snapshot = snapshot,
-            Err(_) => return damaged(&path, 0, "the snapshot does not decode"),
+            Err(_) => return damage_error(&path, 0, "the snapshot does not decode"),
         },
-        Frame::Torn => return damaged(&path, 0, "the snapshot is cut short"),
-        Frame::Damaged(what) => return damaged(&path, 0, what),
+        Frame::Torn => return damage_error(&path, 0, "the snapshot is cut short"),
+        Frame::Damaged(what) => return damage_error(&path, 0, what),
     }
     Ok(())
 }
@@ -414,16 +414,16 @@
 /// Makes a folder that lasts: after a loss of power, a folder without its name would pass
 /// for a disk that was lost, with all that was acknowledged on it.
 fn make_folder(folder: &Path) -> Result<()> {
-    let missing = folder.ancestors().take_while(|made| !made.exists());
-    let missing: Vec<&Path> = missing.collect();
+    let created = folder.ancestors().take_while(|ancestor| !ancestor.exists());
+    let created: Vec<&Path> = created.collect();
     fs::create_dir_all(folder).context(IoSnafu {
         step: "create",
         path: folder,
     })?;
-    let holders = missing.into_iter().filter_map(Path::parent);
-    for holder in holders {
-        let here = holder.as_os_str().is_empty();
-        sync_folder(if here { Path::new(".") } else { holder })?;
+    let parents = created.into_iter().filter_map(Path::parent);
+    for parent in parents {
+        let is_relative = parent.as_os_str().is_empty();
+        sync_folder(if is_relative { Path::new(".") } else { parent })?;
     }
     Ok(())
 }
@@ -435,11 +435,11 @@
     match bytes.is_empty() {
         true => Ok(None),
         false => match read_frame(&bytes, 0) {
-            Frame::Whole { body, .. } => match bincode::deserialize(body) {
+            Frame::Complete { body, .. } => match bincode::deserialize(body) {
                 Ok(value) => Ok(Some(value)),
-                Err(_) => damaged(&path, 0, "the value does not decode"),
+                Err(_) => damage_error(&path, 0, "the value does not decode"),
             },
-            _ => damaged(&path, 0, "the value is cut short or changed"),
+            _ => damage_error(&path, 0, "the value is cut short or changed"),
         },
     }
 }
@@ -459,22 +459,22 @@
 /// Replaces a file so that a crash leaves the old or the new content whole.
 fn replace(folder: &Path, name: &str, bytes: &[u8]) -> Result<()> {
     let path = folder.join(name);
-    let fresh = folder.join(format!("{name}.new"));
-    let mut file = File::create(&fresh).context(IoSnafu {
+    let temp_path = folder.join(format!("{name}.new"));
+    let mut file = File::create(&temp_path).context(IoSnafu {
         step: "create",
-        path: &fresh,
+        path: &temp_path,
     })?;
     file.write_all(bytes).context(IoSnafu {
         step: "write",
-        path: &fresh,
+        path: &temp_path,
     })?;
     file.sync_all().context(IoSnafu {
         step: "sync",
-        path: &fresh,
+        path: &temp_path,
     })?;
-    fs::rename(&fresh, &path).context(IoSnafu {
+    fs::rename(&temp_path, &path).context(IoSnafu {
         step: "rename",
-        path: &fresh,
+        path: &temp_path,
     })?;
     sync_folder(folder)
 }
--- a/src/control/order_dispatcher.rs
+++ b/src/control/order_dispatcher.rs
@@ -28,20 +28,20 @@
 use crate::process::daemon;
 
 /// Time for one call to an engine.
-const CALL_TIME: Duration = Duration::from_millis(800);
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time to connect to an engine.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Pause before an engine's report shows what came before.
-const REPORT_LAG: Duration = Duration::from_millis(300);
+const REPORT_DELAY: Duration = Duration::from_millis(300);
 /// Time in which an adapter arrives after its order was taken.
-const ADAPTER_TIME: Duration = Duration::from_millis(30);
+const ADAPTER_LOAD_DELAY: Duration = Duration::from_millis(30);
 /// Time between two renewals of the permit of an order that is on its way: several in a
 /// lease, which lasts for some 400 ms.
-const RENEW_EVERY: Duration = Duration::from_millis(50);
+const RENEW_INTERVAL: Duration = Duration::from_millis(50);
 /// Tries of one order.
-const MAX_TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// Longest body of an engine's answer, in bytes.
-const MAX_BODY: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 /// A call to an engine, as its deployment words it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
 
 impl EngineReport {
     /// Whether what an order asks for holds.
-    fn shows(&self, order: &EngineOrder) -> bool {
+    fn is_fulfilled(&self, order: &EngineOrder) -> bool {
         let held = self.models.get(&order.model);
         let there = match &order.adapter {
             Some(adapter) => held.is_some_and(|adapters| adapters.contains(adapter)),
@@ -103,11 +103,11 @@
 ) {
     let counts: RefCell<BTreeMap<ReplicaLife, OrderCount>> = RefCell::default();
     while let Some(order) = orders.recv().await {
-        let count = count_of(&mut counts.borrow_mut(), order.life());
+        let count = order_count(&mut counts.borrow_mut(), order.life());
         let handle = handle.clone();
         daemon::spawn_local(async move {
             let mut count = count.lock().await;
-            let outcome = carry_out(&order, &mut count, &handle, &dialect).await;
+            let outcome = deliver(&order, &mut count, &handle, &dialect).await;
             tracing::info!(
                 order = %order.id(), replica = %order.replica, kind = ?order.kind,
                 model = %order.model, adapter = order.adapter, term = %order.fence,
@@ -115,36 +115,36 @@
             );
             drop(count);
             if order.adapter.is_some() && outcome == OrderOutcome::Taken {
-                tokio::time::sleep(ADAPTER_TIME).await;
+                tokio::time::sleep(ADAPTER_LOAD_DELAY).await;
             }
-            handle.tell(ControlEvent::Ordered(order, outcome));
+            handle.notify(ControlEvent::OrderDone(order, outcome));
         });
     }
 }
 
 /// The count of one life: the next one counts from the start, and that of the life before
 /// would be taken for it where both have the same id.
-fn count_of(counts: &mut BTreeMap<ReplicaLife, OrderCount>, life: ReplicaLife) -> OrderCount {
+fn order_count(counts: &mut BTreeMap<ReplicaLife, OrderCount>, life: ReplicaLife) -> OrderCount {
     counts.retain(|other, _| other.id != life.id || *other == life);
     counts.entry(life).or_default().clone()
 }
 
-async fn carry_out(
+async fn deliver(
     order: &EngineOrder,
     count: &mut Option<u64>,
     handle: &ControlHandle,
     dialect: &EngineDialect,
 ) -> OrderOutcome {
-    let mut unanswered: Option<u64> = None;
-    for number in 1..=MAX_TRIES {
+    let mut unconfirmed: Option<u64> = None;
+    for number in 1..=MAX_ATTEMPTS {
         let expected = match *count {
             Some(known) => known,
-            None => match ask_report(order, dialect).await {
+            None => match query_report(order, dialect).await {
                 // A count that has risen doesn't show whose order was taken: a leader before
                 // may have sent one that is carried out only now. What is there shows it.
                 Some(report)
-                    if unanswered.is_some_and(|tried| report.orders > tried)
-                        && report.shows(order) =>
+                    if unconfirmed.is_some_and(|sent_count| report.orders > sent_count)
+                        && report.is_fulfilled(order) =>
                 {
                     *count = Some(report.orders);
                     return match order.kind {
@@ -156,17 +156,17 @@
                 None => continue,
             },
         };
-        let permission = Permission {
+        let permits = PermitClient {
             handle,
             order,
             number,
         };
-        let outcome = match try_once(permission, expected, dialect).await {
-            TryEnd::Answered(outcome) => outcome,
-            TryEnd::NoAnswer => OrderOutcome::Unknown,
-            TryEnd::HeldBack if unanswered.is_some() => return OrderOutcome::Unknown,
+        let outcome = match attempt_once(permits, expected, dialect).await {
+            AttemptEnd::Answered(outcome) => outcome,
+            AttemptEnd::NoReply => OrderOutcome::Unknown,
+            AttemptEnd::NotSent if unconfirmed.is_some() => return OrderOutcome::Unknown,
             // What surely never left may be given again at once, by whoever leads.
-            TryEnd::HeldBack => return OrderOutcome::Busy,
+            AttemptEnd::NotSent => return OrderOutcome::Busy,
         };
         match outcome {
             OrderOutcome::Taken => {
@@ -174,11 +174,11 @@
                 return outcome;
             }
             OrderOutcome::Unknown => {
-                unanswered = Some(expected);
+                unconfirmed = Some(expected);
                 *count = None;
             }
             // It says nothing of the try before, which may still be carried out.
-            OrderOutcome::Busy if unanswered.is_some() => {
+            OrderOutcome::Busy if unconfirmed.is_some() => {
                 *count = None;
                 return OrderOutcome::Unknown;
             }
@@ -192,51 +192,55 @@
                 return outcome;
             }
         }
-        tokio::time::sleep(REPORT_LAG).await;
+        tokio::time::sleep(REPORT_DELAY).await;
     }
     OrderOutcome::Unknown
 }
 
 /// What became of one try of an order.
-enum TryEnd {
+enum AttemptEnd {
     /// The engine answered.
     Answered(OrderOutcome),
     /// It may be carried out, or not.
-    NoAnswer,
+    NoReply,
     /// It never left: its leader decides no more.
-    HeldBack,
+    NotSent,
 }
 
-async fn try_once(permission: Permission<'_>, expected: u64, dialect: &EngineDialect) -> TryEnd {
-    let Permission { order, number, .. } = permission;
+async fn attempt_once(
+    permits: PermitClient<'_>,
+    expected: u64,
+    dialect: &EngineDialect,
+) -> AttemptEnd {
+    let PermitClient { order, number, .. } = permits;
     let call = (dialect.order)(order, expected);
-    match exchange(order.address, &call, Some(permission)).await {
-        Ok((status, _)) => TryEnd::Answered((dialect.outcome)(status)),
-        Err(CallError::Deposed) => {
+    match exchange(order.address, &call, Some(permits)).await {
+        Ok((status, _)) => AttemptEnd::Answered((dialect.outcome)(status)),
+        Err(CallError::NotLeader) => {
             tracing::info!(
                 order = %order.id(), number, replica = %order.replica, term = %order.fence,
                 "an order was held back: its leader decides no more"
             );
-            TryEnd::HeldBack
+            AttemptEnd::NotSent
         }
-        Err(CallError::CutOff) => {
+        Err(CallError::LeaseExpired) => {
             tracing::warn!(
                 order = %order.id(), number, replica = %order.replica, term = %order.fence,
                 "an order was cut off: its leader's lease ended"
             );
-            TryEnd::NoAnswer
+            AttemptEnd::NoReply
         }
         Err(error) => {
             tracing::warn!(
                 %error, order = %order.id(), number, replica = %order.replica,
                 "an order got no answer"
             );
-            TryEnd::NoAnswer
+            AttemptEnd::NoReply
         }
     }
 }
 
-async fn ask_report(order: &EngineOrder, dialect: &EngineDialect) -> Option<EngineReport> {
+async fn query_report(order: &EngineOrder, dialect: &EngineDialect) -> Option<EngineReport> {
     let call = (dialect.report)(&order.replica);
     match exchange(order.address, &call, None).await {
         Ok((200, body)) => (dialect.read_report)(&body),
@@ -255,38 +259,38 @@
     },
     /// Nothing was sent: the leader decides no more.
     #[snafu(display("the leader decides no more"))]
-    Deposed,
+    NotLeader,
     /// It was reset, perhaps after it was sent: nobody renewed the permit.
     #[snafu(display("the leader's lease ended before an answer came"))]
-    CutOff,
+    LeaseExpired,
 }
 
 /// Who is asked whether an order may leave.
 #[derive(Clone, Copy)]
-struct Permission<'a> {
+struct PermitClient<'a> {
     handle: &'a ControlHandle,
     order: &'a EngineOrder,
     /// Which try of the order it is, from 1.
     number: u32,
 }
 
-impl Permission<'_> {
+impl PermitClient<'_> {
     /// Leave to send; none where the leader decides no more.
-    async fn ask(self) -> Option<SendPermit> {
+    async fn request(self) -> Option<SendPermit> {
         let term = self.order.fence;
         let may = self
             .handle
-            .ask(|answer| ControlEvent::MayOrder(term, answer));
+            .request(|answer| ControlEvent::OrderPermit(term, answer));
         may.await.ok()
     }
 
     /// Returns once the permit has ended. It is renewed before, as the voter may be held up
     /// by its disk for longer than it lasts.
-    async fn ended(self, mut permit: SendPermit) {
-        while let Some(left) = rest_of(permit) {
-            tokio::time::sleep(RENEW_EVERY.min(left)).await;
-            let left = rest_of(permit).unwrap_or_default();
-            match tokio::time::timeout(left, self.ask()).await {
+    async fn expired(self, mut permit: SendPermit) {
+        while let Some(left) = remaining(permit) {
+            tokio::time::sleep(RENEW_INTERVAL.min(left)).await;
+            let left = remaining(permit).unwrap_or_default();
+            match tokio::time::timeout(left, self.request()).await {
                 Ok(Some(renewed)) => permit = renewed,
                 // Until its end no other leader decides, whatever became of this one.
                 Ok(None) => tokio::time::sleep(left).await,
@@ -295,7 +299,7 @@
         }
     }
 
-    fn note_sent(self, left: Duration) {
+    fn log_sent(self, left: Duration) {
         let lease_left_ms = left.as_millis() as u64;
         tracing::info!(
             order = %self.order.id(), number = self.number, replica = %self.order.replica,
@@ -305,7 +309,7 @@
 }
 
 /// How long a permit still lasts; none after its end.
-fn rest_of(permit: SendPermit) -> Option<Duration> {
+fn remaining(permit: SendPermit) -> Option<Duration> {
     let left_ms = permit.until_ms.checked_sub(clock::monotonic_ms());
     let left_ms = left_ms.filter(|left_ms| *left_ms > 0);
     left_ms.map(Duration::from_millis)
@@ -315,37 +319,38 @@
 async fn exchange(
     address: SocketAddr,
     call: &EngineCall,
-    permission: Option<Permission<'_>>,
+    permits: Option<PermitClient<'_>>,
 ) -> Result<(u16, Vec<u8>), CallError> {
     let late = |_| ExchangeError::Closed { peer: address };
-    let called = tokio::time::timeout(CALL_TIME, exchange_in_time(address, call, permission)).await;
+    let called =
+        tokio::time::timeout(CALL_TIMEOUT, exchange_unbounded(address, call, permits)).await;
     called.map_err(late)?
 }
 
-async fn exchange_in_time(
+async fn exchange_unbounded(
     address: SocketAddr,
     call: &EngineCall,
-    permission: Option<Permission<'_>>,
+    permits: Option<PermitClient<'_>>,
 ) -> Result<(u16, Vec<u8>), CallError> {
-    let connection = Connection::open(address, CONNECT_TIME).await?;
-    let text = call_text(address, call);
-    let Some(permission) = permission else {
-        return call_on(connection, call.method, &text).await;
+    let connection = Connection::open(address, CONNECT_TIMEOUT).await?;
+    let text = request_text(address, call);
+    let Some(permits) = permits else {
+        return send_request(connection, call.method, &text).await;
     };
-    let permit = permission.ask().await.ok_or(CallError::Deposed)?;
-    let left = rest_of(permit).ok_or(CallError::CutOff)?;
+    let permit = permits.request().await.ok_or(CallError::NotLeader)?;
+    let left = remaining(permit).ok_or(CallError::LeaseExpired)?;
     connection.bound_sending(left)?;
-    permission.note_sent(left);
+    permits.log_sent(left);
     tokio::select! {
         // The clock is looked at right before the first write, and again first of all where
         // this process stood still. Dropping the call resets its connection.
         biased;
-        () = permission.ended(permit) => Err(CallError::CutOff),
-        answered = call_on(connection, call.method, &text) => answered,
+        () = permits.expired(permit) => Err(CallError::LeaseExpired),
+        answered = send_request(connection, call.method, &text) => answered,
     }
 }
 
-fn call_text(address: SocketAddr, call: &EngineCall) -> String {
+fn request_text(address: SocketAddr, call: &EngineCall) -> String {
     let mut text = format!("{} {} HTTP/1.1\r\n", call.method, call.path);
     head::push_header(&mut text, "Host", &address.to_string());
     head::push_header(&mut text, "Connection", "close");
@@ -361,7 +366,7 @@
     text
 }
 
-async fn call_on(
+async fn send_request(
     connection: Connection,
     method: &str,
     text: &str,
@@ -376,7 +381,7 @@
     let mut body = Vec::new();
     while let Some(bytes) = exchange.next().await? {
         body.extend_from_slice(&bytes);
-        if body.len() > MAX_BODY {
+        if body.len() > MAX_BODY_BYTES {
             break;
         }
     }
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -21,17 +21,17 @@
 use crate::table::configuration::{Configuration, ConfigurationError, ConfigurationRecord};
 
 /// Time within which a replica's call is answered: it goes elsewhere after a second.
-const BEAT_TIME: Duration = Duration::from_millis(900);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time within which an operator's call is answered.
-const CONFIGURE_TIME: Duration = Duration::from_millis(900);
+const CONFIGURE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time for one call to the leader.
-const LEADER_TIME: Duration = Duration::from_millis(700);
+const LEADER_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time for one call of a host without a log, so that another one can be asked.
-const RELAY_TIME: Duration = Duration::from_millis(400);
+const RELAY_CALL_TIMEOUT: Duration = Duration::from_millis(400);
 /// Pause before a command is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(25);
+const RETRY_DELAY: Duration = Duration::from_millis(25);
 /// Time between two tellings of who was heard.
-const HEARD_EVERY: Duration = Duration::from_millis(400);
+const SEEN_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Why a call was not taken.
 #[derive(Debug, Snafu)]
@@ -59,7 +59,7 @@
     },
     /// The configuration names no such service.
     #[snafu(display("the configuration names no service '{service}'"))]
-    Foreign {
+    UnknownService {
         /// The service.
         service: ServiceName,
     },
@@ -71,9 +71,9 @@
 /// How a control host reaches the log.
 pub enum LogAccess {
     /// It keeps the log itself.
-    Own(ControlHandle),
+    Local(ControlHandle),
     /// It has no disk: all goes to the hosts that keep the log.
-    Relayed,
+    Remote,
 }
 
 /// One control host's way to the log.
@@ -82,7 +82,7 @@
     link: Arc<ControlLink>,
     /// The data halls that there are; empty where nobody has told.
     halls: BTreeSet<HallName>,
-    heard: Mutex<BTreeSet<ReplicaId>>,
+    seen: Mutex<BTreeSet<ReplicaId>>,
 }
 
 impl Registry {
@@ -92,29 +92,29 @@
             access,
             link,
             halls,
-            heard: Mutex::default(),
+            seen: Mutex::default(),
         }
     }
 
     /// A replica's heartbeat.
-    pub async fn beat(&self, record: ReplicaRecord) -> Result<(), RegistryError> {
+    pub async fn heartbeat(&self, record: ReplicaRecord) -> Result<(), RegistryError> {
         let id = record.id.clone();
-        self.heard().insert(id.clone());
+        self.seen().insert(id.clone());
         match self.compare(&record).await? {
             BeatNews::Known => Ok(()),
             BeatNews::Ended => Err(RegistryError::Ended),
-            BeatNews::Foreign => Err(RegistryError::Foreign {
+            BeatNews::Foreign => Err(RegistryError::UnknownService {
                 service: record.service,
             }),
             BeatNews::New => {
                 let phase = record.phase;
                 let models = record.models.len();
                 tracing::info!(replica = %id, service = %record.service, ?phase, models, "replica tells news");
-                let leaves = phase == ReplicaPhase::Draining;
+                let is_draining = phase == ReplicaPhase::Draining;
                 let command = Command::Replica(Box::new(record));
-                let committed = self.commit(command, BEAT_TIME).await;
+                let committed = self.commit(command, HEARTBEAT_TIMEOUT).await;
                 // A replica that stays may take requests before all know of it.
-                match (committed, leaves) {
+                match (committed, is_draining) {
                     (Err(error), true) => Err(error),
                     _ => Ok(()),
                 }
@@ -123,10 +123,10 @@
     }
 
     /// A replica that is leaving for good; it serves on for a while.
-    pub async fn leave(&self, id: ReplicaId) -> Result<(), RegistryError> {
+    pub async fn drain(&self, id: ReplicaId) -> Result<(), RegistryError> {
         tracing::info!(replica = %id, "replica leaves");
         let command = Command::ReplicaDrains(id);
-        self.commit(command, BEAT_TIME).await.map(|_| ())
+        self.commit(command, HEARTBEAT_TIMEOUT).await.map(|_| ())
     }
 
     /// An operator's configuration, with its text.
@@ -142,7 +142,7 @@
             source,
         };
         let command = Command::Configure(Box::new(record));
-        let reply = self.commit(command, CONFIGURE_TIME).await;
+        let reply = self.commit(command, CONFIGURE_TIMEOUT).await;
         tracing::info!(version, ?reply, "configuration");
         match reply? {
             Reply::Configured(ConfigureAnswer::Conflict) => {
@@ -166,81 +166,81 @@
             HallStanding::Evacuated => Command::Evacuate(hall.clone()),
             HallStanding::Open => Command::Restore(hall.clone()),
         };
-        let reply = self.commit(command, CONFIGURE_TIME).await;
+        let reply = self.commit(command, CONFIGURE_TIMEOUT).await;
         tracing::info!(%hall, ?standing, ?reply, "data hall");
         reply.map(|_| ())
     }
 
     /// The configuration, by a read that nothing newer can exist besides.
     pub async fn configuration(&self) -> Result<Option<ConfigurationRecord>, RegistryError> {
-        let give_up = Instant::now() + CONFIGURE_TIME;
+        let deadline = Instant::now() + CONFIGURE_TIMEOUT;
         loop {
-            let held = match self.ask_own(ControlEvent::Configuration).await {
+            let held = match self.request_local(ControlEvent::Configuration).await {
                 Err(ControlRefusal::NotLeader(Some(leader))) => {
-                    let context = peers::within(self.leader_time());
+                    let context = peers::within(self.leader_timeout());
                     let call = |client: ControlWireClient| async move {
                         client.configuration(context).await
                     };
-                    self.ask_leader(&leader, "configuration", call).await
+                    self.request_leader(&leader, "configuration", call).await
                 }
                 held => held,
             };
             match held {
                 Ok(record) => return Ok(record),
-                Err(_) if Instant::now() + RETRY_PAUSE >= give_up => {
+                Err(_) if Instant::now() + RETRY_DELAY >= deadline => {
                     return Err(RegistryError::NoQuorum);
                 }
-                Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
 
     /// Tells the leader, again and again, whom this host has heard.
-    pub async fn tell_heard(&self) {
+    pub async fn report_seen_replicas(&self) {
         loop {
-            tokio::time::sleep(HEARD_EVERY).await;
-            let ids: Vec<ReplicaId> = std::mem::take(&mut *self.heard()).into_iter().collect();
+            tokio::time::sleep(SEEN_REPORT_INTERVAL).await;
+            let ids: Vec<ReplicaId> = std::mem::take(&mut *self.seen()).into_iter().collect();
             if ids.is_empty() {
                 continue;
             }
-            let own = |answer| ControlEvent::Heard(ids.clone(), answer);
-            if let Err(ControlRefusal::NotLeader(Some(leader))) = self.ask_own(own).await {
-                let context = peers::within(self.leader_time());
+            let own = |answer| ControlEvent::ReplicasSeen(ids.clone(), answer);
+            if let Err(ControlRefusal::NotLeader(Some(leader))) = self.request_local(own).await {
+                let context = peers::within(self.leader_timeout());
                 let ids = ids.clone();
                 let call =
                     |client: ControlWireClient| async move { client.heard(context, ids).await };
                 // Replicas are heard again before long, here or elsewhere.
-                let _ = self.ask_leader(&leader, "heard", call).await;
+                let _ = self.request_leader(&leader, "heard", call).await;
             }
         }
     }
 
-    fn heard(&self) -> std::sync::MutexGuard<'_, BTreeSet<ReplicaId>> {
-        self.heard
+    fn seen(&self) -> std::sync::MutexGuard<'_, BTreeSet<ReplicaId>> {
+        self.seen
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    fn leader_time(&self) -> Duration {
+    fn leader_timeout(&self) -> Duration {
         match self.access {
-            LogAccess::Own(_) => LEADER_TIME,
-            LogAccess::Relayed => RELAY_TIME,
+            LogAccess::Local(_) => LEADER_CALL_TIMEOUT,
+            LogAccess::Remote => RELAY_CALL_TIMEOUT,
         }
     }
 
     /// Asks the log that this host keeps; one that keeps none names where to ask.
-    async fn ask_own<T>(
+    async fn request_local<T>(
         &self,
         make: impl FnOnce(oneshot::Sender<Result<T, ControlRefusal>>) -> ControlEvent,
     ) -> Result<T, ControlRefusal> {
         match &self.access {
-            LogAccess::Own(handle) => handle.ask(make).await,
-            LogAccess::Relayed => Err(ControlRefusal::NotLeader(self.link.presumed_leader())),
+            LogAccess::Local(handle) => handle.request(make).await,
+            LogAccess::Remote => Err(ControlRefusal::NotLeader(self.link.presumed_leader())),
         }
     }
 
     /// Asks the host that is taken for the leader, and notes what it answers.
-    async fn ask_leader<T, F>(
+    async fn request_leader<T, F>(
         &self,
         leader: &str,
         step: &'static str,
@@ -250,25 +250,28 @@
         F: Future<Output = Result<Result<T, ControlRefusal>, RpcError>>,
     {
         let called = self.link.call_at(leader, step, make).await;
-        self.link.note_answer(leader, told(called))
+        self.link.record_reply(leader, flatten_reply(called))
     }
 
     async fn compare(&self, record: &ReplicaRecord) -> Result<BeatNews, RegistryError> {
         match &self.access {
-            LogAccess::Own(handle) => {
+            LogAccess::Local(handle) => {
                 let record = Box::new(record.clone());
-                let asked = handle.ask(|answer| ControlEvent::Compare(record, answer));
-                let waited = tokio::time::timeout(BEAT_TIME, asked).await;
+                let asked = handle.request(|answer| ControlEvent::Compare(record, answer));
+                let waited = tokio::time::timeout(HEARTBEAT_TIMEOUT, asked).await;
                 let answered = waited.map_err(|_| RegistryError::NoQuorum)?;
                 answered.map_err(|_| RegistryError::NoQuorum)
             }
-            LogAccess::Relayed => {
+            LogAccess::Remote => {
                 let call = |client: ControlWireClient, _| {
                     let record = record.clone();
-                    let context = peers::within(RELAY_TIME);
+                    let context = peers::within(RELAY_CALL_TIMEOUT);
                     async move { client.compare(context, record).await }
                 };
-                let compared = self.link.decide("compare", BEAT_TIME, call).await;
+                let compared = self
+                    .link
+                    .call_leader("compare", HEARTBEAT_TIMEOUT, call)
+                    .await;
                 compared.map_err(|error| {
                     tracing::debug!(%error, "a heartbeat was not compared");
                     RegistryError::NoQuorum
@@ -279,22 +282,22 @@
 
     /// Commits a command here or at the leader. It may be committed more than
     /// once, so each command must be safe to repeat.
-    async fn commit(&self, command: Command, patience: Duration) -> Result<Reply, RegistryError> {
-        let give_up = Instant::now() + patience;
+    async fn commit(&self, command: Command, timeout: Duration) -> Result<Reply, RegistryError> {
+        let deadline = Instant::now() + timeout;
         loop {
             let propose = |answer| ControlEvent::Propose(command.clone(), answer);
-            let own = tokio::time::timeout_at(give_up.into(), self.ask_own(propose)).await;
+            let own = tokio::time::timeout_at(deadline.into(), self.request_local(propose)).await;
             let reply = match own {
                 Err(_) => return Err(RegistryError::NoQuorum),
                 Ok(Err(ControlRefusal::NotLeader(Some(leader)))) => {
                     let command = command.clone();
-                    let left = give_up.saturating_duration_since(Instant::now());
-                    let context = peers::within(self.leader_time().min(left));
+                    let left = deadline.saturating_duration_since(Instant::now());
+                    let context = peers::within(self.leader_timeout().min(left));
                     let call = |client: ControlWireClient| async move {
                         client.propose(context, command).await
                     };
-                    let asked = self.ask_leader(&leader, "propose", call);
-                    match tokio::time::timeout_at(give_up.into(), asked).await {
+                    let asked = self.request_leader(&leader, "propose", call);
+                    match tokio::time::timeout_at(deadline.into(), asked).await {
                         Ok(answer) => answer,
                         Err(_) => return Err(RegistryError::NoQuorum),
                     }
@@ -303,18 +306,20 @@
             };
             match reply {
                 Ok((_, reply)) => return Ok(reply),
-                Err(_) if Instant::now() + RETRY_PAUSE >= give_up => {
+                Err(_) if Instant::now() + RETRY_DELAY >= deadline => {
                     return Err(RegistryError::NoQuorum);
                 }
-                Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
 }
 
-fn told<T>(called: Result<Result<T, ControlRefusal>, PeerError>) -> Result<T, ControlRefusal> {
+fn flatten_reply<T>(
+    called: Result<Result<T, ControlRefusal>, PeerError>,
+) -> Result<T, ControlRefusal> {
     match called {
-        Ok(told) => told,
+        Ok(reply) => reply,
         Err(error) => {
             tracing::debug!(%error, "the leader did not answer");
             Err(ControlRefusal::NoQuorum)
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -31,29 +31,29 @@
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::turns::{TurnAnswer, TurnAsk, TurnEnd};
 use crate::process::daemon::{self, DaemonError};
-use crate::process::metrics::{MetricBook, MetricKey};
+use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{self, ControlLink, PeerError, SiteSecret};
 use crate::process::settings::CommonSettings;
 use crate::process::wire::{
-    AccountStatus, AgentOrders, ControlRefusal, ControlStatus, ControlWire, ControlWireClient,
-    EntryOrders, Notice, TableStatus,
+    AccountStatus, AgentHeartbeatReply, ControlRefusal, ControlStatus, ControlWire,
+    ControlWireClient, EntryHeartbeatReply, PositionUpdate, TableStatus,
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
 use crate::table::quota::{QuotaAsk, QuotaGrants};
 
 /// Pause before an asker that knows nothing yet is answered: it asks again at once.
-const NOTICE_PAUSE: Duration = Duration::from_millis(100);
+const EMPTY_UPDATE_DELAY: Duration = Duration::from_millis(100);
 /// Hosts that enrolled, remembered until the hosts that keep the log are known.
-const MAX_ENROLLED: usize = 64;
+const MAX_ENROLLED_HOSTS: usize = 64;
 /// Time without word of a leader until the relay is not ready, in milliseconds.
 const STALE_MS: u64 = 10_000;
 /// How long a host that keeps the log may hold a question, in milliseconds.
 const WATCH_WAIT_MS: u64 = 1_000;
 /// Time for such a question.
-const WATCH_TIME: Duration = Duration::from_millis(1_600);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// Pause after a host that did not answer, or that had hosts to tell of.
-const WATCH_PAUSE: Duration = Duration::from_millis(250);
+const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A running relay.
 pub struct RelayDaemon {
@@ -61,7 +61,7 @@
     pub address: SocketAddr,
     /// Where metrics and health are served.
     pub watch: SocketAddr,
-    hosts: Arc<HostBook>,
+    hosts: Arc<HostRegistry>,
 }
 
 impl RelayDaemon {
@@ -99,26 +99,26 @@
         let named = settings.control.iter().map(|voter| voter.host.clone());
         let named: BTreeSet<HostName> = named.collect();
         let is_named = named.contains(&settings.host);
-        let book = is_named.then(|| NamingBook::new(named, Incarnation(rand::random())));
-        Self::open(listener, settings, secret, book).await
+        let acceptor = is_named.then(|| NamingBook::new(named, Incarnation(rand::random())));
+        Self::open(listener, settings, secret, acceptor).await
     }
 
     async fn open(
         listener: TcpListener,
         settings: CommonSettings,
         secret: SiteSecret,
-        book: Option<NamingBook>,
+        acceptor: Option<NamingBook>,
     ) -> Result<Self, DaemonError> {
         let address = daemon::address_of("listen", &listener)?;
         let named = settings.control.iter();
         let others = named.filter(|voter| voter.host != settings.host);
         let others: Vec<String> = others.map(|voter| voter.address.to_string()).collect();
         let link = Arc::new(ControlLink::new(secret.clone(), Vec::new()));
-        let hosts = Arc::new(HostBook {
+        let hosts = Arc::new(HostRegistry {
             own: settings.host.clone(),
             hall: settings.hall.clone(),
             link,
-            fresh_ms: AtomicU64::new(0),
+            leader_seen_ms: AtomicU64::new(0),
         });
         for other in &others {
             hosts.watch(other);
@@ -126,14 +126,14 @@
         let relay = RelayServer {
             hosts: hosts.clone(),
             enrolled: Arc::default(),
-            naming: Arc::new(Naming {
+            agreement: Arc::new(BootstrapAgreement {
                 others,
-                book: book.map(Mutex::new),
+                acceptor: acceptor.map(Mutex::new),
                 founder: tokio::sync::Mutex::default(),
             }),
         };
         serve(listener, secret, relay);
-        let watch = serve_watch(settings.watch, hosts.clone()).await?;
+        let watch = serve_health(settings.watch, hosts.clone()).await?;
         tracing::info!(%address, %watch, "relay started: no disk, no vote");
         Ok(Self {
             address,
@@ -143,7 +143,7 @@
     }
 
     /// Watches further control hosts, after a change of the settings.
-    pub fn learn_control(&self, control: &[SocketAddr]) {
+    pub fn add_control_hosts(&self, control: &[SocketAddr]) {
         for address in control {
             self.hosts.watch(&address.to_string());
         }
@@ -166,43 +166,46 @@
     tokio::spawn(peers::listen(listener, secret, serve));
 }
 
-async fn serve_watch(address: SocketAddr, hosts: Arc<HostBook>) -> Result<SocketAddr, DaemonError> {
+async fn serve_health(
+    address: SocketAddr,
+    hosts: Arc<HostRegistry>,
+) -> Result<SocketAddr, DaemonError> {
     let read = move || {
         let stale_ms = hosts.stale_ms();
-        let mut book = MetricBook::default();
-        book.gauge(MetricKey::new("dunlinspring_relay_stale_ms", &[]), stale_ms);
-        let page = daemon::WatchPage {
+        let mut metrics = MetricRegistry::default();
+        metrics.gauge(MetricKey::new("dunlinspring_relay_stale_ms", &[]), stale_ms);
+        let page = daemon::HealthPage {
             ready: stale_ms < STALE_MS,
-            metrics: book.render(),
+            metrics: metrics.render(),
         };
-        Box::pin(async move { page }) as daemon::WatchRead
+        Box::pin(async move { page }) as daemon::HealthFuture
     };
-    daemon::serve_watch(address, Arc::new(read)).await
+    daemon::serve_health(address, Arc::new(read)).await
 }
 
 /// The control hosts that a relay knows, and how fresh their word of a leader is.
-struct HostBook {
+struct HostRegistry {
     own: HostName,
     hall: HallName,
     link: Arc<ControlLink>,
     /// When a leader was last known to lead, by this host's steady clock.
-    fresh_ms: AtomicU64,
+    leader_seen_ms: AtomicU64,
 }
 
-impl HostBook {
+impl HostRegistry {
     fn stale_ms(&self) -> u64 {
-        clock::monotonic_ms().saturating_sub(self.fresh_ms.load(Ordering::SeqCst))
+        clock::monotonic_ms().saturating_sub(self.leader_seen_ms.load(Ordering::SeqCst))
     }
 
     /// Watches a control host, and from then on each that it names.
     fn watch(self: &Arc<Self>, address: &str) {
-        if address != self.own.0 && self.link.learn(address) {
+        if address != self.own.0 && self.link.add_host(address) {
             tokio::spawn(watch_host(self.clone(), address.to_owned()));
         }
     }
 
-    async fn ask(&self, address: &str, cursor: Position) -> Result<Notice, PeerError> {
-        let context = peers::within(WATCH_TIME);
+    async fn query(&self, address: &str, cursor: Position) -> Result<PositionUpdate, PeerError> {
+        let context = peers::within(WATCH_TIMEOUT);
         let call = |client: ControlWireClient| async move {
             client.notice(context, cursor, WATCH_WAIT_MS).await
         };
@@ -216,7 +219,7 @@
 }
 
 /// Boxed, as the hosts that one names are watched in turn.
-fn watch_host(hosts: Arc<HostBook>, address: String) -> BoxFuture<'static, ()> {
+fn watch_host(hosts: Arc<HostRegistry>, address: String) -> BoxFuture<'static, ()> {
     Box::pin(async move {
         loop {
             // A relay without a leader wants all names at once; else only whether
@@ -226,76 +229,80 @@
                 _ => Position(u64::MAX),
             };
             let asked_ms = clock::monotonic_ms();
-            match hosts.ask(&address, cursor).await {
+            match hosts.query(&address, cursor).await {
                 Ok(notice) => {
                     for host in &notice.hosts {
                         hosts.watch(host.as_str());
                     }
-                    let fresh_ms = asked_ms.saturating_sub(notice.leaderless_ms);
-                    hosts.fresh_ms.fetch_max(fresh_ms, Ordering::SeqCst);
+                    let leader_seen_ms = asked_ms.saturating_sub(notice.leaderless_ms);
+                    hosts
+                        .leader_seen_ms
+                        .fetch_max(leader_seen_ms, Ordering::SeqCst);
                 }
                 Err(error) => tracing::debug!(%error, "a control host is silent"),
             }
-            tokio::time::sleep(WATCH_PAUSE).await;
+            tokio::time::sleep(WATCH_INTERVAL).await;
         }
     })
 }
 
 #[derive(Clone)]
 struct RelayServer {
-    hosts: Arc<HostBook>,
+    hosts: Arc<HostRegistry>,
     /// Hosts with a disk that asked to become voters here.
     enrolled: Arc<Mutex<BTreeSet<HostName>>>,
-    naming: Arc<Naming>,
+    agreement: Arc<BootstrapAgreement>,
 }
 
 /// Who founds the site, as far as this relay knows.
-struct Naming {
+struct BootstrapAgreement {
     /// The other named hosts.
     others: Vec<String>,
     /// This relay's part in naming; none where it may have forgotten what it did.
-    book: Option<Mutex<NamingBook>>,
+    acceptor: Option<Mutex<NamingBook>>,
     /// The host that was named. Held while it is agreed on, so that one host that asks
     /// waits for the other's try.
     founder: tokio::sync::Mutex<Option<HostName>>,
 }
 
-impl Naming {
+impl BootstrapAgreement {
     /// One try to have `host` named; whoever was named before stays so.
-    async fn agree(&self, link: &ControlLink, host: &HostName) -> Option<HostName> {
-        let book = self.book.as_ref()?;
-        let ask = peers::lock(book).begin();
-        let promises = self.ask_all(link, book, &ask).await?;
+    async fn run_round(&self, link: &ControlLink, host: &HostName) -> Option<HostName> {
+        let acceptor = self.acceptor.as_ref()?;
+        let request = peers::lock(acceptor).begin();
+        let promises = self.query_all(link, acceptor, &request).await?;
         let founder = naming::name_after(&promises, host);
-        let ask = ask.record(founder.clone());
-        self.ask_all(link, book, &ask).await.map(|_| founder)
+        let request = request.record(founder.clone());
+        self.query_all(link, acceptor, &request)
+            .await
+            .map(|_| founder)
     }
 
     /// The answers of all named hosts, if a majority granted what was asked.
-    async fn ask_all(
+    async fn query_all(
         &self,
         link: &ControlLink,
-        book: &Mutex<NamingBook>,
-        ask: &NamingAsk,
+        acceptor: &Mutex<NamingBook>,
+        request: &NamingAsk,
     ) -> Option<Vec<NamingAnswer>> {
-        let mut answers = bootstrap::ask_named(link, &self.others, ask).await;
-        let mut book = peers::lock(book);
-        answers.push(book.answer(ask));
-        book.is_granted(&answers).then_some(answers)
+        let mut answers = bootstrap::query_named_hosts(link, &self.others, request).await;
+        let mut acceptor = peers::lock(acceptor);
+        answers.push(acceptor.answer(request));
+        acceptor.is_granted(&answers).then_some(answers)
     }
 }
 
 impl RelayServer {
-    fn elsewhere(&self) -> ControlRefusal {
+    fn not_leader(&self) -> ControlRefusal {
         ControlRefusal::NotLeader(self.hosts.link.confirmed())
     }
 
-    fn known_hosts(&self) -> Notice {
+    fn known_hosts(&self) -> PositionUpdate {
         let known = self.hosts.link.addresses().into_iter().map(HostName);
         let enrolled = peers::lock(&self.enrolled).clone();
         let others = known.chain(enrolled);
         let hosts: BTreeSet<HostName> = others.collect();
-        Notice {
+        PositionUpdate {
             hall: self.hosts.hall.clone(),
             position: Position(0),
             leaderless_ms: clock::monotonic_ms(),
@@ -310,9 +317,14 @@
         tracing::debug!(%from, "a voter's message came to a host without a log");
     }
 
-    async fn enroll(self, _: Context, _: NodeId, host: HostName) -> Result<Notice, ControlRefusal> {
+    async fn enroll(
+        self,
+        _: Context,
+        _: NodeId,
+        host: HostName,
+    ) -> Result<PositionUpdate, ControlRefusal> {
         let mut enrolled = peers::lock(&self.enrolled);
-        if enrolled.len() < MAX_ENROLLED {
+        if enrolled.len() < MAX_ENROLLED_HOSTS {
             enrolled.insert(host);
         }
         drop(enrolled);
@@ -326,27 +338,35 @@
         _: u64,
         _: bool,
     ) -> Result<SyncPage, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn propose(self, _: Context, _: Command) -> Result<(Position, Reply), ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
-    async fn agent_beat(self, _: Context, _: AgentBeat) -> Result<AgentOrders, ControlRefusal> {
-        Err(self.elsewhere())
+    async fn agent_beat(
+        self,
+        _: Context,
+        _: AgentBeat,
+    ) -> Result<AgentHeartbeatReply, ControlRefusal> {
+        Err(self.not_leader())
     }
 
-    async fn entry_beat(self, _: Context, _: EntryBeat) -> Result<EntryOrders, ControlRefusal> {
-        Err(self.elsewhere())
+    async fn entry_beat(
+        self,
+        _: Context,
+        _: EntryBeat,
+    ) -> Result<EntryHeartbeatReply, ControlRefusal> {
+        Err(self.not_leader())
     }
 
     async fn table(self, _: Context) -> Result<TableStatus, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn claim(self, _: Context, _: ClaimKey) -> Result<Option<ClaimRecord>, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn notice(
@@ -354,11 +374,11 @@
         _: Context,
         cursor: Position,
         wait_ms: u64,
-    ) -> Result<Notice, ControlRefusal> {
+    ) -> Result<PositionUpdate, ControlRefusal> {
         let wait = Duration::from_millis(wait_ms);
         // Whoever follows the log has nothing to learn here.
         let pause = match cursor {
-            Position(0) => NOTICE_PAUSE.min(wait),
+            Position(0) => EMPTY_UPDATE_DELAY.min(wait),
             _ => wait,
         };
         tokio::time::sleep(pause).await;
@@ -369,59 +389,59 @@
         self,
         _: Context,
     ) -> Result<Option<ConfigurationRecord>, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn confirm(self, _: Context) -> Result<u64, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn quota(self, _: Context, _: QuotaAsk) -> Result<QuotaGrants, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn accounts(self, _: Context) -> Result<Vec<AccountStatus>, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn heard(self, _: Context, _: Vec<ReplicaId>) -> Result<(), ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn report(self, _: Context, _: EntryReport) -> Result<ReportReply, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn crowd(self, _: Context, _: CrowdReport) -> Result<WaitingTokens, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn wish(self, _: Context, _: AdapterPlace) -> Result<bool, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn turn(self, _: Context, _: TurnAsk) -> Result<TurnAnswer, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn end_turn(self, _: Context, _: TurnEnd) -> Result<(), ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn permit(self, _: Context, _: PermitRequest) -> Result<PermitReply, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn limits(self, _: Context, _: LimitReport) -> Result<LimitPage, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn contents(self, _: Context) -> Result<CrashBook, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn compare(self, _: Context, _: ReplicaRecord) -> Result<BeatNews, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn keeps_log(self, _: Context) -> bool {
@@ -434,12 +454,12 @@
 
     async fn appoint(self, _: Context, host: HostName) -> Result<HostName, ControlRefusal> {
         let link = &self.hosts.link;
-        let mut named = self.naming.founder.lock().await;
+        let mut named = self.agreement.founder.lock().await;
         if let Some(founder) = &*named {
             return Ok(founder.clone());
         }
-        let Some(founder) = self.naming.agree(link, &host).await else {
-            let founded = bootstrap::founded_host(link).await.map(Some);
+        let Some(founder) = self.agreement.run_round(link, &host).await else {
+            let founded = bootstrap::find_bootstrapped_host(link).await.map(Some);
             return Err(founded.map_or(ControlRefusal::NoQuorum, ControlRefusal::NotLeader));
         };
         self.hosts.watch(founder.as_str());
@@ -448,10 +468,10 @@
         Ok(founder)
     }
 
-    async fn naming(self, _: Context, ask: NamingAsk) -> NamingAnswer {
-        let book = self.naming.book.as_ref();
-        book.map_or(NamingAnswer::Abstains, |book| {
-            peers::lock(book).answer(&ask)
+    async fn naming(self, _: Context, request: NamingAsk) -> NamingAnswer {
+        let acceptor = self.agreement.acceptor.as_ref();
+        acceptor.map_or(NamingAnswer::Abstains, |acceptor| {
+            peers::lock(acceptor).answer(&request)
         })
     }
 
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -19,7 +19,7 @@
 use crate::consensus::naming::{NamingAnswer, NamingAsk};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
-use crate::control::bootstrap::{self, FoundingPart};
+use crate::control::bootstrap::{self, InitialRole};
 use crate::control::event::{ControlEvent, ControlHandle};
 use crate::control::journal;
 use crate::control::outbox::{OpenPeer, PeerOutbox};
@@ -33,36 +33,36 @@
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::turns::{TurnAnswer, TurnAsk, TurnEnd};
 use crate::process::daemon::{self, DaemonError};
-use crate::process::metrics::{MetricBook, MetricKey};
+use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{self, ControlLink, PeerPool, SiteSecret};
 use crate::process::settings::{ControlSettings, VoterSettings};
 use crate::process::wire::{
-    AccountStatus, AgentOrders, ControlRefusal, ControlStatus, ControlWire, ControlWireClient,
-    EntryOrders, Notice, TableStatus,
+    AccountStatus, AgentHeartbeatReply, ControlRefusal, ControlStatus, ControlWire,
+    ControlWireClient, EntryHeartbeatReply, PositionUpdate, TableStatus,
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
 use crate::table::quota::{QuotaAsk, QuotaGrants};
 
 /// Messages that wait for one peer.
-const OUTBOX: usize = 64;
+const OUTBOX_CAPACITY: usize = 64;
 /// Time for one message to a peer.
-const MESSAGE_TIME: Duration = Duration::from_millis(500);
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time between two questions to the leader for the newest configuration: its age at
 /// members grows by this.
-const CONFIRM_EVERY: Duration = Duration::from_millis(250);
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two looks at the platform's list, and two enrolments.
-const POLL: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Pages of everything that leave at a time, and how long each counts: after a loss of
 /// power all members ask at once, and each page is a megabyte at thousands of replicas.
-const WHOLE_PAGES: usize = 24;
-/// See [`WHOLE_PAGES`].
-const WHOLE_PAGE_HOLD: Duration = Duration::from_millis(200);
+const MAX_FULL_SNAPSHOTS: usize = 24;
+/// See [`MAX_FULL_SNAPSHOTS`].
+const FULL_SNAPSHOT_HOLD: Duration = Duration::from_millis(200);
 /// Longest wait for a turn; then another host may have room.
-const WHOLE_PAGE_WAIT: Duration = Duration::from_millis(300);
+const FULL_SNAPSHOT_WAIT: Duration = Duration::from_millis(300);
 /// Calls that one peer may have under way.
-const CALLS_A_PEER: usize = 4096;
+const MAX_CALLS_PER_PEER: usize = 4096;
 
 /// A running control daemon.
 pub struct ControlDaemon {
@@ -120,7 +120,7 @@
         serve(listener, secret.clone(), handle.clone());
         // Also where a first start was broken off: only this disk still knows of it.
         if let Some(named) = bootstrap::unfinished_first_start(&settings)? {
-            found_site(secret, &settings, &named).await?;
+            bootstrap_site(secret, &settings, &named).await?;
             // Founders know each other from nowhere else until they have a leader.
             let control = &mut settings.common.control;
             let others = named.into_iter().filter(|voter| !control.contains(voter));
@@ -137,7 +137,7 @@
         let spawned = thread::Builder::new()
             .name("voter".to_owned())
             .spawn(move || {
-                daemon::enter_logs();
+                daemon::enter_log_span();
                 let result = control.run(inbox).map_err(DaemonError::from);
                 let _ = end.send(result);
             });
@@ -149,7 +149,7 @@
             daemon::spawn_local(watch_platform(url, handle.clone()));
         }
         tokio::spawn(confirm(pool.clone(), handle.clone()));
-        let watch = serve_watch(&settings, handle.clone()).await?;
+        let watch = serve_health(&settings, handle.clone()).await?;
         tracing::info!(%address, %watch, %node, learner, "control started");
         Ok(Self {
             address,
@@ -183,23 +183,23 @@
     /// Hands over and stops.
     pub async fn stop(&self) {
         let (answer, done) = oneshot::channel();
-        self.handle.tell(ControlEvent::Stop(answer));
+        self.handle.notify(ControlEvent::Stop(answer));
         let _ = done.await;
     }
 }
 
 /// Takes part in the site's first start, among the hosts that were named then.
-async fn found_site(
+async fn bootstrap_site(
     secret: SiteSecret,
     settings: &ControlSettings,
     named: &[VoterSettings],
 ) -> Result<(), DaemonError> {
     let link = ControlLink::new(secret, Vec::new());
-    let part = bootstrap::agree(&link, &settings.common.host, named).await;
+    let part = bootstrap::determine_role(&link, &settings.common.host, named).await;
     tracing::info!(?part, "the site starts for the first time");
     match part {
-        FoundingPart::Founds(founders) => Ok(bootstrap::found_by(settings, founders.iter())?),
-        FoundingPart::Joins => Ok(()),
+        InitialRole::Founds(founders) => Ok(bootstrap::init_voter(settings, founders.iter())?),
+        InitialRole::Joins => Ok(()),
     }
 }
 
@@ -213,7 +213,7 @@
     let runtime = tokio::runtime::Handle::current();
     let pool = pool.clone();
     let open = move |peer: String| {
-        let (sender, receiver) = mpsc::channel(OUTBOX);
+        let (sender, receiver) = mpsc::channel(OUTBOX_CAPACITY);
         tracing::debug!(%peer, "sends to a voter");
         runtime.spawn(send_messages(pool.clone(), from.clone(), peer, receiver));
         sender
@@ -238,7 +238,7 @@
 ) {
     while let Some(message) = messages.recv().await {
         let (node, host) = from.clone();
-        let context = peers::within(MESSAGE_TIME);
+        let context = peers::within(MESSAGE_TIMEOUT);
         let sent = pool
             .call(&peer, "raft", |client| async move {
                 client.raft(context, node, host, message).await
@@ -260,7 +260,7 @@
             }
             let (link, own) = (link.clone(), own.clone());
             tokio::spawn(async move {
-                let context = peers::within(MESSAGE_TIME);
+                let context = peers::within(MESSAGE_TIMEOUT);
                 let call =
                     |client: ControlWireClient| async move { client.announce(context, own).await };
                 if let Err(error) = link.call_at(&address, "announce", call).await {
@@ -268,7 +268,7 @@
                 }
             });
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -285,11 +285,11 @@
     let known: Arc<Mutex<BTreeSet<String>>> = Arc::new(Mutex::new(named.collect()));
     let own = settings.common.host.clone();
     loop {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let status = status(&handle).await;
-        let settled =
+        let is_settled =
             |status: &ControlStatus| status.voters.contains(&node) && status.leader.is_some();
-        if status.as_ref().is_some_and(settled) {
+        if status.as_ref().is_some_and(is_settled) {
             continue;
         }
         let peers = peers::lock(&known).clone();
@@ -297,7 +297,7 @@
             let (pool, known, own) = (pool.clone(), known.clone(), own.clone());
             let open = settings.open_membership;
             tokio::spawn(async move {
-                let context = peers::within(MESSAGE_TIME);
+                let context = peers::within(MESSAGE_TIMEOUT);
                 let call = |client: ControlWireClient| async move {
                     client.enroll(context, node, own).await
                 };
@@ -315,16 +315,17 @@
 /// who ask here are told how old this host's word is.
 async fn confirm(pool: Arc<PeerPool<ControlWireClient>>, handle: ControlHandle) {
     loop {
-        tokio::time::sleep(CONFIRM_EVERY).await;
-        let Err(ControlRefusal::NotLeader(Some(leader))) = handle.ask(ControlEvent::Confirm).await
+        tokio::time::sleep(CONFIRM_INTERVAL).await;
+        let Err(ControlRefusal::NotLeader(Some(leader))) =
+            handle.request(ControlEvent::Confirm).await
         else {
             continue;
         };
         let asked_ms = clock::monotonic_ms();
-        let context = peers::within(MESSAGE_TIME);
+        let context = peers::within(MESSAGE_TIMEOUT);
         let call = |client: ControlWireClient| async move { client.confirm(context).await };
         match pool.call(&leader, "confirm", call).await {
-            Ok(Ok(version)) => handle.tell(ControlEvent::Confirmed { version, asked_ms }),
+            Ok(Ok(version)) => handle.notify(ControlEvent::Confirmed { version, asked_ms }),
             Ok(Err(refusal)) => tracing::debug!(?refusal, peer = %leader, "not confirmed"),
             Err(error) => tracing::debug!(%error, "not confirmed"),
         }
@@ -334,10 +335,10 @@
 async fn watch_platform(url: String, handle: ControlHandle) {
     loop {
         match daemon::get_json::<PlatformHosts>(&url).await {
-            Ok(list) => handle.tell(ControlEvent::Platform(list.leaving)),
+            Ok(list) => handle.notify(ControlEvent::LeavingHosts(list.leaving)),
             Err(error) => tracing::debug!(%error, "cannot read the platform's list"),
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -352,18 +353,18 @@
 struct ControlServer {
     handle: ControlHandle,
     /// Pages from nothing that may be under way.
-    whole_pages: Arc<Semaphore>,
+    full_snapshots: Arc<Semaphore>,
 }
 
 impl ControlServer {
     /// Waits for its turn with a page that holds everything.
-    async fn await_turn(&self) -> Result<(), ControlRefusal> {
-        let turn = self.whole_pages.clone().acquire_owned();
-        let Ok(Ok(permit)) = tokio::time::timeout(WHOLE_PAGE_WAIT, turn).await else {
+    async fn acquire_snapshot_slot(&self) -> Result<(), ControlRefusal> {
+        let slot = self.full_snapshots.clone().acquire_owned();
+        let Ok(Ok(permit)) = tokio::time::timeout(FULL_SNAPSHOT_WAIT, slot).await else {
             return Err(ControlRefusal::Busy);
         };
         tokio::spawn(async move {
-            tokio::time::sleep(WHOLE_PAGE_HOLD).await;
+            tokio::time::sleep(FULL_SNAPSHOT_HOLD).await;
             drop(permit);
         });
         Ok(())
@@ -372,7 +373,7 @@
 
 impl ControlWire for ControlServer {
     async fn raft(self, _: Context, from: NodeId, host: HostName, message: RaftMessage) {
-        self.handle.tell(ControlEvent::Raft(from, host, message));
+        self.handle.notify(ControlEvent::Raft(from, host, message));
     }
 
     async fn enroll(
@@ -380,9 +381,9 @@
         _: Context,
         node: NodeId,
         host: HostName,
-    ) -> Result<Notice, ControlRefusal> {
+    ) -> Result<PositionUpdate, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Enroll(node, host, answer))
+            .request(|answer| ControlEvent::Enroll(node, host, answer))
             .await
     }
 
@@ -394,7 +395,7 @@
         fresh: bool,
     ) -> Result<SyncPage, ControlRefusal> {
         if cursor == Position(0) {
-            self.await_turn().await?;
+            self.acquire_snapshot_slot().await?;
         }
         let event = |answer| ControlEvent::Sync {
             cursor,
@@ -402,7 +403,7 @@
             fresh,
             answer,
         };
-        self.handle.ask(event).await
+        self.handle.request(event).await
     }
 
     async fn propose(
@@ -411,29 +412,37 @@
         command: Command,
     ) -> Result<(Position, Reply), ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Propose(command, answer))
+            .request(|answer| ControlEvent::Propose(command, answer))
             .await
     }
 
-    async fn agent_beat(self, _: Context, beat: AgentBeat) -> Result<AgentOrders, ControlRefusal> {
+    async fn agent_beat(
+        self,
+        _: Context,
+        beat: AgentBeat,
+    ) -> Result<AgentHeartbeatReply, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Agent(beat, answer))
+            .request(|answer| ControlEvent::AgentHeartbeat(beat, answer))
             .await
     }
 
-    async fn entry_beat(self, _: Context, beat: EntryBeat) -> Result<EntryOrders, ControlRefusal> {
+    async fn entry_beat(
+        self,
+        _: Context,
+        beat: EntryBeat,
+    ) -> Result<EntryHeartbeatReply, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Entry(beat, answer))
+            .request(|answer| ControlEvent::EntryHeartbeat(beat, answer))
             .await
     }
 
     async fn table(self, _: Context) -> Result<TableStatus, ControlRefusal> {
-        self.handle.ask(ControlEvent::Table).await
+        self.handle.request(ControlEvent::Table).await
     }
 
     async fn claim(self, _: Context, key: ClaimKey) -> Result<Option<ClaimRecord>, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Claim(key, answer))
+            .request(|answer| ControlEvent::Claim(key, answer))
             .await
     }
 
@@ -442,69 +451,69 @@
         _: Context,
         cursor: Position,
         wait_ms: u64,
-    ) -> Result<Notice, ControlRefusal> {
-        let event = |answer| ControlEvent::Notice {
+    ) -> Result<PositionUpdate, ControlRefusal> {
+        let event = |answer| ControlEvent::PositionUpdate {
             cursor,
             wait_ms,
             answer,
         };
-        self.handle.ask(event).await
+        self.handle.request(event).await
     }
 
     async fn configuration(
         self,
         _: Context,
     ) -> Result<Option<ConfigurationRecord>, ControlRefusal> {
-        self.handle.ask(ControlEvent::Configuration).await
+        self.handle.request(ControlEvent::Configuration).await
     }
 
     async fn confirm(self, _: Context) -> Result<u64, ControlRefusal> {
-        self.handle.ask(ControlEvent::Confirm).await
+        self.handle.request(ControlEvent::Confirm).await
     }
 
-    async fn quota(self, _: Context, ask: QuotaAsk) -> Result<QuotaGrants, ControlRefusal> {
+    async fn quota(self, _: Context, request: QuotaAsk) -> Result<QuotaGrants, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Quota(ask, answer))
+            .request(|answer| ControlEvent::Quota(request, answer))
             .await
     }
 
     async fn accounts(self, _: Context) -> Result<Vec<AccountStatus>, ControlRefusal> {
-        self.handle.ask(ControlEvent::Accounts).await
+        self.handle.request(ControlEvent::Accounts).await
     }
 
     async fn heard(self, _: Context, ids: Vec<ReplicaId>) -> Result<(), ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Heard(ids, answer))
+            .request(|answer| ControlEvent::ReplicasSeen(ids, answer))
             .await
     }
 
     async fn report(self, _: Context, report: EntryReport) -> Result<ReportReply, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Report(report, answer))
+            .request(|answer| ControlEvent::Report(report, answer))
             .await
     }
 
     async fn crowd(self, _: Context, report: CrowdReport) -> Result<WaitingTokens, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Crowd(report, answer))
+            .request(|answer| ControlEvent::QueuedTokens(report, answer))
             .await
     }
 
-    async fn wish(self, _: Context, wish: AdapterPlace) -> Result<bool, ControlRefusal> {
+    async fn wish(self, _: Context, request: AdapterPlace) -> Result<bool, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Wish(wish, answer))
+            .request(|answer| ControlEvent::AdapterRequest(request, answer))
             .await
     }
 
-    async fn turn(self, _: Context, ask: TurnAsk) -> Result<TurnAnswer, ControlRefusal> {
+    async fn turn(self, _: Context, request: TurnAsk) -> Result<TurnAnswer, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Turn(ask, answer))
+            .request(|answer| ControlEvent::SuspectLease(request, answer))
             .await
     }
 
     async fn end_turn(self, _: Context, end: TurnEnd) -> Result<(), ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::TurnEnded(end, answer))
+            .request(|answer| ControlEvent::SuspectLeaseEnd(end, answer))
             .await
     }
 
@@ -514,23 +523,23 @@
         request: PermitRequest,
     ) -> Result<PermitReply, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Permit(request, answer))
+            .request(|answer| ControlEvent::Permit(request, answer))
             .await
     }
 
     async fn limits(self, _: Context, report: LimitReport) -> Result<LimitPage, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Limits(report, answer))
+            .request(|answer| ControlEvent::Limits(report, answer))
             .await
     }
 
     async fn contents(self, _: Context) -> Result<CrashBook, ControlRefusal> {
-        self.handle.ask(ControlEvent::Contents).await
+        self.handle.request(ControlEvent::Contents).await
     }
 
     async fn compare(self, _: Context, record: ReplicaRecord) -> Result<BeatNews, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Compare(Box::new(record), answer))
+            .request(|answer| ControlEvent::Compare(Box::new(record), answer))
             .await
     }
 
@@ -553,19 +562,20 @@
     }
 
     async fn status(self, _: Context) -> ControlStatus {
-        let told = status(&self.handle).await;
-        told.unwrap_or_else(|| ControlStatus::without_log(HostName(String::new())))
+        let status = status(&self.handle).await;
+        status.unwrap_or_else(|| ControlStatus::without_log(HostName(String::new())))
     }
 }
 
 fn serve(listener: TcpListener, secret: SiteSecret, handle: ControlHandle) {
     let server = ControlServer {
         handle,
-        whole_pages: Arc::new(Semaphore::new(WHOLE_PAGES)),
+        full_snapshots: Arc::new(Semaphore::new(MAX_FULL_SNAPSHOTS)),
     };
     let serve = move |transport| {
         let server = server.clone();
-        let channel = BaseChannel::with_defaults(transport).max_concurrent_requests(CALLS_A_PEER);
+        let channel =
+            BaseChannel::with_defaults(transport).max_concurrent_requests(MAX_CALLS_PER_PEER);
         tokio::spawn(channel.execute(server.serve()).for_each(|call| async {
             tokio::spawn(call);
         }));
@@ -575,11 +585,11 @@
 
 async fn status(handle: &ControlHandle) -> Option<ControlStatus> {
     let (answer, wait) = oneshot::channel();
-    handle.tell(ControlEvent::Status(answer));
+    handle.notify(ControlEvent::Status(answer));
     wait.await.ok()
 }
 
-async fn serve_watch(
+async fn serve_health(
     settings: &ControlSettings,
     handle: ControlHandle,
 ) -> Result<SocketAddr, DaemonError> {
@@ -589,14 +599,14 @@
             let status = status(&handle).await;
             let ready = status.as_ref().is_some_and(|s| s.leader.is_some());
             let metrics = status.map(|status| render(&status)).unwrap_or_default();
-            daemon::WatchPage { ready, metrics }
-        }) as daemon::WatchRead
+            daemon::HealthPage { ready, metrics }
+        }) as daemon::HealthFuture
     };
-    daemon::serve_watch(settings.common.watch, Arc::new(read)).await
+    daemon::serve_health(settings.common.watch, Arc::new(read)).await
 }
 
 fn render(status: &ControlStatus) -> String {
-    let mut book = MetricBook::default();
+    let mut metrics = MetricRegistry::default();
     let gauges = [
         ("dunlinspring_log_position", status.position.0),
         ("dunlinspring_term", status.term.0),
@@ -611,7 +621,7 @@
         ("dunlinspring_claims", status.claims as u64),
     ];
     for (name, value) in gauges {
-        book.gauge(MetricKey::new(name, &[]), value);
+        metrics.gauge(MetricKey::new(name, &[]), value);
     }
-    book.render()
+    metrics.render()
 }
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -13,7 +13,7 @@
 use crate::consensus::replica::LogReplica;
 use crate::consensus::state::{Command, Reply, SiteState};
 use crate::control::bootstrap;
-use crate::control::event::{Answer, ControlEvent, SendPermit};
+use crate::control::event::{ControlEvent, ReplySender, SendPermit};
 use crate::control::journal::{DiskJournal, JournalError, WriteCheck};
 use crate::control::outbox::PeerOutbox;
 use crate::ids::{HostName, NodeId, Position, ReplicaLife, TargetName, Term};
@@ -26,8 +26,8 @@
 use crate::placement::turns::{TurnAnswer, TurnAsk, TurnDesk};
 use crate::process::settings::ControlSettings;
 use crate::process::wire::{
-    self, AccountStatus, AgentOrders, ControlRefusal, ControlStatus, EntryOrders, LimitStatus,
-    Notice, TableStatus,
+    self, AccountStatus, AgentHeartbeatReply, ControlRefusal, ControlStatus, EntryHeartbeatReply,
+    LimitStatus, PositionUpdate, TableStatus,
 };
 use crate::routing::authority::FreshnessProof;
 use crate::routing::view::{self, SyncPage};
@@ -35,33 +35,33 @@
 use crate::table::quota::QuotaGrantor;
 
 /// Longest pause between two looks at the clock.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// Most events that share one sync.
-const MAX_BATCH: usize = 1024;
+const MAX_BATCH_EVENTS: usize = 1024;
 /// Longest wait of a [`ControlEvent::Sync`].
 const MAX_SYNC_WAIT_MS: u64 = 2_000;
 /// Least time between two tellings of changes to members, in milliseconds. A change that
 /// comes alone is told at once; where replicas change hundreds of times a second, a member
 /// asks and pulls ten times a second rather than each time.
-const NEWS_GAP_MS: u64 = 100;
+const NOTIFY_INTERVAL_MS: u64 = 100;
 /// Silence after which an even set of voters sheds one, in milliseconds.
-const SHED_MS: u64 = 3_000;
+const SHED_VOTER_MS: u64 = 3_000;
 /// Whoever leads in it has no predecessor.
 const FIRST_TERM: Term = Term(1);
 /// Pause before a full disk is tried again.
-const FULL_PAUSE: Duration = Duration::from_millis(100);
+const DISK_FULL_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time that a stopping leader waits for its heir.
-const HANDOVER_MS: u64 = 2_000;
+const HANDOVER_TIMEOUT_MS: u64 = 2_000;
 
-enum WaiterAnswer {
-    Page(Answer<SyncPage>),
-    Notice(Answer<Notice>),
+enum WaiterReply {
+    Page(ReplySender<SyncPage>),
+    PositionUpdate(ReplySender<PositionUpdate>),
 }
 
 struct SyncWaiter {
     cursor: Position,
     until_ms: u64,
-    answer: WaiterAnswer,
+    answer: WaiterReply,
 }
 
 /// Whether the voter goes on.
@@ -73,8 +73,8 @@
 
 /// Drops what comes for a while, as a network would: askers are refused and go
 /// elsewhere. A stop is obeyed.
-fn pass_over(events: &Receiver<ControlEvent>) -> RunState {
-    let until_ms = clock::monotonic_ms() + FULL_PAUSE.as_millis() as u64;
+fn discard_events(events: &Receiver<ControlEvent>) -> RunState {
+    let until_ms = clock::monotonic_ms() + DISK_FULL_RETRY_DELAY.as_millis() as u64;
     loop {
         let left_ms = until_ms.saturating_sub(clock::monotonic_ms());
         match events.recv_timeout(Duration::from_millis(left_ms)) {
@@ -94,31 +94,31 @@
     settings: ControlSettings,
     replica: LogReplica,
     journal: DiskJournal,
-    duties: Option<LeaderDuties>,
+    targets: Option<LeaderDuties>,
     fleet: Option<FleetDuties>,
     quotas: Option<QuotaGrantor>,
-    turns: Option<TurnDesk>,
+    suspect_leases: Option<TurnDesk>,
     rates: Option<ReplicaRates>,
     /// The newest configuration that a leader confirmed, and when this host asked.
     confirmed: Option<(u64, u64)>,
     orders: Option<mpsc::UnboundedSender<EngineOrder>>,
-    awaiting: BTreeMap<Position, (Term, Answer<(Position, Reply)>)>,
+    pending_proposals: BTreeMap<Position, (Term, ReplySender<(Position, Reply)>)>,
     waiters: Vec<SyncWaiter>,
     /// When members were last told of a change.
-    told_ms: u64,
+    notified_ms: u64,
     hosts: BTreeMap<NodeId, HostName>,
     /// Hosts that this leader has proposed to note.
-    noted: BTreeSet<(NodeId, HostName)>,
+    proposed_hosts: BTreeSet<(NodeId, HostName)>,
     outbox: PeerOutbox,
     /// Reads that wait for the end of this batch of events.
     deferred: Vec<ControlEvent>,
-    stopping: Option<VoterStop>,
+    stopping: Option<StopRequest>,
     /// The latest end of a [`SendPermit`] that was given.
-    permitted_ms: u64,
+    permitted_until_ms: u64,
 }
 
 /// A stop that was asked for.
-struct VoterStop {
+struct StopRequest {
     since_ms: u64,
     answer: oneshot::Sender<()>,
     /// An heir has been asked to stand. Until then it is tried again: this voter may win an
@@ -140,7 +140,7 @@
             settings.compact_after,
         );
         let voters = settings.common.control.iter();
-        let hosts = voters.map(|voter| (bootstrap::founder_id(&voter.host), voter.host.clone()));
+        let hosts = voters.map(|voter| (bootstrap::voter_id(&voter.host), voter.host.clone()));
         let mut hosts: BTreeMap<NodeId, HostName> = hosts.collect();
         // The newest hosts may stand in entries that are not known to be committed.
         hosts.extend(replica.logged_hosts());
@@ -149,22 +149,22 @@
             settings,
             replica,
             journal,
-            duties: None,
+            targets: None,
             fleet: None,
             quotas: None,
-            turns: None,
+            suspect_leases: None,
             rates: None,
             confirmed: None,
             orders: None,
-            awaiting: BTreeMap::new(),
+            pending_proposals: BTreeMap::new(),
             waiters: Vec::new(),
-            told_ms: 0,
+            notified_ms: 0,
             hosts,
-            noted: BTreeSet::new(),
+            proposed_hosts: BTreeSet::new(),
             outbox: PeerOutbox::default(),
             deferred: Vec::new(),
             stopping: None,
-            permitted_ms: 0,
+            permitted_until_ms: 0,
         })
     }
 
@@ -197,17 +197,17 @@
     /// nothing more, as it cannot know what it has kept.
     pub fn run(mut self, events: Receiver<ControlEvent>) -> Result<(), JournalError> {
         loop {
-            match events.recv_timeout(TICK) {
+            match events.recv_timeout(TICK_INTERVAL) {
                 Ok(event) => {
                     self.handle(event);
-                    for event in events.try_iter().take(MAX_BATCH) {
+                    for event in events.try_iter().take(MAX_BATCH_EVENTS) {
                         self.handle(event);
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
-            self.on_time();
+            self.on_tick();
             if self.finish(&events)? == RunState::Stopped || self.is_stopped() {
                 return Ok(());
             }
@@ -220,14 +220,14 @@
     fn handle(&mut self, event: ControlEvent) {
         let now_ms = clock::monotonic_ms();
         match event {
-            event if event.reads_newest() && self.replica.lags() => self.deferred.push(event),
+            event if event.is_linearizable() && self.replica.lags() => self.deferred.push(event),
             ControlEvent::Raft(from, host, message) => {
                 self.hosts.insert(from, host);
                 self.replica.receive(now_ms, from, message);
             }
             ControlEvent::Enroll(node, host, answer) => {
                 self.enroll(node, host);
-                let _ = answer.send(Ok(self.notice(now_ms)));
+                let _ = answer.send(Ok(self.position_update(now_ms)));
             }
             ControlEvent::Propose(command, answer) => self.propose(command, Some(answer)),
             ControlEvent::Sync {
@@ -236,8 +236,8 @@
                 fresh,
                 answer,
             } => self.on_sync(now_ms, cursor, wait_ms, fresh, answer),
-            ControlEvent::Agent(beat, answer) => self.on_agent(now_ms, &beat, answer),
-            ControlEvent::Entry(beat, answer) => self.on_entry(now_ms, &beat, answer),
+            ControlEvent::AgentHeartbeat(beat, answer) => self.on_agent(now_ms, &beat, answer),
+            ControlEvent::EntryHeartbeat(beat, answer) => self.on_entry(now_ms, &beat, answer),
             ControlEvent::Table(answer) => {
                 let _ = answer.send(self.read_table(now_ms));
             }
@@ -249,19 +249,19 @@
             ControlEvent::Status(answer) => {
                 let _ = answer.send(self.status(now_ms));
             }
-            ControlEvent::Platform(leaving) => {
-                if let Some(duties) = &mut self.duties {
-                    duties.on_platform(leaving);
+            ControlEvent::LeavingHosts(leaving) => {
+                if let Some(targets) = &mut self.targets {
+                    targets.on_platform(leaving);
                 }
             }
-            ControlEvent::Notice {
+            ControlEvent::PositionUpdate {
                 cursor,
                 wait_ms,
                 answer,
             } => self.waiters.push(SyncWaiter {
                 cursor,
                 until_ms: now_ms + wait_ms.min(MAX_SYNC_WAIT_MS),
-                answer: WaiterAnswer::Notice(answer),
+                answer: WaiterReply::PositionUpdate(answer),
             }),
             ControlEvent::Configuration(answer) => {
                 let newest = self.replica.newest(now_ms);
@@ -279,27 +279,27 @@
             ControlEvent::Accounts(answer) => {
                 let _ = answer.send(self.account_statuses(now_ms));
             }
-            ControlEvent::Quota(ask, answer) => {
-                let granted = self.use_quotas(now_ms, |quotas, _| quotas.grant(now_ms, &ask));
+            ControlEvent::Quota(request, answer) => {
+                let granted = self.with_quotas(now_ms, |quotas, _| quotas.grant(now_ms, &request));
                 let _ = answer.send(granted);
             }
-            ControlEvent::Heard(ids, answer) => {
-                self.tell_fleet(answer, |fleet| fleet.on_heard(now_ms, &ids));
+            ControlEvent::ReplicasSeen(ids, answer) => {
+                self.with_fleet(answer, |fleet| fleet.on_heard(now_ms, &ids));
             }
             ControlEvent::Report(report, answer) => {
                 let _ = answer.send(self.on_report(now_ms, report));
             }
-            ControlEvent::Crowd(report, answer) => {
-                self.tell_fleet(answer, |fleet| fleet.on_crowd(now_ms, report));
+            ControlEvent::QueuedTokens(report, answer) => {
+                self.with_fleet(answer, |fleet| fleet.on_crowd(now_ms, report));
             }
-            ControlEvent::Wish(wish, answer) => {
-                let _ = answer.send(self.on_wish(now_ms, &wish));
+            ControlEvent::AdapterRequest(request, answer) => {
+                let _ = answer.send(self.on_adapter_request(now_ms, &request));
             }
-            ControlEvent::Turn(ask, answer) => {
-                let _ = answer.send(self.on_turn(now_ms, &ask));
+            ControlEvent::SuspectLease(request, answer) => {
+                let _ = answer.send(self.on_suspect_lease(now_ms, &request));
             }
-            ControlEvent::TurnEnded(end, answer) => {
-                let ended = self.turns.as_mut().map(|turns| turns.end(end));
+            ControlEvent::SuspectLeaseEnd(end, answer) => {
+                let ended = self.suspect_leases.as_mut().map(|leases| leases.end(end));
                 let _ = answer.send(ended.ok_or_else(|| self.not_leader()));
             }
             ControlEvent::Permit(request, answer) => {
@@ -310,18 +310,18 @@
             }
             ControlEvent::Contents(answer) => {
                 let newest = self.replica.newest(now_ms);
-                let book = newest.map(|state| state.crashes.clone());
-                let _ = answer.send(book.ok_or_else(|| self.not_leader()));
+                let crashes = newest.map(|state| state.crashes.clone());
+                let _ = answer.send(crashes.ok_or_else(|| self.not_leader()));
             }
-            ControlEvent::MayOrder(term, answer) => {
+            ControlEvent::OrderPermit(term, answer) => {
                 let _ = answer.send(self.permit_order(now_ms, term));
             }
-            ControlEvent::Ordered(order, outcome) => self.on_ordered(now_ms, &order, outcome),
+            ControlEvent::OrderDone(order, outcome) => self.on_order_done(now_ms, &order, outcome),
             ControlEvent::Compare(record, answer) => {
                 let _ = answer.send(Ok(self.replica.state().replica_news(&record)));
             }
             ControlEvent::Stop(answer) => {
-                self.stopping = Some(VoterStop {
+                self.stopping = Some(StopRequest {
                     since_ms: now_ms,
                     answer,
                     handed_over: false,
@@ -330,7 +330,7 @@
         }
     }
 
-    fn propose(&mut self, command: Command, answer: Option<Answer<(Position, Reply)>>) {
+    fn propose(&mut self, command: Command, answer: Option<ReplySender<(Position, Reply)>>) {
         let refusal = match self.stopping {
             Some(_) => Err(ControlRefusal::Stopping),
             None => {
@@ -340,7 +340,8 @@
         };
         match (refusal, answer) {
             (Ok(mark), Some(answer)) => {
-                self.awaiting.insert(mark.index, (mark.term, answer));
+                self.pending_proposals
+                    .insert(mark.index, (mark.term, answer));
             }
             (Err(refusal), Some(answer)) => {
                 let _ = answer.send(Err(refusal));
@@ -357,8 +358,8 @@
             self.propose(command, None);
         }
         let last = self.replica.raft().last().index;
-        if let Some(duties) = &mut self.duties {
-            duties.await_position(last);
+        if let Some(targets) = &mut self.targets {
+            targets.await_position(last);
         }
     }
 
@@ -368,7 +369,7 @@
         cursor: Position,
         wait_ms: u64,
         fresh: bool,
-        answer: Answer<SyncPage>,
+        answer: ReplySender<SyncPage>,
     ) {
         let newest = self.replica.newest(now_ms).is_some();
         let state = self.replica.state();
@@ -382,7 +383,7 @@
             false => self.waiters.push(SyncWaiter {
                 cursor,
                 until_ms: now_ms + wait_ms.min(MAX_SYNC_WAIT_MS),
-                answer: WaiterAnswer::Page(answer),
+                answer: WaiterReply::Page(answer),
             }),
         }
     }
@@ -394,28 +395,35 @@
             return;
         }
         self.replica.raft_mut().add_learner(node);
-        self.note_host(node, host);
+        self.record_host(node, host);
     }
 
     /// Keeps in the log where a disk is reached, for a restart of all voters.
-    fn note_host(&mut self, node: NodeId, host: HostName) {
+    fn record_host(&mut self, node: NodeId, host: HostName) {
         let known = self.replica.state().voter_hosts.get(&node) == Some(&host);
-        if self.settings.open_membership && !known && self.noted.insert((node, host.clone())) {
+        if self.settings.open_membership
+            && !known
+            && self.proposed_hosts.insert((node, host.clone()))
+        {
             self.propose(Command::VoterHost(node, host), None);
         }
     }
 
-    fn tell_fleet<T>(&mut self, answer: Answer<T>, tell: impl FnOnce(&mut FleetDuties) -> T) {
-        let told = match &mut self.fleet {
-            Some(fleet) => Ok(tell(fleet)),
+    fn with_fleet<T>(
+        &mut self,
+        answer: ReplySender<T>,
+        update: impl FnOnce(&mut FleetDuties) -> T,
+    ) {
+        let updated = match &mut self.fleet {
+            Some(fleet) => Ok(update(fleet)),
             None => Err(self.not_leader()),
         };
-        let _ = answer.send(told);
+        let _ = answer.send(updated);
     }
 
     fn account_statuses(&mut self, now_ms: u64) -> Result<Vec<AccountStatus>, ControlRefusal> {
-        self.use_quotas(now_ms, |quotas, book| {
-            let accounts = book.map_or(&[][..], |book| &book.accounts);
+        self.with_quotas(now_ms, |quotas, table| {
+            let accounts = table.map_or(&[][..], |table| &table.accounts);
             let status = |account: &AccountSpec| AccountStatus {
                 name: account.name.clone(),
                 priority: account.priority,
@@ -430,7 +438,7 @@
     }
 
     /// What a leader makes of its quotas, by the accounts of the newest configuration.
-    fn use_quotas<T>(
+    fn with_quotas<T>(
         &mut self,
         now_ms: u64,
         make: impl FnOnce(&mut QuotaGrantor, Option<&AccountBook>) -> T,
@@ -439,29 +447,38 @@
             return Err(self.not_leader());
         };
         let record = state.configuration.as_ref();
-        let book = record.and_then(|record| record.configuration.accounts.as_ref());
-        quotas.follow(configured_version(state), book);
-        Ok(make(quotas, book))
+        let accounts = record.and_then(|record| record.configuration.accounts.as_ref());
+        quotas.follow(configured_version(state), accounts);
+        Ok(make(quotas, accounts))
     }
 
-    fn on_wish(&mut self, now_ms: u64, wish: &AdapterPlace) -> Result<bool, ControlRefusal> {
+    fn on_adapter_request(
+        &mut self,
+        now_ms: u64,
+        request: &AdapterPlace,
+    ) -> Result<bool, ControlRefusal> {
         let (Some(state), Some(fleet)) = (self.replica.newest(now_ms), &mut self.fleet) else {
             return Err(self.not_leader());
         };
-        let (soon, order) = fleet.on_wish(state, now_ms, wish);
+        let (soon, order) = fleet.on_wish(state, now_ms, request);
         if let Some(order) = order {
             self.send_order(now_ms, order);
         }
         Ok(soon)
     }
 
-    fn on_turn(&mut self, now_ms: u64, ask: &TurnAsk) -> Result<TurnAnswer, ControlRefusal> {
-        let (Some(state), Some(turns)) = (self.replica.newest(now_ms), &mut self.turns) else {
+    fn on_suspect_lease(
+        &mut self,
+        now_ms: u64,
+        request: &TurnAsk,
+    ) -> Result<TurnAnswer, ControlRefusal> {
+        let (Some(state), Some(leases)) = (self.replica.newest(now_ms), &mut self.suspect_leases)
+        else {
             return Err(self.not_leader());
         };
-        let standing = ContentStanding::of(state.crashes.count(&ask.content));
-        let answer = turns.ask(now_ms, standing, ask);
-        let (content, replica) = (ask.content, &ask.replica);
+        let standing = ContentStanding::of(state.crashes.count(&request.content));
+        let answer = leases.ask(now_ms, standing, request);
+        let (content, replica) = (request.content, &request.replica);
         tracing::debug!(%content, %replica, ?standing, ?answer, "turn of a suspect content");
         Ok(answer)
     }
@@ -471,7 +488,7 @@
         now_ms: u64,
         request: &PermitRequest,
     ) -> Result<PermitReply, ControlRefusal> {
-        self.use_rates(now_ms, |rates, state| {
+        self.with_rates(now_ms, |rates, state| {
             rates.permit(now_ms, request, state.warm_up(&request.service))
         })
     }
@@ -481,10 +498,10 @@
         now_ms: u64,
         report: &LimitReport,
     ) -> Result<LimitPage, ControlRefusal> {
-        self.use_rates(now_ms, |rates, _| rates.report(now_ms, report))
+        self.with_rates(now_ms, |rates, _| rates.report(now_ms, report))
     }
 
-    fn use_rates<T>(
+    fn with_rates<T>(
         &mut self,
         now_ms: u64,
         make: impl FnOnce(&mut ReplicaRates, &SiteState) -> T,
@@ -504,7 +521,7 @@
         let (true, Some(fleet), Some(rates)) = (leads, &mut self.fleet, &self.rates) else {
             return Err(self.not_leader());
         };
-        let report = believe(report);
+        let report = drop_invalid_figures(report);
         let limits = rates.page(now_ms, report.limits);
         Ok(ReportReply {
             entries: fleet.on_report(now_ms, report),
@@ -518,15 +535,15 @@
             return Err(self.not_leader());
         }
         let until_ms = self.replica.raft().lease_until_ms(now_ms);
-        self.permitted_ms = self.permitted_ms.max(until_ms);
+        self.permitted_until_ms = self.permitted_until_ms.max(until_ms);
         Ok(SendPermit { until_ms })
     }
 
     /// Hands over once asked to stop. A permit promises that no other decides until its end:
     /// an heir, which is elected within milliseconds, would order beside what was permitted.
-    fn hand_over_when_free(&mut self, now_ms: u64) {
+    fn hand_over_after_permits(&mut self, now_ms: u64) {
         match &mut self.stopping {
-            Some(stop) if !stop.handed_over && now_ms >= self.permitted_ms => {
+            Some(stop) if !stop.handed_over && now_ms >= self.permitted_until_ms => {
                 stop.handed_over = self.replica.raft_mut().hand_over(now_ms);
             }
             _ => {}
@@ -548,7 +565,7 @@
         }
     }
 
-    fn on_ordered(&mut self, now_ms: u64, order: &EngineOrder, outcome: OrderOutcome) {
+    fn on_order_done(&mut self, now_ms: u64, order: &EngineOrder, outcome: OrderOutcome) {
         let Some(fleet) = &mut self.fleet else {
             return;
         };
@@ -577,17 +594,22 @@
         }
     }
 
-    fn on_agent(&mut self, now_ms: u64, beat: &AgentBeat, answer: Answer<AgentOrders>) {
-        let (Some(state), Some(duties)) = (self.replica.newest(now_ms), &mut self.duties) else {
+    fn on_agent(
+        &mut self,
+        now_ms: u64,
+        beat: &AgentBeat,
+        answer: ReplySender<AgentHeartbeatReply>,
+    ) {
+        let (Some(state), Some(targets)) = (self.replica.newest(now_ms), &mut self.targets) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let commands = duties.on_agent(state, now_ms, beat);
+        let commands = targets.on_agent(state, now_ms, beat);
         let target = TargetName(beat.host.0.clone());
         let member = state.members.get(&beat.host);
         let current = member.is_some_and(|member| member.incarnation == beat.life);
-        let orders = AgentOrders {
-            plan: current.then(|| duties.target_plan(state, &target, beat)),
+        let orders = AgentHeartbeatReply {
+            plan: current.then(|| targets.target_plan(state, &target, beat)),
             position: state.changed(),
         };
         let _ = answer.send(Ok(orders));
@@ -596,14 +618,19 @@
         }
     }
 
-    fn on_entry(&mut self, now_ms: u64, beat: &EntryBeat, answer: Answer<EntryOrders>) {
-        let (Some(state), Some(duties)) = (self.replica.newest(now_ms), &mut self.duties) else {
+    fn on_entry(
+        &mut self,
+        now_ms: u64,
+        beat: &EntryBeat,
+        answer: ReplySender<EntryHeartbeatReply>,
+    ) {
+        let (Some(state), Some(targets)) = (self.replica.newest(now_ms), &mut self.targets) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let (grants, commands) = duties.on_entry(state, now_ms, beat);
+        let (grants, commands) = targets.on_entry(state, now_ms, beat);
         let member = state.members.get(&beat.host);
-        let orders = EntryOrders {
+        let orders = EntryHeartbeatReply {
             grants,
             rejoin: member.is_none_or(|member| member.incarnation != beat.life),
             position: state.changed(),
@@ -615,9 +642,9 @@
     }
 
     fn read_table(&self, now_ms: u64) -> Result<TableStatus, ControlRefusal> {
-        match (self.replica.newest(now_ms), &self.duties) {
-            (Some(state), Some(duties)) => Ok(wire::table_status(state, |version| {
-                duties.in_force(state, version)
+        match (self.replica.newest(now_ms), &self.targets) {
+            (Some(state), Some(targets)) => Ok(wire::table_status(state, |version| {
+                targets.in_force(state, version)
             })),
             _ => Err(self.not_leader()),
         }
@@ -655,24 +682,24 @@
         ControlRefusal::NotLeader(voter.map(|voter| voter.address.to_string()))
     }
 
-    fn on_time(&mut self) {
+    fn on_tick(&mut self) {
         let now_ms = clock::monotonic_ms();
-        self.hand_over_when_free(now_ms);
+        self.hand_over_after_permits(now_ms);
         self.replica.tick(now_ms);
-        self.follow_leadership(now_ms);
-        let commands = match (self.replica.newest(now_ms), &mut self.duties) {
-            (Some(state), Some(duties)) => duties.round(state, now_ms, clock::stamp_ms()),
+        self.update_leadership(now_ms);
+        let commands = match (self.replica.newest(now_ms), &mut self.targets) {
+            (Some(state), Some(targets)) => targets.round(state, now_ms, clock::stamp_ms()),
             _ => Vec::new(),
         };
         self.propose_all(commands);
         self.fleet_round(now_ms);
-        let _ = self.use_rates(now_ms, |rates, state| {
-            rates.prune(now_ms, |life| life_state(state, life));
+        let _ = self.with_rates(now_ms, |rates, state| {
+            rates.prune(now_ms, |life| incarnation_state(state, life));
         });
         let hosts = &self.hosts;
         let host_of = |node: NodeId| hosts.get(&node).cloned();
         let changed = match self.settings.open_membership {
-            true => self.replica.adjust_voters(now_ms, SHED_MS, host_of),
+            true => self.replica.adjust_voters(now_ms, SHED_VOTER_MS, host_of),
             false => self.replica.replace_voter(now_ms, host_of),
         };
         if changed {
@@ -681,20 +708,20 @@
         }
     }
 
-    fn follow_leadership(&mut self, now_ms: u64) {
+    fn update_leadership(&mut self, now_ms: u64) {
         let leads = self.replica.raft().is_leader();
         let term = self.replica.raft().term();
-        let known = self.duties.as_ref().map(|duties| duties.term());
+        let known = self.targets.as_ref().map(|targets| targets.term());
         match leads {
             true if known == Some(term) => {}
             true => {
                 let policy = self.settings.duties.policy();
                 let state = self.replica.state();
-                self.duties = Some(LeaderDuties::new(policy, state, term, now_ms));
+                self.targets = Some(LeaderDuties::new(policy, state, term, now_ms));
                 let holder = self.settings.common.host.clone();
                 let fleet = FleetDuties::new(self.settings.fleet, holder, term, now_ms);
                 self.fleet = Some(fleet);
-                self.turns = Some(TurnDesk::default());
+                self.suspect_leases = Some(TurnDesk::default());
                 self.rates = Some(ReplicaRates::new(term, now_ms));
                 self.quotas = Some(match term {
                     FIRST_TERM => QuotaGrantor::of_first_leader(now_ms),
@@ -702,10 +729,10 @@
                 });
                 tracing::info!(%term, "leads");
                 self.propose(Command::Site(self.settings.site.clone()), None);
-                self.noted.clear();
+                self.proposed_hosts.clear();
                 for voter in self.replica.raft().voters().clone() {
                     if let Some(host) = self.hosts.get(&voter).cloned() {
-                        self.note_host(voter, host);
+                        self.record_host(voter, host);
                     }
                 }
             }
@@ -714,18 +741,18 @@
                     let leader = self.replica.raft().leader();
                     tracing::info!(term = %fleet.term(), ?leader, "leads no more");
                 }
-                self.duties = None;
+                self.targets = None;
                 self.quotas = None;
-                self.turns = None;
+                self.suspect_leases = None;
                 self.rates = None;
-                self.abandon();
+                self.fail_pending();
             }
         }
     }
 
     /// What was proposed by a leader that leads no more may still be committed.
-    fn abandon(&mut self) {
-        for (_, (_, answer)) in std::mem::take(&mut self.awaiting) {
+    fn fail_pending(&mut self) {
+        for (_, (_, answer)) in std::mem::take(&mut self.pending_proposals) {
             let _ = answer.send(Err(ControlRefusal::NoQuorum));
         }
     }
@@ -743,16 +770,16 @@
             }
         }
         for (mark, reply) in output.replies {
-            if let Some((term, answer)) = self.awaiting.remove(&mark.index) {
-                let same = term == mark.term;
+            if let Some((term, answer)) = self.pending_proposals.remove(&mark.index) {
+                let same_term = term == mark.term;
                 let reply = Ok((mark.index, reply));
-                let _ = answer.send(reply.and_then(|reply| match same {
+                let _ = answer.send(reply.and_then(|reply| match same_term {
                     true => Ok(reply),
                     false => Err(ControlRefusal::NoQuorum),
                 }));
             }
         }
-        self.answer_waiters(now_ms);
+        self.reply_to_waiters(now_ms);
         Ok(RunState::Runs)
     }
 
@@ -766,14 +793,14 @@
         let mut left = records;
         let mut full_since_ms = None;
         while !left.is_empty() {
-            match self.journal.save_part(left) {
+            match self.journal.save_prefix(left) {
                 Ok(saved) => left = &left[saved..],
                 Err(error) if error.is_full() => {
                     if full_since_ms.is_none() {
                         tracing::warn!(%error, "the disk is full: this voter waits for room");
                         full_since_ms = Some(clock::monotonic_ms());
                     }
-                    if pass_over(events) == RunState::Stopped {
+                    if discard_events(events) == RunState::Stopped {
                         return Ok(RunState::Stopped);
                     }
                 }
@@ -787,36 +814,36 @@
         Ok(RunState::Runs)
     }
 
-    fn answer_waiters(&mut self, now_ms: u64) {
+    fn reply_to_waiters(&mut self, now_ms: u64) {
         let changed = self.replica.state().changed();
-        let tells = now_ms >= self.told_ms + NEWS_GAP_MS;
-        let has_news = |waiter: &SyncWaiter| changed > waiter.cursor;
+        let may_send = now_ms >= self.notified_ms + NOTIFY_INTERVAL_MS;
+        let is_behind = |waiter: &SyncWaiter| changed > waiter.cursor;
         let due =
-            |waiter: &mut SyncWaiter| waiter.until_ms <= now_ms || (tells && has_news(waiter));
+            |waiter: &mut SyncWaiter| waiter.until_ms <= now_ms || (may_send && is_behind(waiter));
         let due: Vec<SyncWaiter> = self.waiters.extract_if(.., due).collect();
-        if due.iter().any(has_news) {
-            self.told_ms = now_ms;
+        if due.iter().any(is_behind) {
+            self.notified_ms = now_ms;
         }
         for waiter in due {
             match waiter.answer {
-                WaiterAnswer::Page(answer) => {
+                WaiterReply::Page(answer) => {
                     let page = view::page_after(self.replica.state(), waiter.cursor);
                     let _ = answer.send(Ok(page));
                 }
-                WaiterAnswer::Notice(answer) => {
-                    let _ = answer.send(Ok(self.notice(now_ms)));
+                WaiterReply::PositionUpdate(answer) => {
+                    let _ = answer.send(Ok(self.position_update(now_ms)));
                 }
             }
         }
     }
 
-    fn notice(&self, now_ms: u64) -> Notice {
+    fn position_update(&self, now_ms: u64) -> PositionUpdate {
         let state = self.replica.state();
         let mut hosts: BTreeSet<HostName> = state.voter_hosts.values().cloned().collect();
         hosts.insert(self.settings.common.host.clone());
         let leader = self.replica.raft().leader();
         hosts.extend(leader.and_then(|node| self.hosts.get(&node)).cloned());
-        Notice {
+        PositionUpdate {
             hall: self.settings.common.hall.clone(),
             position: state.changed(),
             leaderless_ms: self.replica.raft().leaderless_ms(now_ms),
@@ -843,8 +870,9 @@
     fn is_stopped(&mut self) -> bool {
         let now_ms = clock::monotonic_ms();
         let raft = self.replica.raft();
-        let heir = raft.leader().is_some_and(|leader| leader != raft.id());
-        let done = |stop: &mut VoterStop| heir || stop.since_ms + HANDOVER_MS < now_ms;
+        let has_successor = raft.leader().is_some_and(|leader| leader != raft.id());
+        let done =
+            |stop: &mut StopRequest| has_successor || stop.since_ms + HANDOVER_TIMEOUT_MS < now_ms;
         match self.stopping.take_if(done) {
             Some(stop) => {
                 let _ = stop.answer.send(());
@@ -862,7 +890,7 @@
 
 /// An entry's report, without figures where one cannot be true: the entry still counts
 /// among those that report.
-fn life_state(state: &SiteState, life: &ReplicaLife) -> LifeState {
+fn incarnation_state(state: &SiteState, life: &ReplicaLife) -> LifeState {
     match state.replicas.records().get(&life.id) {
         Some(record) if record.born_ms > life.born_ms => LifeState::Over,
         Some(_) => LifeState::Known,
@@ -871,7 +899,7 @@
 }
 
 /// A report whose figures cannot be true tells of nothing but its entry.
-fn believe(report: EntryReport) -> EntryReport {
+fn drop_invalid_figures(report: EntryReport) -> EntryReport {
     match report.check() {
         Ok(()) => report,
         Err(error) => {
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -39,7 +39,7 @@
     let workers = entry.settings.workers;
     let app = async move || {
         // Made once on each HTTP thread.
-        daemon::enter_logs();
+        daemon::enter_log_span();
         web::App::new()
             .state(entry.clone())
             .route("/v1/chat/completions", web::post().to(chat))
--- a/src/entry/flight_steps.rs
+++ b/src/entry/flight_steps.rs
@@ -14,7 +14,7 @@
 use crate::consensus::state::{Command, MemberInfo, Reply};
 use crate::entry::shell::{EntryShared, InFlight, outcome_names};
 use crate::ids::{CallKey, ContentDigest, Incarnation, PartnerName, RowId, TargetName};
-use crate::process::wire::{AgentWireClient, AgentWord};
+use crate::process::wire::{AgentReply, AgentWireClient};
 use crate::process::{crash_report, member, peers};
 use crate::routing::content::{self, ContentParts};
 use crate::routing::flight::{
@@ -516,7 +516,7 @@
         make: impl FnOnce(AgentWireClient) -> F,
     ) -> FlightEvent
     where
-        F: Future<Output = Result<AgentWord, tarpc::client::RpcError>>,
+        F: Future<Output = Result<AgentReply, tarpc::client::RpcError>>,
     {
         // A target that control has taken for lost: this life cannot be asked.
         let Some(address) = self.address_of(trial) else {
@@ -525,13 +525,13 @@
         };
         match self.entry.agents.call(&address, step, make).await {
             Ok(word) => {
-                self.entry.follower.heard(word.position);
+                self.entry.follower.observe_position(word.position);
                 let now_ms = clock::monotonic_ms();
                 self.entry
                     .state()
                     .loads
                     .reported(&trial.target, word.load, now_ms);
-                FlightEvent::Word(word.word)
+                FlightEvent::Word(word.status)
             }
             Err(error) => {
                 tracing::info!(request = %self.request.id, %error, "no word of an agent");
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -47,7 +47,7 @@
     }
     let table = entry
         .link
-        .decide("table", CONTROL_TIME, |client, context| async move {
+        .call_leader("table", CONTROL_TIME, |client, context| async move {
             client.table(context).await
         })
         .await;
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -18,10 +18,10 @@
 use crate::placement::duties::EntryBeat;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::member::{self, SiteFollower};
-use crate::process::metrics::{MetricBook, MetricKey};
+use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{self, ControlLink, PeerPool, SiteSecret};
 use crate::process::settings::EntrySettings;
-use crate::process::wire::{AgentWireClient, EntryOrders};
+use crate::process::wire::{AgentWireClient, EntryHeartbeatReply};
 use crate::routing::flight::{EndCause, FlightOutcome};
 use crate::routing::refusals::RefusalBook;
 use crate::routing::retry::RetryBudget;
@@ -59,7 +59,7 @@
     life: Incarnation,
     address: String,
     state: Mutex<EntryState>,
-    metrics: Mutex<MetricBook>,
+    metrics: Mutex<MetricRegistry>,
     next_attempt: AtomicU64,
     confirmed_ms: AtomicU64,
     stopping: AtomicBool,
@@ -105,7 +105,7 @@
             life,
             address,
             state: Mutex::new(state),
-            metrics: Mutex::new(MetricBook::default()),
+            metrics: Mutex::new(MetricRegistry::default()),
             next_attempt: AtomicU64::new(1),
             confirmed_ms: AtomicU64::new(asked_ms),
             stopping: AtomicBool::new(false),
@@ -113,7 +113,7 @@
             settings,
         });
         let server = caller::serve(shared.clone(), listener)?;
-        let watch = serve_watch(&shared).await?;
+        let watch = serve_health(&shared).await?;
         start_tasks(&shared);
         tracing::info!(%callers, %watch, %life, "entry started");
         Ok(Self {
@@ -200,7 +200,7 @@
             .time(key, started.elapsed().as_micros() as u64);
     }
 
-    fn metrics(&self) -> MutexGuard<'_, MetricBook> {
+    fn metrics(&self) -> MutexGuard<'_, MetricRegistry> {
         self.metrics
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
@@ -262,10 +262,13 @@
     (asked, beat)
 }
 
-async fn send_beat(entry: &EntryShared, beat: &EntryBeat) -> Result<EntryOrders, peers::PeerError> {
+async fn send_beat(
+    entry: &EntryShared,
+    beat: &EntryBeat,
+) -> Result<EntryHeartbeatReply, peers::PeerError> {
     entry
         .link
-        .decide("entry_beat", BEAT_TIME, |client, context| {
+        .call_leader("entry_beat", BEAT_TIME, |client, context| {
             let beat = beat.clone();
             async move { client.entry_beat(context, beat).await }
         })
@@ -280,7 +283,7 @@
         let (asked, beat) = make_beat(entry, false);
         match send_beat(entry, &beat).await {
             Ok(orders) => {
-                entry.follower.heard(orders.position);
+                entry.follower.observe_position(orders.position);
                 entry
                     .state()
                     .shares
@@ -332,18 +335,18 @@
     entry.agents.retain(known);
 }
 
-async fn serve_watch(shared: &Arc<EntryShared>) -> Result<SocketAddr, DaemonError> {
+async fn serve_health(shared: &Arc<EntryShared>) -> Result<SocketAddr, DaemonError> {
     let entry = shared.clone();
     let read = move || {
         let entry = entry.clone();
         Box::pin(async move {
-            daemon::WatchPage {
+            daemon::HealthPage {
                 ready: !entry.is_stopping() && !entry.is_stale(),
                 metrics: render(&entry),
             }
-        }) as daemon::WatchRead
+        }) as daemon::HealthFuture
     };
-    daemon::serve_watch(shared.settings.common.watch, Arc::new(read)).await
+    daemon::serve_health(shared.settings.common.watch, Arc::new(read)).await
 }
 
 fn render(entry: &EntryShared) -> String {
--- a/src/forward/crashes.rs
+++ b/src/forward/crashes.rs
@@ -194,7 +194,7 @@
             let contents = self.crashes.take_watched(&life);
             let replica = life;
             let report = CrashReport { replica, contents };
-            daemon::spawn_local(tell_crash(self.clone(), report, "it started again"));
+            daemon::spawn_local(report_crash(self.clone(), report, "it started again"));
         }
     }
 }
@@ -223,7 +223,7 @@
             contents.extend(core.crashes.take_watched(&life));
             let replica = life;
             let report = CrashReport { replica, contents };
-            tell_crash(core.clone(), report, "it refuses connections").await;
+            report_crash(core.clone(), report, "it refuses connections").await;
         }
         Probe::Lives => core
             .crashes
@@ -277,11 +277,11 @@
 }
 
 /// Tells the log of a replica's end, until it holds it.
-async fn tell_crash(core: Rc<EntryCore>, report: CrashReport, proof: &'static str) {
+async fn report_crash(core: Rc<EntryCore>, report: CrashReport, proof: &'static str) {
     core.count("dunlinspring_replica_crashes_total", &[]);
     log_crash(&report, proof);
     core.crashes.suspects.borrow_mut().note(&report, None);
-    if let Some(position) = crash_report::tell_crash(core.link(), &report).await {
+    if let Some(position) = crash_report::report_crash(core.link(), &report).await {
         let mut suspects = core.crashes.suspects.borrow_mut();
         suspects.note(&report, Some(position));
     }
--- a/src/forward/crowd.rs
+++ b/src/forward/crowd.rs
@@ -35,7 +35,7 @@
         };
         let heard = core
             .link()
-            .decide("crowd", REPORT_TIME, |client, context| {
+            .call_leader("crowd", REPORT_TIME, |client, context| {
                 let report = report.clone();
                 async move { client.crowd(context, report).await }
             })
--- a/src/forward/daemon.rs
+++ b/src/forward/daemon.rs
@@ -32,7 +32,7 @@
 use crate::placement::report::EntryReport;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::follow::ControlFollower;
-use crate::process::metrics::{MetricBook, MetricKey};
+use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{ControlLink, SiteSecret};
 use crate::process::settings::LogSettings;
 use crate::routing::view::SiteView;
@@ -194,7 +194,7 @@
     stop_told: Notify,
     stopped_at: Cell<Option<Instant>>,
     ready: Arc<AtomicBool>,
-    pub(super) metrics: Arc<Mutex<MetricBook>>,
+    pub(super) metrics: Arc<Mutex<MetricRegistry>>,
     pub(super) lines: RefCell<LineBudget>,
     pub(super) unknown_headers: RefCell<UnknownHeaders>,
 }
@@ -278,15 +278,15 @@
 
     /// Whether what is known of client accounts is young enough to act by.
     pub fn has_authority(&self) -> bool {
-        let unproven_ms = self.follower.unproven_ms(self.version());
-        unproven_ms.is_some_and(|age_ms| age_ms < self.settings.authority_ms)
+        let proof_age_ms = self.follower.proof_age_ms(self.version());
+        proof_age_ms.is_some_and(|age_ms| age_ms < self.settings.authority_ms)
     }
 
     /// Waits for word of the newest configuration, for so long at the most.
     pub async fn await_authority(&self, patience: Duration) -> bool {
         let give_up = Instant::now() + patience;
         loop {
-            let proven = self.follower.proven();
+            let proven = self.follower.proof_received();
             let known = self.has_authority();
             if known || self.is_stopping() || Instant::now() >= give_up {
                 return known;
@@ -632,7 +632,7 @@
             unknown_headers: RefCell::default(),
             settings,
         });
-        serve_watch(&core).await?;
+        serve_health(&core).await?;
         for address in control {
             follower.watch(&address);
         }
@@ -653,7 +653,7 @@
     }
 
     /// Watches further control hosts, after a change of the settings.
-    pub fn learn_control(&self, control: &[SocketAddr]) {
+    pub fn add_control_hosts(&self, control: &[SocketAddr]) {
         for address in control {
             self.core.follower.watch(&address.to_string());
         }
@@ -681,19 +681,19 @@
     }
 }
 
-async fn serve_watch(core: &EntryCore) -> Result<SocketAddr, DaemonError> {
+async fn serve_health(core: &EntryCore) -> Result<SocketAddr, DaemonError> {
     let ready = core.ready.clone();
     let metrics = core.metrics.clone();
     let read = move || {
         let ready = ready.load(Ordering::SeqCst);
         let book = metrics.lock().unwrap_or_else(|b| b.into_inner());
-        let page = daemon::WatchPage {
+        let page = daemon::HealthPage {
             ready,
             metrics: book.render(),
         };
-        Box::pin(async move { page }) as daemon::WatchRead
+        Box::pin(async move { page }) as daemon::HealthFuture
     };
-    daemon::serve_watch(core.settings.watch, Arc::new(read)).await
+    daemon::serve_health(core.settings.watch, Arc::new(read)).await
 }
 
 /// Accepts clients until some time after the entry was asked to stop.
@@ -728,7 +728,7 @@
         let told = core
             .follower
             .link()
-            .decide("report", REPORT_TIME, |client, context| {
+            .call_leader("report", REPORT_TIME, |client, context| {
                 let report = report.clone();
                 async move { client.report(context, report).await }
             })
@@ -754,7 +754,7 @@
 async fn ask_adapter(core: Rc<EntryCore>, wish: AdapterPlace) {
     let link = core.follower.link();
     let asked = link
-        .decide("wish", REPORT_TIME, |client, context| {
+        .call_leader("wish", REPORT_TIME, |client, context| {
             let wish = wish.clone();
             async move { client.wish(context, wish).await }
         })
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -38,7 +38,7 @@
     let report = core.book.borrow_mut().limits_mut().report(asked_ms);
     let told = core
         .link()
-        .decide("limits", REPORT_TIME, |client, context| {
+        .call_leader("limits", REPORT_TIME, |client, context| {
             let report = report.clone();
             async move { client.limits(context, report).await }
         })
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -53,7 +53,7 @@
         self.book.borrow_mut().pace_mut().ask(asked_ms, &record.id);
         let asked = self
             .link()
-            .decide(
+            .call_leader(
                 "permit",
                 Duration::from_millis(ASK_MS),
                 |client, context| {
--- a/src/forward/quotas.rs
+++ b/src/forward/quotas.rs
@@ -96,7 +96,7 @@
         let number = ask.number;
         let granted = core
             .link()
-            .decide("quota", ASK_TIME, |client, context| {
+            .call_leader("quota", ASK_TIME, |client, context| {
                 let ask = ask.clone();
                 async move { client.quota(context, ask).await }
             })
--- a/src/forward/turns.rs
+++ b/src/forward/turns.rs
@@ -40,7 +40,7 @@
             }
             let ended = core
                 .link()
-                .decide("end_turn", TURN_TIME, |client, context| async move {
+                .call_leader("end_turn", TURN_TIME, |client, context| async move {
                     client.end_turn(context, end).await
                 })
                 .await;
@@ -77,7 +77,7 @@
         };
         let asked = self
             .link()
-            .decide("turn", TURN_TIME, |client, context| {
+            .call_leader("turn", TURN_TIME, |client, context| {
                 let ask = ask.clone();
                 async move { client.turn(context, ask).await }
             })
--- a/src/process/arguments.rs
+++ b/src/process/arguments.rs
@@ -7,7 +7,7 @@
 
 use crate::process::daemon::{self, START_FAILED};
 use crate::process::peers::SiteSecret;
-use crate::process::settings::{self, Checked, CommonSettings};
+use crate::process::settings::{self, CommonSettings, ValidatedSettings};
 
 /// What a daemon was started with.
 pub struct DaemonStart<S> {
@@ -18,7 +18,7 @@
     /// Where to write the addresses that the system chose.
     pub announce: Option<PathBuf>,
     /// `--found` was given.
-    pub found: bool,
+    pub bootstrap: bool,
 }
 
 /// Ends the process: its start failed for this reason.
@@ -28,7 +28,10 @@
 }
 
 /// Reads the command line and settings of a daemon, and starts its logs.
-pub fn start<S: Checked>(program: &str, common: fn(&S) -> &CommonSettings) -> DaemonStart<S> {
+pub fn start<S: ValidatedSettings>(
+    program: &str,
+    common: fn(&S) -> &CommonSettings,
+) -> DaemonStart<S> {
     let mut options = Options::new();
     options.reqopt("s", "settings", "settings file, JSON with comments", "FILE");
     options.optopt(
@@ -69,11 +72,11 @@
         Ok(secret) => secret,
         Err(error) => fail(program, error),
     };
-    daemon::start_logs(&shared.log, program, &shared.host, &shared.hall);
+    daemon::init_logging(&shared.log, program, &shared.host, &shared.hall);
     DaemonStart {
         secret,
         announce: matches.opt_str("announce").map(PathBuf::from),
-        found: matches.opt_present("found"),
+        bootstrap: matches.opt_present("found"),
         settings,
     }
 }
--- a/src/process/crash_report.rs
+++ b/src/process/crash_report.rs
@@ -10,21 +10,21 @@
 use crate::process::peers::ControlLink;
 
 /// Time for one report to the log.
-const REPORT_TIME: Duration = Duration::from_millis(1_000);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Pause before a report that was not taken is made again.
-const REPORT_PAUSE: Duration = Duration::from_millis(100);
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Reports are tried so often: longer than control hosts are without a leader.
-const REPORT_TRIES: u32 = 60;
+const MAX_REPORT_ATTEMPTS: u32 = 60;
 
 /// Tells the log of an end, until it holds it. Returns where; none where it was not taken.
-pub async fn tell_crash(link: &ControlLink, report: &CrashReport) -> Option<Position> {
-    for _ in 0..REPORT_TRIES {
+pub async fn report_crash(link: &ControlLink, report: &CrashReport) -> Option<Position> {
+    for _ in 0..MAX_REPORT_ATTEMPTS {
         let command = Command::Crashed(report.clone());
-        match member::propose_at(link, "crash", REPORT_TIME, command).await {
+        match member::propose_at(link, "crash", REPORT_TIMEOUT, command).await {
             Ok((position, _)) => return Some(position),
             Err(error) => {
                 tracing::warn!(%error, replica = %report.replica, "a crash was not told");
-                tokio::time::sleep(REPORT_PAUSE).await;
+                tokio::time::sleep(REPORT_RETRY_DELAY).await;
             }
         }
     }
@@ -32,9 +32,9 @@
 }
 
 /// Tells the log that a content ran to its end: it is no suspect any more.
-pub async fn clear_content(link: &ControlLink, patience: Duration, content: ContentDigest) {
+pub async fn clear_content(link: &ControlLink, timeout: Duration, content: ContentDigest) {
     let command = Command::ContentCleared(content);
-    match member::propose(link, "clear", patience, command).await {
+    match member::propose(link, "clear", timeout, command).await {
         Ok(_) => tracing::info!(%content, "content cleared: it ran to its end"),
         Err(error) => tracing::debug!(%error, %content, "a content was not cleared"),
     }
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -30,7 +30,7 @@
 /// Exit status of a process whose start failed.
 pub const START_FAILED: i32 = 2;
 /// Longest answer read from a platform service, in bytes.
-const MAX_ANSWER: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// Why a daemon cannot start or go on.
 #[derive(Debug, Snafu)]
@@ -140,7 +140,7 @@
 }
 
 /// What a health page shows.
-pub struct WatchPage {
+pub struct HealthPage {
     /// Whether the process serves.
     pub ready: bool,
     /// Its metrics as text.
@@ -148,14 +148,14 @@
 }
 
 /// A health page being read.
-pub type WatchRead = Pin<Box<dyn Future<Output = WatchPage> + Send>>;
+pub type HealthFuture = Pin<Box<dyn Future<Output = HealthPage> + Send>>;
 /// Reads a process's health.
-pub type WatchSource = Arc<dyn Fn() -> WatchRead + Send + Sync>;
+pub type HealthSource = Arc<dyn Fn() -> HealthFuture + Send + Sync>;
 
 /// Serves `/healthz`, `/readyz` (also as `/ready`) and `/metrics`.
-pub async fn serve_watch(
+pub async fn serve_health(
     address: SocketAddr,
-    source: WatchSource,
+    source: HealthSource,
 ) -> Result<SocketAddr, DaemonError> {
     let (listener, bound) = bind_http("watch", address)?;
     let app = async move || {
@@ -173,22 +173,22 @@
     Ok(bound)
 }
 
-async fn ready(source: web::types::State<WatchSource>) -> HttpResponse {
+async fn ready(source: web::types::State<HealthSource>) -> HttpResponse {
     match source().await.ready {
         true => HttpResponse::Ok().body("ready\n"),
         false => HttpResponse::ServiceUnavailable().body("not ready\n"),
     }
 }
 
-async fn metrics(source: web::types::State<WatchSource>) -> HttpResponse {
+async fn metrics(source: web::types::State<HealthSource>) -> HttpResponse {
     let page = source().await;
     let dropped = dropped_lines();
-    let passed = log_limit::passed_over();
+    let suppressed = log_limit::suppressed_lines();
     let logs = format!(
         "# TYPE dunlinspring_log_lines_dropped_total counter\n\
          dunlinspring_log_lines_dropped_total {dropped}\n\
          # TYPE dunlinspring_log_lines_passed_over_total counter\n\
-         dunlinspring_log_lines_passed_over_total {passed}\n"
+         dunlinspring_log_lines_passed_over_total {suppressed}\n"
     );
     HttpResponse::Ok()
         .content_type("text/plain; version=0.0.4")
@@ -205,18 +205,18 @@
     let client = Client::new().await;
     let answer = client.get(url).send().await;
     let answer = answer.map_err(|error| failed("get", error.to_string()))?;
-    let body = answer.body().limit(MAX_ANSWER).await;
+    let body = answer.body().limit(MAX_RESPONSE_BYTES).await;
     let body = body.map_err(|error| failed("read", error.to_string()))?;
     serde_json::from_slice(&body).map_err(|error| failed("decode", error.to_string()))
 }
 
 /// Sets logging up; every line names the process and hall.
-pub fn start_logs(settings: &LogSettings, process: &str, host: &HostName, hall: &HallName) {
+pub fn init_logging(settings: &LogSettings, process: &str, host: &HostName, hall: &HallName) {
     let filter = EnvFilter::try_new(&settings.filter).unwrap_or_else(|_| EnvFilter::new("info"));
     // A reader that is stuck costs lines, never time.
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LOG_BUFFER)
+        .buffered_lines_limit(LOG_BUFFER_LINES)
         .finish(std::io::stdout());
     let _ = LOG_DROPPED.set(writer.error_counter());
     let builder = tracing_subscriber::fmt()
@@ -232,13 +232,13 @@
         *lock_guard() = Some(guard);
         let span = tracing::error_span!("daemon", process, %host, %hall);
         let _ = LOG_SPAN.set(span);
-        enter_logs();
+        enter_log_span();
         tracing::info!("logs started");
     }
 }
 
 /// Lines that wait to be written; further ones are dropped and counted.
-const LOG_BUFFER: usize = 8_192;
+const LOG_BUFFER_LINES: usize = 8_192;
 /// Counts the lines that were dropped.
 static LOG_DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
 /// Keeps the writer's thread.
@@ -258,7 +258,7 @@
 }
 
 /// Writes out what waits; nothing is logged afterwards.
-pub fn end_logs() {
+pub fn flush_logs() {
     drop(lock_guard().take());
 }
 
@@ -266,7 +266,7 @@
 static LOG_SPAN: OnceLock<tracing::Span> = OnceLock::new();
 
 /// Has the current thread's lines name the daemon, until the thread ends.
-pub fn enter_logs() {
+pub fn enter_log_span() {
     if let Some(span) = LOG_SPAN.get() {
         std::mem::forget(span.clone().entered());
     }
--- a/src/process/follow.rs
+++ b/src/process/follow.rs
@@ -14,46 +14,46 @@
 use crate::clock;
 use crate::ids::{HallName, Position};
 use crate::process::peers::{self, ControlLink, PeerError};
-use crate::process::wire::{ControlRefusal, Notice};
+use crate::process::wire::{ControlRefusal, PositionUpdate};
 use crate::routing::authority::ProofBook;
 use crate::routing::view::SiteView;
 
 /// Longest wait for one notice.
-const NOTICE_WAIT_MS: u64 = 1_000;
-/// Time for a call that waits [`NOTICE_WAIT_MS`].
-const NOTICE_TIME: Duration = Duration::from_millis(1_600);
+const UPDATE_WAIT_MS: u64 = 1_000;
+/// Time for a call that waits [`UPDATE_WAIT_MS`].
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// Time for one pull: all of thousands of replicas takes a second over a link of 10 Mbit/s,
 /// and others may be served first. Other hosts are pulled from meanwhile.
-const PULL_TIME: Duration = Duration::from_millis(4_000);
+const PULL_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Pause after another task's pull, before this host is pulled from as well.
-const PULL_PAUSE: Duration = Duration::from_millis(60);
+const PULL_LOCK_WAIT: Duration = Duration::from_millis(60);
 /// The same pause where all is pulled: five copies at once would take five times as long.
-const WHOLE_PULL_PAUSE: Duration = Duration::from_millis(1_500);
+const FULL_PULL_LOCK_WAIT: Duration = Duration::from_millis(1_500);
 /// How long a host of the same hall that was heard is waited for with what others tell of,
 /// in milliseconds: bytes between halls are dear, and each host answers once a second.
-const NEAR_MS: u64 = 1_500;
+const LOCAL_HALL_TTL_MS: u64 = 1_500;
 /// Pause after a host that did not answer; it doubles while others answer.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Time without word of a leader from which the pause stays short, in milliseconds:
 /// after a loss of power of all hosts each one that returns must be found at once.
-const LOST_MS: u64 = 1_500;
+const LEADER_LOST_MS: u64 = 1_500;
 
 /// The copy, shared by a process's tasks.
 pub struct ControlFollower {
     link: Arc<ControlLink>,
     hall: HallName,
     /// When a control host of the same hall was last heard that has news.
-    near_ms: AtomicU64,
+    local_hall_seen_ms: AtomicU64,
     view: Mutex<SiteView>,
     watched: Mutex<BTreeSet<String>>,
     /// Held while all or a part is pulled.
-    turn: tokio::sync::Mutex<()>,
-    fresh_ms: AtomicU64,
+    pull_lock: tokio::sync::Mutex<()>,
+    leader_seen_ms: AtomicU64,
     proofs: Mutex<ProofBook>,
     changed: Notify,
-    proven: Notify,
+    proof_received: Notify,
 }
 
 impl ControlFollower {
@@ -62,14 +62,14 @@
         Self {
             link,
             hall,
-            near_ms: AtomicU64::new(0),
+            local_hall_seen_ms: AtomicU64::new(0),
             view: Mutex::new(SiteView::default()),
             watched: Mutex::new(BTreeSet::new()),
-            turn: tokio::sync::Mutex::new(()),
-            fresh_ms: AtomicU64::new(0),
+            pull_lock: tokio::sync::Mutex::new(()),
+            leader_seen_ms: AtomicU64::new(0),
             proofs: Mutex::default(),
             changed: Notify::new(),
-            proven: Notify::new(),
+            proof_received: Notify::new(),
         }
     }
 
@@ -92,7 +92,7 @@
 
     /// How long no control host with a leader has been heard, in milliseconds.
     pub fn stale_ms(&self) -> u64 {
-        clock::monotonic_ms().saturating_sub(self.fresh_ms.load(Ordering::SeqCst))
+        clock::monotonic_ms().saturating_sub(self.leader_seen_ms.load(Ordering::SeqCst))
     }
 
     /// Returns once the copy has changed.
@@ -102,57 +102,58 @@
 
     /// For how long nothing newer than the configuration `version` is known not to exist,
     /// in milliseconds; none where it never was.
-    pub fn unproven_ms(&self, version: u64) -> Option<u64> {
+    pub fn proof_age_ms(&self, version: u64) -> Option<u64> {
         let proven_ms = peers::lock(&self.proofs).proven_ms(version)?;
         Some(clock::monotonic_ms().saturating_sub(proven_ms))
     }
 
     /// Returns once a further proof has come.
-    pub async fn proven(&self) {
-        self.proven.notified().await;
+    pub async fn proof_received(&self) {
+        self.proof_received.notified().await;
     }
 
     /// Watches a control host, and from then on each that it names.
     pub fn watch(self: &Arc<Self>, address: &str) {
-        self.link.learn(address);
+        self.link.add_host(address);
         let mut watched = self.watched.lock().unwrap_or_else(|b| b.into_inner());
         if watched.insert(address.to_owned()) {
             tokio::spawn(watch_host(self.clone(), address.to_owned()));
         }
     }
 
-    fn heard(self: &Arc<Self>, notice: &Notice, asked_ms: u64) {
+    fn on_update(self: &Arc<Self>, notice: &PositionUpdate, asked_ms: u64) {
         for host in &notice.hosts {
             self.watch(host.as_str());
         }
         if notice.hall == self.hall && notice.position >= self.position() {
             let now_ms = clock::monotonic_ms();
-            self.near_ms.fetch_max(now_ms, Ordering::SeqCst);
+            self.local_hall_seen_ms.fetch_max(now_ms, Ordering::SeqCst);
         }
-        let fresh_ms = asked_ms.saturating_sub(notice.leaderless_ms);
-        self.fresh_ms.fetch_max(fresh_ms, Ordering::SeqCst);
+        let leader_seen_ms = asked_ms.saturating_sub(notice.leaderless_ms);
+        self.leader_seen_ms
+            .fetch_max(leader_seen_ms, Ordering::SeqCst);
         if let Some(proof) = notice.proof {
             peers::lock(&self.proofs).hear(proof, asked_ms);
-            self.proven.notify_waiters();
+            self.proof_received.notify_waiters();
         }
     }
 
     /// Whether a host of the same hall may be left to bring what another one tells of.
-    fn leaves_to_near(&self, hall: &HallName) -> bool {
-        let near_ms = self.near_ms.load(Ordering::SeqCst);
-        *hall != self.hall && clock::monotonic_ms() < near_ms + NEAR_MS
+    fn prefers_local_hall(&self, hall: &HallName) -> bool {
+        let local_hall_seen_ms = self.local_hall_seen_ms.load(Ordering::SeqCst);
+        *hall != self.hall && clock::monotonic_ms() < local_hall_seen_ms + LOCAL_HALL_TTL_MS
     }
 
     async fn catch_up(&self, address: &str, hall: &HallName, target: Position) {
-        if self.leaves_to_near(hall) {
-            tokio::time::sleep(PULL_PAUSE).await;
+        if self.prefers_local_hall(hall) {
+            tokio::time::sleep(PULL_LOCK_WAIT).await;
         }
         let pause = match self.position() {
-            Position(0) => WHOLE_PULL_PAUSE,
-            _ => PULL_PAUSE,
+            Position(0) => FULL_PULL_LOCK_WAIT,
+            _ => PULL_LOCK_WAIT,
         };
         // One at a time, but for one that takes too long.
-        let _turn = tokio::time::timeout(pause, self.turn.lock()).await;
+        let _guard = tokio::time::timeout(pause, self.pull_lock.lock()).await;
         if self.position() >= target {
             return;
         }
@@ -160,7 +161,7 @@
         let pulled = self
             .link
             .call_at(address, "sync", |client| async move {
-                let context = peers::within(PULL_TIME);
+                let context = peers::within(PULL_TIMEOUT);
                 client.sync(context, cursor, 0, false).await
             })
             .await;
@@ -173,12 +174,12 @@
 }
 
 async fn watch_host(follower: Arc<ControlFollower>, address: String) {
-    let mut pause = FIRST_PAUSE;
+    let mut pause = MIN_RETRY_DELAY;
     let mut reached = None;
     loop {
         let cursor = follower.position();
         let asked_ms = clock::monotonic_ms();
-        let answer = ask(&follower, &address, cursor).await;
+        let answer = query_update(&follower, &address, cursor).await;
         let answered = matches!(answer, Ok(Ok(_)));
         if reached != Some(answered) {
             tracing::info!(peer = %address, answered, "control host");
@@ -186,8 +187,8 @@
         }
         match answer {
             Ok(Ok(notice)) => {
-                pause = FIRST_PAUSE;
-                follower.heard(&notice, asked_ms);
+                pause = MIN_RETRY_DELAY;
+                follower.on_update(&notice, asked_ms);
                 if notice.position > cursor {
                     follower
                         .catch_up(&address, &notice.hall, notice.position)
@@ -197,23 +198,23 @@
             _ => {
                 tokio::time::sleep(pause).await;
                 pause = match follower.stale_ms() {
-                    stale_ms if stale_ms > LOST_MS => FIRST_PAUSE,
-                    _ => (pause * 2).min(LONGEST_PAUSE),
+                    stale_ms if stale_ms > LEADER_LOST_MS => MIN_RETRY_DELAY,
+                    _ => (pause * 2).min(MAX_RETRY_DELAY),
                 };
             }
         }
     }
 }
 
-async fn ask(
+async fn query_update(
     follower: &ControlFollower,
     address: &str,
     cursor: Position,
-) -> Result<Result<Notice, ControlRefusal>, PeerError> {
+) -> Result<Result<PositionUpdate, ControlRefusal>, PeerError> {
     let link = &follower.link;
     link.call_at(address, "notice", |client| async move {
         client
-            .notice(peers::within(NOTICE_TIME), cursor, NOTICE_WAIT_MS)
+            .notice(peers::within(UPDATE_TIMEOUT), cursor, UPDATE_WAIT_MS)
             .await
     })
     .await
--- a/src/process/log_limit.rs
+++ b/src/process/log_limit.rs
@@ -10,14 +10,14 @@
 use tracing_subscriber::layer::{Context, Layer};
 
 /// Lines a second of one place in the code.
-pub const LINES_A_SECOND: u32 = 100;
+pub const MAX_LINES_PER_SECOND: u32 = 100;
 
 /// Lines that were passed over in this process.
-static PASSED_OVER: AtomicU64 = AtomicU64::new(0);
+static SUPPRESSED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Lines of this process that were passed over, for its metrics.
-pub fn passed_over() -> u64 {
-    PASSED_OVER.load(Ordering::Relaxed)
+pub fn suppressed_lines() -> u64 {
+    SUPPRESSED_LINES.load(Ordering::Relaxed)
 }
 
 /// The lines of the current second, by the place that logs them.
@@ -43,16 +43,16 @@
         }
     }
 
-    fn admits(&self, place: Identifier) -> bool {
+    fn admits(&self, callsite: Identifier) -> bool {
         let second = (self.clock_ms)() / 1_000;
         let mut count = self.count.lock().unwrap_or_else(|b| b.into_inner());
         if count.second != second {
             count.second = second;
             count.lines.clear();
         }
-        let lines = count.lines.entry(place).or_default();
+        let lines = count.lines.entry(callsite).or_default();
         *lines += 1;
-        *lines <= LINES_A_SECOND
+        *lines <= MAX_LINES_PER_SECOND
     }
 }
 
@@ -60,7 +60,7 @@
     fn event_enabled(&self, event: &Event<'_>, _: Context<'_, S>) -> bool {
         let admitted = self.admits(event.metadata().callsite());
         if !admitted {
-            PASSED_OVER.fetch_add(1, Ordering::Relaxed);
+            SUPPRESSED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         admitted
     }
--- a/src/process/member.rs
+++ b/src/process/member.rs
@@ -16,18 +16,18 @@
 /// Longest wait for one change.
 const SYNC_WAIT_MS: u64 = 1_000;
 /// Time for a call that waits [`SYNC_WAIT_MS`].
-const SYNC_TIME: Duration = Duration::from_millis(2_500);
+const SYNC_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Pause after a control host that did not answer.
-const SYNC_PAUSE: Duration = Duration::from_millis(100);
+const SYNC_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time to join before a process gives up its start.
-const JOIN_TIME: Duration = Duration::from_secs(30);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A member's copy of the site, shared by its tasks.
 pub struct SiteFollower {
     link: Arc<ControlLink>,
     view: Mutex<SiteView>,
     /// The highest position that a peer told.
-    heard: AtomicU64,
+    observed: AtomicU64,
     behind: Notify,
 }
 
@@ -37,7 +37,7 @@
         Self {
             link,
             view: Mutex::new(SiteView::default()),
-            heard: AtomicU64::new(0),
+            observed: AtomicU64::new(0),
             behind: Notify::new(),
         }
     }
@@ -55,19 +55,19 @@
     }
 
     /// A peer told its position: where it stays ahead, another control host is asked.
-    pub fn heard(&self, position: Position) {
-        let known = self.heard.fetch_max(position.0, Ordering::SeqCst);
+    pub fn observe_position(&self, position: Position) {
+        let known = self.observed.fetch_max(position.0, Ordering::SeqCst);
         if position.0 > known {
             self.behind.notify_one();
         }
     }
 
     /// Returns once the asked control host has kept a change back for too long.
-    async fn overdue(&self) {
+    async fn sync_overdue(&self) {
         loop {
             self.behind.notified().await;
-            tokio::time::sleep(SYNC_PAUSE).await;
-            if self.position().0 < self.heard.load(Ordering::SeqCst) {
+            tokio::time::sleep(SYNC_RETRY_DELAY).await;
+            if self.position().0 < self.observed.load(Ordering::SeqCst) {
                 return;
             }
         }
@@ -77,7 +77,7 @@
     pub async fn start(&self) -> Result<(), PeerError> {
         let page = self
             .link
-            .decide("sync", JOIN_TIME, |client, context| async move {
+            .call_leader("sync", JOIN_TIMEOUT, |client, context| async move {
                 client.sync(context, Position(0), 0, true).await
             })
             .await?;
@@ -92,12 +92,12 @@
         loop {
             let cursor = self.position();
             let asked = self.link.call_any(number, "sync", |client| async move {
-                let context = peers::within(SYNC_TIME);
+                let context = peers::within(SYNC_TIMEOUT);
                 client.sync(context, cursor, SYNC_WAIT_MS, false).await
             });
             let answer = tokio::select! {
                 answer = asked => Some(answer),
-                () = self.overdue() => None,
+                () = self.sync_overdue() => None,
             };
             match answer {
                 Some(Ok(Ok(page))) => {
@@ -109,7 +109,7 @@
                 None => number += 1,
                 Some(_) => {
                     number += 1;
-                    tokio::time::sleep(SYNC_PAUSE).await;
+                    tokio::time::sleep(SYNC_RETRY_DELAY).await;
                 }
             }
         }
@@ -125,8 +125,8 @@
 ) -> Result<Incarnation, DaemonError> {
     let (host, hall) = (&common.host, &common.hall);
     let command = Command::Join(host.clone(), role, address.to_owned(), hall.clone());
-    match propose(link, "join", JOIN_TIME, command).await? {
-        Reply::Joined(life) => Ok(life),
+    match propose(link, "join", JOIN_TIMEOUT, command).await? {
+        Reply::Joined(incarnation) => Ok(incarnation),
         reply => unreachable!("a join was answered with {reply:?}"),
     }
 }
@@ -138,22 +138,28 @@
     common: &CommonSettings,
     role: MemberRole,
     address: &str,
-    life: Incarnation,
+    incarnation: Incarnation,
 ) -> Result<bool, PeerError> {
     let (host, hall) = (&common.host, &common.hall);
-    let command = Command::Rejoin(host.clone(), role, address.to_owned(), hall.clone(), life);
-    let reply = propose(link, "rejoin", SYNC_TIME, command).await?;
-    Ok(reply == Reply::Joined(life))
+    let command = Command::Rejoin(
+        host.clone(),
+        role,
+        address.to_owned(),
+        hall.clone(),
+        incarnation,
+    );
+    let reply = propose(link, "rejoin", SYNC_TIMEOUT, command).await?;
+    Ok(reply == Reply::Joined(incarnation))
 }
 
 /// Commits a command.
 pub async fn propose(
     link: &ControlLink,
     step: &'static str,
-    patience: Duration,
+    timeout: Duration,
     command: Command,
 ) -> Result<Reply, PeerError> {
-    let answer = propose_at(link, step, patience, command).await;
+    let answer = propose_at(link, step, timeout, command).await;
     answer.map(|(_, reply)| reply)
 }
 
@@ -161,10 +167,10 @@
 pub async fn propose_at(
     link: &ControlLink,
     step: &'static str,
-    patience: Duration,
+    timeout: Duration,
     command: Command,
 ) -> Result<(Position, Reply), PeerError> {
-    link.decide(step, patience, |client, context| {
+    link.call_leader(step, timeout, |client, context| {
         let command = command.clone();
         async move { client.propose(context, command).await }
     })
--- a/src/process/metrics.rs
+++ b/src/process/metrics.rs
@@ -11,9 +11,9 @@
 /// a histogram; a third digit takes 230 kB, and there is one for each client account.
 const DIGITS: u8 = 2;
 /// Accounts that have a histogram of their own; the others share one.
-const MAX_ACCOUNTS: usize = 64;
-/// The label of the accounts beyond [`MAX_ACCOUNTS`].
-const OTHER_ACCOUNTS: &str = "other";
+const MAX_ACCOUNT_LABELS: usize = 64;
+/// The label of the accounts beyond [`MAX_ACCOUNT_LABELS`].
+const OTHER_ACCOUNTS_LABEL: &str = "other";
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
 
 /// A metric's name and labels.
@@ -37,14 +37,14 @@
 
 /// All metrics of one process.
 #[derive(Debug, Default)]
-pub struct MetricBook {
+pub struct MetricRegistry {
     counters: BTreeMap<MetricKey, u64>,
     gauges: BTreeMap<MetricKey, u64>,
-    times: BTreeMap<MetricKey, Histogram<u64>>,
+    histograms: BTreeMap<MetricKey, Histogram<u64>>,
     accounts: BTreeSet<String>,
 }
 
-impl MetricBook {
+impl MetricRegistry {
     /// Adds to a counter.
     pub fn count(&mut self, key: MetricKey, by: u64) {
         *self.counters.entry(key).or_default() += by;
@@ -59,15 +59,15 @@
     pub fn time(&mut self, key: MetricKey, micros: u64) {
         let fresh =
             || Histogram::new_with_bounds(1, MAX_MICROS, DIGITS).expect("the bounds are constants");
-        let histogram = self.times.entry(key).or_insert_with(fresh);
+        let histogram = self.histograms.entry(key).or_insert_with(fresh);
         histogram.saturating_record(micros.max(1));
     }
 
     /// The label for an account: its name, as long as there are not too many.
     pub fn account_label<'a>(&mut self, account: &'a str) -> &'a str {
         let known = self.accounts.contains(account);
-        if !known && self.accounts.len() >= MAX_ACCOUNTS {
-            return OTHER_ACCOUNTS;
+        if !known && self.accounts.len() >= MAX_ACCOUNT_LABELS {
+            return OTHER_ACCOUNTS_LABEL;
         }
         if !known {
             self.accounts.insert(account.to_owned());
@@ -81,34 +81,34 @@
         for (kind, metrics) in [("counter", &self.counters), ("gauge", &self.gauges)] {
             let mut last = "";
             for (key, value) in metrics {
-                head(&mut text, &mut last, key.name, kind);
-                line(&mut text, key.name, &key.labels, &value.to_string());
+                write_type(&mut text, &mut last, key.name, kind);
+                write_sample(&mut text, key.name, &key.labels, &value.to_string());
             }
         }
         let mut last = "";
-        for (key, histogram) in &self.times {
-            head(&mut text, &mut last, key.name, "summary");
+        for (key, histogram) in &self.histograms {
+            write_type(&mut text, &mut last, key.name, "summary");
             for quantile in QUANTILES {
                 let mut labels = key.labels.clone();
                 labels.push(("quantile", quantile.to_string()));
                 let seconds = histogram.value_at_quantile(quantile) as f64 / 1e6;
-                line(&mut text, key.name, &labels, &seconds.to_string());
+                write_sample(&mut text, key.name, &labels, &seconds.to_string());
             }
             let count = format!("{}_count", key.name);
-            line(&mut text, &count, &key.labels, &histogram.len().to_string());
+            write_sample(&mut text, &count, &key.labels, &histogram.len().to_string());
         }
         text
     }
 }
 
-fn head(text: &mut String, last: &mut &'static str, name: &'static str, kind: &str) {
+fn write_type(text: &mut String, last: &mut &'static str, name: &'static str, kind: &str) {
     if *last != name {
         *last = name;
         let _ = writeln!(text, "# TYPE {name} {kind}");
     }
 }
 
-fn line(text: &mut String, name: &str, labels: &[(&'static str, String)], value: &str) {
+fn write_sample(text: &mut String, name: &str, labels: &[(&'static str, String)], value: &str) {
     let _ = write!(text, "{name}");
     for (at, (label, content)) in labels.iter().enumerate() {
         let open = if at == 0 { '{' } else { ',' };
--- a/src/process/peers.rs
+++ b/src/process/peers.rs
@@ -25,21 +25,21 @@
 use crate::process::wire::{AgentWireClient, ControlRefusal, ControlWireClient, PROTOCOL};
 
 /// Longest frame of a handshake, in bytes.
-const HELLO_FRAME: usize = 4096;
+const MAX_HANDSHAKE_FRAME_BYTES: usize = 4096;
 /// Longest frame afterwards: a snapshot of the largest site fits.
-const MAX_FRAME: usize = 64 << 20;
+const MAX_FRAME_BYTES: usize = 64 << 20;
 /// Longest handshake.
-const HELLO_TIME: Duration = Duration::from_millis(1_000);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Longest time for a connection to come up. A host without power says nothing,
 /// and a lost first packet is sent again only after a second.
-const CONNECT_TIME: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time without an answer after which a further connection is begun: far above a
 /// round trip within a region, and a fifth of the whole time.
-const CONNECT_AGAIN: Duration = Duration::from_millis(50);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Least time between two tries to reach the same peer.
-const REDIAL_TIME: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// Connections that may be in their handshake at once.
-const MAX_GREETING: usize = 256;
+const MAX_HANDSHAKES: usize = 256;
 
 type Frames = Framed<TcpStream, LengthDelimitedCodec>;
 /// A framed, authenticated connection that carries calls.
@@ -190,12 +190,12 @@
     }
 }
 
-async fn greet_as_server(
+async fn server_handshake(
     stream: TcpStream,
     peer: &str,
     secret: &SiteSecret,
 ) -> Result<Frames, PeerError> {
-    let mut frames = Framed::new(stream, codec(HELLO_FRAME));
+    let mut frames = Framed::new(stream, codec(MAX_HANDSHAKE_FRAME_BYTES));
     let nonce: [u8; 32] = rand::rng().random();
     let challenge = Challenge {
         protocol: PROTOCOL,
@@ -214,12 +214,12 @@
     Ok(frames)
 }
 
-async fn greet_as_client(
+async fn client_handshake(
     stream: TcpStream,
     peer: &str,
     secret: &SiteSecret,
 ) -> Result<Frames, PeerError> {
-    let mut frames = Framed::new(stream, codec(HELLO_FRAME));
+    let mut frames = Framed::new(stream, codec(MAX_HANDSHAKE_FRAME_BYTES));
     let challenge: Challenge = receive(&mut frames, peer).await?;
     check_version(peer, challenge.protocol)?;
     let nonce: [u8; 32] = rand::rng().random();
@@ -238,14 +238,14 @@
     }
 }
 
-async fn in_time<T>(
+async fn with_handshake_timeout<T>(
     peer: &str,
-    greeting: impl Future<Output = Result<T, PeerError>>,
+    handshake: impl Future<Output = Result<T, PeerError>>,
 ) -> Result<T, PeerError> {
     let late = |_| PeerError::Handshake {
         peer: peer.to_owned(),
     };
-    tokio::time::timeout(HELLO_TIME, greeting)
+    tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake)
         .await
         .map_err(late)?
 }
@@ -256,7 +256,7 @@
     Out: Serialize,
 {
     // Nothing may be buffered: the peer speaks again only after the greeting.
-    let framed = Framed::new(frames.into_inner(), codec(MAX_FRAME));
+    let framed = Framed::new(frames.into_inner(), codec(MAX_FRAME_BYTES));
     tarpc::serde_transport::new(framed, Bincode::default())
 }
 
@@ -280,26 +280,26 @@
             peer: address.to_owned(),
             source,
         })?;
-        greet_as_client(stream, address, secret).await
+        client_handshake(stream, address, secret).await
     };
-    Ok(transport(in_time(address, connect).await?))
+    Ok(transport(with_handshake_timeout(address, connect).await?))
 }
 
 /// Opens a connection. While nothing answers, further ones are begun: the first packet
 /// to a host that is just coming back is lost, and is sent again only after a second.
 async fn connect(address: &str) -> io::Result<TcpStream> {
-    let mut begun = FuturesUnordered::new();
+    let mut pending = FuturesUnordered::new();
     let tries = async {
-        begun.push(TcpStream::connect(address));
+        pending.push(TcpStream::connect(address));
         loop {
-            match tokio::time::timeout(CONNECT_AGAIN, begun.next()).await {
+            match tokio::time::timeout(CONNECT_RETRY_DELAY, pending.next()).await {
                 Ok(Some(connected)) => return connected,
-                Ok(None) | Err(_) => begun.push(TcpStream::connect(address)),
+                Ok(None) | Err(_) => pending.push(TcpStream::connect(address)),
             }
         }
     };
     let late = |_| io::Error::from(io::ErrorKind::TimedOut);
-    let connected = tokio::time::timeout(CONNECT_TIME, tries).await;
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, tries).await;
     connected.map_err(late).and_then(|connected| connected)
 }
 
@@ -312,23 +312,24 @@
     In: DeserializeOwned + Send + 'static,
     Out: Serialize + Send + 'static,
 {
-    let greeting = Arc::new(tokio::sync::Semaphore::new(MAX_GREETING));
+    let handshake = Arc::new(tokio::sync::Semaphore::new(MAX_HANDSHAKES));
     loop {
-        let Ok(permit) = greeting.clone().acquire_owned().await else {
+        let Ok(permit) = handshake.clone().acquire_owned().await else {
             return;
         };
         let Ok((stream, address)) = listener.accept().await else {
             // Out of file handles, most likely: let some close.
-            tokio::time::sleep(REDIAL_TIME).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
             continue;
         };
         let (secret, serve) = (secret.clone(), serve.clone());
         tokio::spawn(async move {
             let peer = address.to_string();
             let _ = stream.set_nodelay(true);
-            let greeted = in_time(&peer, greet_as_server(stream, &peer, &secret)).await;
+            let authenticated =
+                with_handshake_timeout(&peer, server_handshake(stream, &peer, &secret)).await;
             drop(permit);
-            match greeted {
+            match authenticated {
                 Ok(frames) => serve(transport(frames)),
                 Err(error) => tracing::warn!(%peer, %error, "refused a peer"),
             }
@@ -433,7 +434,7 @@
     async fn client(&self, address: &str) -> Result<C, PeerError> {
         let broken = match self.lock().get(address) {
             Some(PeerSlot::Open(client)) => return Ok(client.clone()),
-            Some(PeerSlot::Broken(at)) => at.elapsed() < REDIAL_TIME,
+            Some(PeerSlot::Broken(at)) => at.elapsed() < RECONNECT_DELAY,
             None => false,
         };
         if broken {
@@ -470,9 +471,9 @@
 }
 
 /// Time for one call to one control host.
-const CONTROL_CALL: Duration = Duration::from_millis(1500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause between rounds over all control hosts.
-const CONTROL_PAUSE: Duration = Duration::from_millis(50);
+const ROUND_PAUSE: Duration = Duration::from_millis(50);
 
 impl ControlLink {
     /// A link to the control hosts of a site.
@@ -501,7 +502,7 @@
     }
 
     /// Adds a control host. Returns whether it was not known.
-    pub fn learn(&self, address: &str) -> bool {
+    pub fn add_host(&self, address: &str) -> bool {
         let mut known = self.known();
         let new = !known.iter().any(|other| other == address);
         if new {
@@ -516,7 +517,7 @@
         lock(&self.confirmed).clone()
     }
 
-    fn note_confirmed(&self, address: &str, answered: bool) {
+    fn record_confirmed(&self, address: &str, answered: bool) {
         let mut confirmed = lock(&self.confirmed);
         match answered {
             true => *confirmed = Some(address.to_owned()),
@@ -570,34 +571,34 @@
     }
 
     /// Calls the leader, following refusals and going round the hosts until
-    /// one decides or `patience` is over.
+    /// one decides or `timeout` is over.
     ///
     /// A call may be made more than once, so it must be safe to repeat.
-    pub async fn decide<T, F>(
+    pub async fn call_leader<T, F>(
         &self,
         step: &'static str,
-        patience: Duration,
+        timeout: Duration,
         make: impl Fn(ControlWireClient, tarpc::context::Context) -> F,
     ) -> Result<T, PeerError>
     where
         F: Future<Output = Result<Result<T, ControlRefusal>, RpcError>>,
     {
-        let give_up = Instant::now() + patience;
-        let mut tried = 0;
+        let deadline = Instant::now() + timeout;
+        let mut attempts = 0;
         loop {
             let number = *self.lock();
             let address = &self.address(number);
-            let left = give_up.saturating_duration_since(Instant::now());
-            let context = within(left.min(CONTROL_CALL));
+            let left = deadline.saturating_duration_since(Instant::now());
+            let context = within(left.min(CALL_TIMEOUT));
             let answer = self
                 .pool
                 .call(address, step, |client| make(client, context))
                 .await;
-            self.note_confirmed(address, matches!(answer, Ok(Ok(_))));
+            self.record_confirmed(address, matches!(answer, Ok(Ok(_))));
             let error = match answer {
                 Ok(Ok(value)) => return Ok(value),
                 Ok(Err(refusal)) => {
-                    self.turn_to(number, &refusal);
+                    self.follow_refusal(number, &refusal);
                     PeerError::Refused {
                         step,
                         peer: address.clone(),
@@ -609,37 +610,37 @@
                     error
                 }
             };
-            tried += 1;
-            if Instant::now() + CONTROL_PAUSE >= give_up {
+            attempts += 1;
+            if Instant::now() + ROUND_PAUSE >= deadline {
                 return Err(error);
             }
-            if tried % self.len() == 0 {
-                tokio::time::sleep(CONTROL_PAUSE).await;
+            if attempts % self.len() == 0 {
+                tokio::time::sleep(ROUND_PAUSE).await;
             }
         }
     }
 
     /// Notes what a host that was taken for the leader answered: after a refusal,
     /// another one is presumed to lead.
-    pub fn note_answer<T>(
+    pub fn record_reply<T>(
         &self,
         address: &str,
         answer: Result<T, ControlRefusal>,
     ) -> Result<T, ControlRefusal> {
-        self.note_confirmed(address, answer.is_ok());
+        self.record_confirmed(address, answer.is_ok());
         let number = self.known().iter().position(|known| known == address);
         match (&answer, number) {
             (Ok(_), Some(number)) => *self.lock() = number,
-            (Err(refusal), Some(number)) => self.turn_to(number, refusal),
+            (Err(refusal), Some(number)) => self.follow_refusal(number, refusal),
             (_, None) => {}
         }
         answer
     }
 
-    fn turn_to(&self, number: usize, refusal: &ControlRefusal) {
+    fn follow_refusal(&self, number: usize, refusal: &ControlRefusal) {
         let named = match refusal {
             ControlRefusal::NotLeader(Some(address)) => {
-                self.learn(address);
+                self.add_host(address);
                 self.known().iter().position(|known| known == address)
             }
             _ => None,
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -114,7 +114,7 @@
 /// Leases, losses and placement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct DutySettings {
+pub struct ControllerSettings {
     /// Silence after which a process is lost, in milliseconds.
     pub loss_ms: u64,
     /// Lease of a target's plan, in milliseconds.
@@ -129,7 +129,7 @@
     pub by_demand: bool,
 }
 
-impl Default for DutySettings {
+impl Default for ControllerSettings {
     fn default() -> Self {
         Self {
             loss_ms: 2000,
@@ -142,7 +142,7 @@
     }
 }
 
-impl DutySettings {
+impl ControllerSettings {
     /// As the leader's duties take it.
     pub fn policy(&self) -> DutyPolicy {
         DutyPolicy {
@@ -171,7 +171,7 @@
     pub timing: RaftTiming,
     /// Leases, losses and placement.
     #[serde(default)]
-    pub duties: DutySettings,
+    pub duties: ControllerSettings,
     /// Log entries after which a snapshot is taken.
     #[serde(default = "default_compact")]
     pub compact_after: usize,
@@ -370,7 +370,7 @@
 }
 
 fn default_lease() -> u64 {
-    DutySettings::default().lease_ms
+    ControllerSettings::default().lease_ms
 }
 
 fn default_report() -> u64 {
@@ -378,12 +378,12 @@
 }
 
 /// Settings whose values can be checked beyond their form.
-pub trait Checked: DeserializeOwned + Serialize {
+pub trait ValidatedSettings: DeserializeOwned + Serialize {
     /// Checks the values; names the field and what is wrong with it.
     fn check(&self) -> Result<(), (&'static str, String)>;
 }
 
-impl Checked for ControlSettings {
+impl ValidatedSettings for ControlSettings {
     fn check(&self) -> Result<(), (&'static str, String)> {
         check_common(&self.common)?;
         let named = self.common.control.iter();
@@ -407,7 +407,7 @@
     }
 }
 
-impl Checked for EntrySettings {
+impl ValidatedSettings for EntrySettings {
     fn check(&self) -> Result<(), (&'static str, String)> {
         check_common(&self.common)?;
         let keys = self.partners.values();
@@ -425,7 +425,7 @@
     }
 }
 
-impl Checked for AgentSettings {
+impl ValidatedSettings for AgentSettings {
     fn check(&self) -> Result<(), (&'static str, String)> {
         check_common(&self.common)?;
         match self {
@@ -486,13 +486,13 @@
 }
 
 /// Reads and checks a settings file.
-pub fn load<S: Checked>(path: &Path) -> Result<S, SettingsError> {
+pub fn load<S: ValidatedSettings>(path: &Path) -> Result<S, SettingsError> {
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
     parse(path, &text)
 }
 
 /// Checks settings given as text; `path` is for messages.
-pub fn parse<S: Checked>(path: &Path, text: &str) -> Result<S, SettingsError> {
+pub fn parse<S: ValidatedSettings>(path: &Path, text: &str) -> Result<S, SettingsError> {
     let mut plain = String::new();
     // Comments become spaces, so that lines and columns stay true.
     StripComments::new(text.as_bytes())
@@ -529,7 +529,7 @@
 }
 
 /// The effective settings as text. Key digests are masked.
-pub fn show<S: Checked>(settings: &S) -> String {
+pub fn show<S: ValidatedSettings>(settings: &S) -> String {
     let mut value = serde_json::to_value(settings).expect("settings encode");
     mask(&mut value);
     serde_json::to_string_pretty(&value).expect("settings encode")
--- a/src/process/wire.rs
+++ b/src/process/wire.rs
@@ -47,7 +47,7 @@
 
 /// The answer to an agent's beat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AgentOrders {
+pub struct AgentHeartbeatReply {
     /// The whole wish for its target; none where its life has ended: it must
     /// join again.
     pub plan: Option<TargetPlan>,
@@ -57,7 +57,7 @@
 
 /// The answer to an entry's beat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntryOrders {
+pub struct EntryHeartbeatReply {
     /// Shares of row limits above the floor.
     pub grants: BTreeMap<RowId, u32>,
     /// Its life has ended: it must join again.
@@ -157,7 +157,7 @@
 
 /// How far a control host has come, without the changes themselves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Notice {
+pub struct PositionUpdate {
     /// The data hall of this host.
     pub hall: HallName,
     /// The last change of what members follow.
@@ -178,16 +178,16 @@
     async fn raft(from: NodeId, host: HostName, message: RaftMessage);
     /// A process with a blank disk asks to be made a voter. The leader acts on
     /// it; each host tells the control hosts that it knows.
-    async fn enroll(node: NodeId, host: HostName) -> Result<Notice, ControlRefusal>;
+    async fn enroll(node: NodeId, host: HostName) -> Result<PositionUpdate, ControlRefusal>;
     /// The changes after a cursor, waiting up to `wait_ms` for one. With
     /// `fresh`, only from a state that nothing newer can exist besides.
     async fn sync(cursor: Position, wait_ms: u64, fresh: bool) -> Result<SyncPage, ControlRefusal>;
     /// Commits a command.
     async fn propose(command: Command) -> Result<(Position, Reply), ControlRefusal>;
     /// An agent's beat.
-    async fn agent_beat(beat: AgentBeat) -> Result<AgentOrders, ControlRefusal>;
+    async fn agent_beat(beat: AgentBeat) -> Result<AgentHeartbeatReply, ControlRefusal>;
     /// An entry's beat.
-    async fn entry_beat(beat: EntryBeat) -> Result<EntryOrders, ControlRefusal>;
+    async fn entry_beat(beat: EntryBeat) -> Result<EntryHeartbeatReply, ControlRefusal>;
     /// The table, by a linearizable read.
     async fn table() -> Result<TableStatus, ControlRefusal>;
     /// Looks a claim up, by a linearizable read.
@@ -197,14 +197,14 @@
     /// This voter's account of itself.
     async fn status() -> ControlStatus;
     /// How far this host has come, waiting up to `wait_ms` for a change after a cursor.
-    async fn notice(cursor: Position, wait_ms: u64) -> Result<Notice, ControlRefusal>;
+    async fn notice(cursor: Position, wait_ms: u64) -> Result<PositionUpdate, ControlRefusal>;
     /// The configuration, by a linearizable read.
     async fn configuration() -> Result<Option<ConfigurationRecord>, ControlRefusal>;
     /// The version of the newest configuration, 0 for none; only from a leader whose
     /// lease holds.
     async fn confirm() -> Result<u64, ControlRefusal>;
     /// An entry draws from the quotas of accounts; for the leader.
-    async fn quota(ask: QuotaAsk) -> Result<QuotaGrants, ControlRefusal>;
+    async fn quota(request: QuotaAsk) -> Result<QuotaGrants, ControlRefusal>;
     /// All client accounts, with what is drawn of their quotas; for the leader.
     async fn accounts() -> Result<Vec<AccountStatus>, ControlRefusal>;
     /// Replicas that another control host has heard; for the leader.
@@ -214,9 +214,9 @@
     /// What an entry has waiting at replicas; the leader tells which ones are crowded.
     async fn crowd(report: CrowdReport) -> Result<WaitingTokens, ControlRefusal>;
     /// An entry wants an adapter; the leader tells whether it comes soon.
-    async fn wish(wish: AdapterPlace) -> Result<bool, ControlRefusal>;
+    async fn wish(request: AdapterPlace) -> Result<bool, ControlRefusal>;
     /// An entry asks for the turn of an attempt of a suspect content; for the leader.
-    async fn turn(ask: TurnAsk) -> Result<TurnAnswer, ControlRefusal>;
+    async fn turn(request: TurnAsk) -> Result<TurnAnswer, ControlRefusal>;
     /// An attempt that had a turn has ended; for the leader.
     async fn end_turn(end: TurnEnd) -> Result<(), ControlRefusal>;
     /// Asks the leader whether one request may go to a replica that takes few.
@@ -239,14 +239,14 @@
     /// and stays so.
     async fn appoint(host: HostName) -> Result<HostName, ControlRefusal>;
     /// The named hosts without a disk agree on the founder.
-    async fn naming(ask: NamingAsk) -> NamingAnswer;
+    async fn naming(request: NamingAsk) -> NamingAnswer;
 }
 
 /// An agent's word with its load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AgentWord {
+pub struct AgentReply {
     /// What it says of the attempt.
-    pub word: AttemptWord,
+    pub status: AttemptWord,
     /// Queued and running requests.
     pub load: u32,
     /// How far the agent follows the log: an entry that is behind catches up.
@@ -258,11 +258,16 @@
 #[tarpc::service]
 pub trait AgentWire {
     /// Starts an attempt, once.
-    async fn start(position: Position, ask: RunAsk) -> AgentWord;
+    async fn start(position: Position, request: RunAsk) -> AgentReply;
     /// The answer from a piece on, waiting up to `wait_ms` for one.
-    async fn pull(attempt: AttemptId, life: Incarnation, offset: u32, wait_ms: u64) -> AgentWord;
+    async fn pull(
+        attempt: AttemptId,
+        incarnation: Incarnation,
+        offset: u32,
+        wait_ms: u64,
+    ) -> AgentReply;
     /// Ends an attempt that has not started.
-    async fn seal(attempt: AttemptId, life: Incarnation) -> AgentWord;
+    async fn seal(attempt: AttemptId, incarnation: Incarnation) -> AgentReply;
     /// Ends an attempt whose caller has gone.
     async fn cancel(attempt: AttemptId);
 }
@@ -282,7 +287,7 @@
             row: row.clone(),
             in_force: members - lagging.len(),
             members,
-            lagging: lagging.into_iter().take(MAX_LAGGING).collect(),
+            lagging: lagging.into_iter().take(MAX_LAGGING_NAMES).collect(),
             homes: ready.map(|(target, _)| target.0.clone()).collect(),
         };
         (id.clone(), status)
@@ -294,4 +299,4 @@
 }
 
 /// Most lagging processes named for one row.
-const MAX_LAGGING: usize = 16;
+const MAX_LAGGING_NAMES: usize = 16;
--- a/tests/forwarding/support/mod.rs
+++ b/tests/forwarding/support/mod.rs
@@ -301,7 +301,7 @@
         fleet: Default::default(),
         site: Default::default(),
     };
-    bootstrap::found(&settings).unwrap();
+    bootstrap::bootstrap(&settings).unwrap();
     let control = ControlDaemon::start_on(listener, settings, secret())
         .await
         .unwrap();
@@ -342,7 +342,7 @@
         let (control, address) = start_control(&folder).await;
         let link = Arc::new(ControlLink::new(secret(), vec![address.to_string()]));
         let registry = Rc::new(Registry::new(
-            LogAccess::Own(control.handle()),
+            LogAccess::Local(control.handle()),
             link.clone(),
             BTreeSet::from([HallName::from("hall")]),
         ));
@@ -461,14 +461,20 @@
     pub async fn account_statuses(&self) -> Vec<AccountStatus> {
         let call =
             |client: ControlWireClient, context| async move { client.accounts(context).await };
-        self.link.decide("accounts", PATIENCE, call).await.unwrap()
+        self.link
+            .call_leader("accounts", PATIENCE, call)
+            .await
+            .unwrap()
     }
 
     /// The contents under which replicas ended, as operators are told of them.
     pub async fn contents(&self) -> CrashBook {
         let call =
             |client: ControlWireClient, context| async move { client.contents(context).await };
-        self.link.decide("contents", PATIENCE, call).await.unwrap()
+        self.link
+            .call_leader("contents", PATIENCE, call)
+            .await
+            .unwrap()
     }
 
     /// Lets a content be tried again. Returns whether it was barred.
@@ -478,7 +484,7 @@
                 .propose(context, Command::ContentLifted(content))
                 .await
         };
-        let (_, reply) = self.link.decide("lift", PATIENCE, call).await.unwrap();
+        let (_, reply) = self.link.call_leader("lift", PATIENCE, call).await.unwrap();
         reply == Reply::Lifted(true)
     }
 
@@ -513,7 +519,7 @@
         ntex::rt::spawn(serve_replica(listener, name.to_owned(), state.clone()));
         // Heartbeats come again and again: one that met no quorum changes nothing.
         answered("the entry to know the replica", async || {
-            let _ = past_quorum(self.registry.beat(record.clone()).await)?;
+            let _ = past_quorum(self.registry.heartbeat(record.clone()).await)?;
             self.entries[0].knows(&ReplicaId::from(name)).then_some(())
         })
         .await;
@@ -551,7 +557,7 @@
     pub async fn drain(&self, name: &str) {
         let mut record = self.replicas[name].0.clone();
         record.phase = ReplicaPhase::Draining;
-        let told = async || past_quorum(self.registry.beat(record.clone()).await);
+        let told = async || past_quorum(self.registry.heartbeat(record.clone()).await);
         answered("a quorum", told).await.unwrap();
     }
 
--- a/tests/forwarding/support/mortal.rs
+++ b/tests/forwarding/support/mortal.rs
@@ -134,7 +134,7 @@
         slots: 8,
         ..ready_replica(replica.id(), "plain")
     };
-    let told = async || past_quorum(registry.beat(record.clone()).await);
+    let told = async || past_quorum(registry.heartbeat(record.clone()).await);
     answered("a quorum", told).await.unwrap();
 }
 
--- a/tests/full_disk.rs
+++ b/tests/full_disk.rs
@@ -65,7 +65,7 @@
     loop {
         assert!(!voter.thread.is_finished(), "the voter has ended");
         let propose = |answer| ControlEvent::Propose(command.clone(), answer);
-        if let Ok((_, reply)) = voter.handle.ask(propose).await {
+        if let Ok((_, reply)) = voter.handle.request(propose).await {
             return reply;
         }
         tokio::task::yield_now().await;
@@ -90,7 +90,7 @@
 async fn a_voter_waits_until_its_disk_has_room() {
     let folder = TempDir::new().unwrap();
     let settings = settings(&folder);
-    bootstrap::found(&settings).unwrap();
+    bootstrap::bootstrap(&settings).unwrap();
     let mut voter = ControlLoop::open(settings).unwrap();
     let full = Arc::new(AtomicU32::new(0));
     let left = full.clone();
@@ -117,7 +117,7 @@
     let folder = TempDir::new().unwrap();
     let settings = settings(&folder);
     let slow = Duration::from_millis(3 * settings.timing.election_ms);
-    bootstrap::found(&settings).unwrap();
+    bootstrap::bootstrap(&settings).unwrap();
     let mut voter = ControlLoop::open(settings).unwrap();
     voter.check_writes(Box::new(move |_| {
         thread::sleep(slow);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -18,7 +18,7 @@
         for daemon in daemons {
             let status = daemon.status().await?;
             let handle = daemon.handle();
-            let asked = handle.ask(|answer| ControlEvent::MayOrder(status.term, answer));
+            let asked = handle.request(|answer| ControlEvent::OrderPermit(status.term, answer));
             if let Ok(permit) = asked.await {
                 return Some((status, permit));
             }
@@ -82,8 +82,8 @@
         }
         let handle = daemon.handle();
         let (answer, stopped) = oneshot::channel();
-        handle.tell(ControlEvent::Stop(answer));
-        let asked = handle.ask(|answer| ControlEvent::MayOrder(leader.term, answer));
+        handle.notify(ControlEvent::Stop(answer));
+        let asked = handle.request(|answer| ControlEvent::OrderPermit(leader.term, answer));
         assert!(asked.await.is_err());
         stopped.await.unwrap();
     }
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -161,9 +161,9 @@
             }
         }));
         let left = &records[refused..];
-        assert!(journal.save_part(left).unwrap_err().is_full());
+        assert!(journal.save_prefix(left).unwrap_err().is_full());
         assert_eq!(reopened(folder.path()), image, "refused at {refused}");
-        assert_eq!(journal.save_part(left).unwrap(), 1);
+        assert_eq!(journal.save_prefix(left).unwrap(), 1);
         image.apply(records[refused].clone());
         assert_eq!(reopened(folder.path()), image, "taken at {refused}");
     }
