--- a/tests/log_limit.rs
+++ b/tests/log_limit.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-use dunlinspring::process::log_limit::{self, LINES_A_SECOND, LineLimiter};
+use dunlinspring::process::log_limit::{self, LineLimiter, MAX_LINES_PER_SECOND};
 use tracing_subscriber::layer::SubscriberExt;
 
 /// The time that the limiter is told, in milliseconds.
@@ -32,7 +32,7 @@
 }
 
 fn log_much() {
-    for number in 0..LINES_A_SECOND * 10 {
+    for number in 0..MAX_LINES_PER_SECOND * 10 {
         tracing::info!(number, "much");
     }
     tracing::info!("little");
@@ -49,12 +49,15 @@
         .with(LineLimiter::new(|| NOW_MS.load(Ordering::SeqCst)));
     tracing::subscriber::with_default(subscriber, || {
         log_much();
-        assert_eq!(lines.count("much"), LINES_A_SECOND);
+        assert_eq!(lines.count("much"), MAX_LINES_PER_SECOND);
         assert_eq!(lines.count("little"), 1);
-        assert_eq!(log_limit::passed_over(), u64::from(LINES_A_SECOND) * 9);
+        assert_eq!(
+            log_limit::suppressed_lines(),
+            u64::from(MAX_LINES_PER_SECOND) * 9
+        );
         NOW_MS.store(1_000, Ordering::SeqCst);
         log_much();
-        assert_eq!(lines.count("much"), LINES_A_SECOND * 2);
+        assert_eq!(lines.count("much"), MAX_LINES_PER_SECOND * 2);
         assert_eq!(lines.count("little"), 2);
     });
 }
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,10 +1,10 @@
 //! Labels of metrics are bounded.
 
-use dunlinspring::process::metrics::{MetricBook, MetricKey};
+use dunlinspring::process::metrics::{MetricKey, MetricRegistry};
 
 #[test]
 fn accounts_beyond_a_number_share_one_label() {
-    let mut book = MetricBook::default();
+    let mut book = MetricRegistry::default();
     for number in 0..200 {
         let name = format!("account-{number}");
         let label = book.account_label(&name).to_owned();
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -90,14 +90,14 @@
 mutant proof-without-age src/routing/authority.rs 's/asked_ms\.saturating_sub\(proof\.age_ms\)/asked_ms/' accounts a_proof_counts_for_whoever_holds_its_version
 mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding where_nothing_newer_can_be_heard_no_key_is_obeyed_for_long
 mutant key-passed-on src/forward/request/wire_heads.rs 's/drop\.extend\(\[names\.key, names\.account\]\);//' forwarding a_key_stays_here_and_its_account_goes_on
-mutant order-without-its-leader src/control/order_dispatcher.rs 's/\.ok_or\(CallError::Deposed\)\?;/.unwrap_or(SendPermit { until_ms: u64::MAX });/' orderer an_order_leaves_only_while_its_leader_decides
-mutant renewal-waits-for-the-voter src/control/order_dispatcher.rs 's/tokio::time::timeout\(left, self\.ask\(\)\)\.await/Ok::<_, ()>(self.ask().await)/' orderer an_order_ends_with_its_permit_also_while_the_voter_is_held_up
+mutant order-without-its-leader src/control/order_dispatcher.rs 's/\.ok_or\(CallError::NotLeader\)\?;/.unwrap_or(SendPermit { until_ms: u64::MAX });/' orderer an_order_leaves_only_while_its_leader_decides
+mutant renewal-waits-for-the-voter src/control/order_dispatcher.rs 's/tokio::time::timeout\(left, self\.request\(\)\)\.await/Ok::<_, ()>(self.request().await)/' orderer an_order_ends_with_its_permit_also_while_the_voter_is_held_up
 mutant order-closed-in-good-order src/forward/upstream.rs 's/\.and_then\(\|\(\)\| socket\.set_linger\(Some\(Duration::ZERO\)\)\)//' orderer an_order_that_is_given_up_leaves_nothing_on_its_way
 mutant kernel-goes-on src/forward/upstream.rs 's/socket\n            \.set_tcp_user_timeout\(Some\(left\)\)\n            \.and_then\(\|\(\)\| (socket\.set_linger\(Some\(Duration::ZERO\)\))\)/$1/' bounded_sending the_kernel_sends_nothing_again_after_the_wait_for_an_orders_way
 mutant deposed-leader-is-free src/consensus/raft.rs 's/self\.silent_until_ms = self\.silent_until_ms\.max\(lease_ms\);/let _ = lease_ms;/' permit a_leader_that_steps_down_helps_nobody_to_power_before_its_permits_end
 mutant stopping-leader-allows src/control/voter.rs 's/ \|\| self\.stopping\.is_some\(\)//' handover a_stopping_leader_allows_no_more_orders
 mutant new-leader-gives-all src/table/quota.rs 's/match self\.succeeds \&\& /match false \&\& /' quota a_new_leader_gives_half_of_the_burst_whoever_asks_first
-mutant lease-handed-over-early src/control/voter.rs 's/now_ms >= self\.permitted_ms/true/' handover a_stopping_leader_keeps_its_lease_while_orders_may_be_on_their_way
+mutant lease-handed-over-early src/control/voter.rs 's/now_ms >= self\.permitted_until_ms/true/' handover a_stopping_leader_keeps_its_lease_while_orders_may_be_on_their_way
 mutant no-way-for-the-last-order src/placement/fleet.rs 's/self\.policy\.order_lease_ms \+ self\.policy\.order_transit_ms/self.policy.order_lease_ms/' fleet a_new_leader_waits_for_the_last_order_of_the_one_before_to_arrive
 mutant snapshot-with-each-heartbeat src/consensus/raft.rs 's/progress\.installing_ms = now_ms \+ INSTALL_MS;/progress.installing_ms = 0;/' raft a_snapshot_is_sent_once_until_it_may_be_lost
 mutant no-entries-before-the-snapshot src/consensus/raft.rs 's/self\.past\.extend\(self\.entries\.drain\(\.\.kept\)\);/self.entries.drain(..kept);/' raft a_follower_that_lags_across_a_compaction_is_sent_entries
--- a/tests/orderer.rs
+++ b/tests/orderer.rs
@@ -65,12 +65,12 @@
         let mut asked = 0;
         for event in inbox {
             match event {
-                ControlEvent::MayOrder(Term(7), answer) => {
+                ControlEvent::OrderPermit(Term(7), answer) => {
                     // An asker that gave up has dropped its end.
                     let _ = answer.send(permit(asked));
                     asked += 1;
                 }
-                ControlEvent::Ordered(_, outcome) => {
+                ControlEvent::OrderDone(_, outcome) => {
                     ended.send(outcome).unwrap();
                     return;
                 }
@@ -392,8 +392,8 @@
     std::thread::spawn(move || {
         for event in inbox {
             match event {
-                ControlEvent::MayOrder(_, answer) => drop(answer.send(lease())),
-                ControlEvent::Ordered(order, outcome) => {
+                ControlEvent::OrderPermit(_, answer) => drop(answer.send(lease())),
+                ControlEvent::OrderDone(order, outcome) => {
                     told.send((order.born_ms, outcome)).unwrap()
                 }
                 _ => panic!("nothing else is asked"),
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -55,7 +55,7 @@
 fn relayed(named: &[SocketAddr]) -> Registry {
     let named = named.iter().map(ToString::to_string).collect();
     Registry::new(
-        LogAccess::Relayed,
+        LogAccess::Remote,
         Arc::new(ControlLink::new(secret(), named)),
         BTreeSet::new(),
     )
@@ -143,20 +143,20 @@
     let held = registry.configuration().await.unwrap().unwrap();
     assert_eq!((held.configuration.version, held.source), (3, source));
 
-    registry.beat(replica("i-1")).await.unwrap();
+    registry.heartbeat(replica("i-1")).await.unwrap();
     let mut foreign = replica("i-3");
     foreign.service = ServiceName::from("unheard");
-    let refused = registry.beat(foreign).await;
-    let named = matches!(&refused, Err(RegistryError::Foreign { service }) if service.as_str() == "unheard");
+    let refused = registry.heartbeat(foreign).await;
+    let named = matches!(&refused, Err(RegistryError::UnknownService { service }) if service.as_str() == "unheard");
     assert!(named, "{refused:?}");
-    registry.leave("i-1".into()).await.unwrap();
+    registry.drain("i-1".into()).await.unwrap();
     for voter in voters {
         voter.stop().await;
     }
     // Nobody is left to tell what is newest.
     let read = registry.configuration().await;
     assert!(matches!(read, Err(RegistryError::NoQuorum)), "{read:?}");
-    let beat = registry.beat(replica("i-2")).await;
+    let beat = registry.heartbeat(replica("i-2")).await;
     assert!(matches!(beat, Err(RegistryError::NoQuorum)), "{beat:?}");
 }
 
@@ -169,7 +169,7 @@
     // It starts again knowing nothing but a relay.
     let restarted = relay(other, second, &[own]).await;
     let link = restarted.link().clone();
-    let registry = Registry::new(LogAccess::Relayed, link, BTreeSet::new());
+    let registry = Registry::new(LogAccess::Remote, link, BTreeSet::new());
     let known = until("the voter to be found", async || {
         registry.configuration().await.ok()
     });
@@ -184,7 +184,7 @@
     // The seeds were exchanged for these two, and then all lost power.
     let one = relay(listener, own, &[own, second]).await;
     let _two = relay(other, second, &[own, second]).await;
-    let registry = Registry::new(LogAccess::Relayed, one.link().clone(), BTreeSet::new());
+    let registry = Registry::new(LogAccess::Remote, one.link().clone(), BTreeSet::new());
     let seeds = vec![own.to_string(), second.to_string()];
     let link = Arc::new(ControlLink::new(secret(), seeds));
     let host = HostName(first.to_string());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,10 +4,10 @@
 
 use dunlinspring::cli::load::LoadMix;
 use dunlinspring::process::settings::{
-    AgentSettings, Checked, ControlSettings, EntrySettings, parse, show,
+    AgentSettings, ControlSettings, EntrySettings, ValidatedSettings, parse, show,
 };
 
-fn example<S: Checked>(name: &str) -> (S, String) {
+fn example<S: ValidatedSettings>(name: &str) -> (S, String) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("examples/settings")
         .join(name);
@@ -15,7 +15,7 @@
     (parse(&path, &text).unwrap(), text)
 }
 
-fn fault<S: Checked>(name: &str, from: &str, to: &str) -> String {
+fn fault<S: ValidatedSettings>(name: &str, from: &str, to: &str) -> String {
     let (_, text) = example::<S>(name);
     assert!(text.contains(from), "the example lost '{from}'");
     let changed = text.replacen(from, to, 1);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -305,7 +305,7 @@
         let link = ControlLink::new(self.secret(), self.control_addresses());
         let call =
             |client: ControlWireClient, context| async move { client.contents(context).await };
-        let book = link.decide("contents", PATIENCE, call).await.unwrap();
+        let book = link.call_leader("contents", PATIENCE, call).await.unwrap();
         book.counts().into_values().collect()
     }
 
--- a/tests/support_founders/mod.rs
+++ b/tests/support_founders/mod.rs
@@ -15,7 +15,7 @@
     let mut daemons = Vec::new();
     for (listener, address) in bound {
         let settings = settings(folder, address, &addresses);
-        bootstrap::found(&settings).unwrap();
+        bootstrap::bootstrap(&settings).unwrap();
         let daemon = ControlDaemon::start_on(listener, settings, secret()).await;
         daemons.push(daemon.unwrap());
     }
