--- a/src/control/bootstrap.rs
+++ b/src/control/bootstrap.rs
@@ -1,12 +1,12 @@
-//! How a site is founded, and by whom.
+//! Bootstrap of a site: which hosts create its first log.
 //!
-//! Who founds a site whose hosts were told the same few control hosts, when not all
-//! of these have a disk.
+//! Used where the settings of all hosts name the same few control hosts, and not all of these
+//! have a disk.
 //!
-//! Whether a host has a disk never changes, so that all founders come to the same
-//! set, in whatever order they start. Where none of the named hosts has one, these
-//! agree on a single founder among the hosts that ask them, and the others join that
-//! one: see [`crate::consensus::naming`].
+//! The named hosts with a disk bootstrap the site together. Whether a host has a disk never
+//! changes, so all of them arrive at the same set, in whatever order they start. Where no named
+//! host has a disk, the named hosts agree on a single bootstrap host among those that request
+//! it, and the other hosts join that one: see [`crate::consensus::naming`].
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,17 +24,17 @@
 use crate::process::settings::{ControlSettings, VoterSettings};
 use crate::process::wire::{ControlRefusal, ControlStatus, ControlWireClient};
 
-/// Time for one question to one host.
+/// Timeout of one call to one host.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for a named host to have a founder named: two questions to the others, and one
-/// to whoever may have founded the site.
+/// Timeout of a request to have the bootstrap host chosen. The callee makes three rounds of
+/// calls at most: the two phases of the agreement, and a search for a site that exists already.
 const APPOINT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause before the hosts that did not answer are asked again.
+/// Pause before the hosts that did not reply are called again.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Rounds without all answers between two log lines.
+/// Rounds without all replies between two log lines.
 const ROUNDS_PER_LOG_LINE: u32 = 25;
 
-/// The identity of a founding voter's disk.
+/// Returns the disk identity of a voter that takes part in the bootstrap.
 pub fn voter_id(host: &HostName) -> NodeId {
     let digest = Sha256::digest(host.as_str().as_bytes());
     let mut prefix = [0; 8];
@@ -42,15 +42,14 @@
     NodeId(u64::from_le_bytes(prefix))
 }
 
-/// Founds a site's voter in an empty data folder, by all control hosts that the
-/// settings name. To be done once, on each of them, and never again after a disk
-/// was lost.
+/// Bootstraps the voter of this host in an empty data folder, with all control hosts that the
+/// settings name. To be run once on each of them, and never again after a disk was lost.
 pub fn bootstrap(settings: &ControlSettings) -> Result<(), JournalError> {
     let named = settings.common.control.iter();
     init_voter(settings, named.map(|voter| &voter.host))
 }
 
-/// Founds a site's voter, as one of `founders`.
+/// Bootstraps the voter of this host in an empty data folder, as one of `founders`.
 pub fn init_voter<'a>(
     settings: &ControlSettings,
     founders: impl Iterator<Item = &'a HostName>,
@@ -65,32 +64,33 @@
     journal.save(&[DiskRecord::Install(image.snapshot)])
 }
 
-/// The hosts that this one's founding was begun with, where its process ended before it
-/// was founded or taken in. The disk has never voted then, under no identity.
+/// Returns the hosts that were named at this host's first start, if its process ended before it
+/// had bootstrapped the site or joined it. The disk has not voted then, under any identity.
 pub fn unfinished_first_start(
     settings: &ControlSettings,
 ) -> Result<Option<Vec<VoterSettings>>, JournalError> {
     journal::unfinished_first_start(&settings.data_folder, voter_id(&settings.common.host))
 }
 
-/// What a host with a blank disk is at the site's first start.
+/// Role of a host with a blank disk at the site's first start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InitialRole {
-    /// It founds the site together with these hosts, itself among them.
+    /// Bootstraps the site together with these hosts, itself included.
     Founds(BTreeSet<HostName>),
-    /// Others found it: it enrols with them.
+    /// Enrols with the hosts that bootstrap the site.
     Joins,
 }
 
-/// What the named hosts answered so far: whether each keeps the log.
+/// Replies of the named hosts so far: whether each keeps the log.
 #[derive(Default)]
 struct NamedHosts {
     with_disk: BTreeSet<HostName>,
     without: BTreeSet<HostName>,
 }
 
-/// Asks the named hosts until this host's part is known. It waits for as long as
-/// one whose answer counts is silent: a founder that is left out would be lost.
+/// Queries the named hosts until the role of this host is known. A host that is not named joins
+/// as soon as one named host has a disk. Otherwise the replies of all named hosts are awaited,
+/// however long they take: a bootstrap host that is left out would be lost.
 pub async fn determine_role(
     link: &ControlLink,
     own: &HostName,
@@ -122,11 +122,16 @@
         }
         if round % ROUNDS_PER_LOG_LINE == 0 {
             let (with_disk, without) = (answers.with_disk.len(), answers.without.len());
-            tracing::warn!(with_disk, without, named = named.len(), "founding waits");
+            tracing::warn!(
+                with_disk,
+                without,
+                named = named.len(),
+                "bootstrap waits for the replies of named hosts"
+            );
         }
         tokio::time::sleep(RETRY_DELAY).await;
     }
-    unreachable!("the rounds end only with an answer")
+    unreachable!("the rounds end only with a role")
 }
 
 async fn keeps_log(link: &ControlLink, address: &str) -> Option<bool> {
@@ -134,11 +139,11 @@
     let call = |client: ControlWireClient| async move { client.keeps_log(context).await };
     let answers = link.call_at(address, "keeps_log", call).await;
     answers
-        .inspect_err(|error| tracing::debug!(%error, "a named host is silent"))
+        .inspect_err(|error| tracing::debug!(%error, "named host did not reply"))
         .ok()
 }
 
-/// One of the known control hosts that holds a log with voters: the site is founded.
+/// Returns a known control host that has a log with voters, which means that the site exists.
 pub async fn find_bootstrapped_host(link: &ControlLink) -> Option<String> {
     let addresses = link.addresses();
     let queries = addresses.iter().map(|address| {
@@ -156,7 +161,8 @@
     !status.voters.is_empty()
 }
 
-/// Asks all other named hosts the same; one that says nothing abstains.
+/// Sends the same request to all other named hosts. A host that does not reply counts as
+/// abstaining.
 pub async fn query_named_hosts(
     link: &ControlLink,
     others: &[String],
@@ -174,8 +180,8 @@
         .collect()
 }
 
-/// Has the named hosts, none of which has a disk, name the founder. One after the other
-/// is asked, always in the same order, so that they seldom try at the same time.
+/// Has the named hosts, none of which has a disk, choose the bootstrap host. Calls one after
+/// the other, in the same order on all hosts, so that they seldom propose at the same time.
 async fn request_appointment(
     link: &ControlLink,
     own: &HostName,
@@ -193,7 +199,8 @@
     }
 }
 
-/// This host's part, where one named host knows the founder or can have it agreed on.
+/// Returns the role of this host, if one named host knows the bootstrap host or reaches
+/// agreement on it.
 async fn request_appointment_from(
     link: &ControlLink,
     own: &HostName,
@@ -204,15 +211,15 @@
     match link.call_at(relay, "appoint", call).await {
         Ok(Ok(founder)) if founder == *own => Some(InitialRole::Founds(BTreeSet::from([founder]))),
         Ok(Ok(HostName(founder)) | Err(ControlRefusal::NotLeader(Some(founder)))) => {
-            tracing::info!(founder, "another host founds the site");
+            tracing::info!(founder, "another host bootstraps the site");
             Some(InitialRole::Joins)
         }
         Ok(Err(refusal)) => {
-            tracing::info!(?refusal, relay, "no founder is named yet");
+            tracing::info!(?refusal, relay, "no bootstrap host is chosen yet");
             None
         }
         Err(error) => {
-            tracing::warn!(%error, "no founder was named");
+            tracing::warn!(%error, "request for a bootstrap host failed");
             None
         }
     }
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -1,4 +1,4 @@
-//! What reaches the voter's thread, and the way there.
+//! Events of the voter's thread, and the handle that sends them.
 
 use std::collections::BTreeSet;
 use std::sync::mpsc::Sender;
@@ -26,94 +26,96 @@
 use crate::table::configuration::ConfigurationRecord;
 use crate::table::quota::{QuotaAsk, QuotaGrants};
 
-/// Where the answer to an event goes.
+/// Channel for the reply to an event.
 pub type ReplySender<T> = oneshot::Sender<Result<T, ControlRefusal>>;
 
-/// What reaches the voter's thread.
+/// An event for the voter's thread.
 pub enum ControlEvent {
-    /// A message from a voter.
+    /// A Raft message from another voter.
     Raft(NodeId, HostName, RaftMessage),
-    /// A process with a blank disk asks to be made a voter.
+    /// A process with a blank disk asks to become a voter.
     Enroll(NodeId, HostName, ReplySender<PositionUpdate>),
-    /// Commit a command.
+    /// Commits a command.
     Propose(Command, ReplySender<(Position, Reply)>),
-    /// The changes after a cursor.
+    /// Reads the changes after a cursor.
     Sync {
-        /// The cursor.
+        /// Position of the last change that the caller has.
         cursor: Position,
-        /// How long to wait for a change, in milliseconds.
+        /// Longest wait for a change, in milliseconds.
         wait_ms: u64,
-        /// Only from a state that is surely the newest.
+        /// Makes the read linearizable: only the leader replies, within its lease.
         fresh: bool,
-        /// The asker.
+        /// Receives the changes.
         answer: ReplySender<SyncPage>,
     },
-    /// An agent's beat.
+    /// Heartbeat of an agent.
     AgentHeartbeat(AgentBeat, ReplySender<AgentHeartbeatReply>),
-    /// An entry's beat.
+    /// Heartbeat of an entry.
     EntryHeartbeat(EntryBeat, ReplySender<EntryHeartbeatReply>),
-    /// The table.
+    /// Reads the table; linearizable.
     Table(ReplySender<TableStatus>),
-    /// A claim.
+    /// Reads a claim; linearizable.
     Claim(ClaimKey, ReplySender<Option<ClaimRecord>>),
-    /// This voter's account of itself.
+    /// Reads the status of this voter.
     Status(oneshot::Sender<ControlStatus>),
-    /// Hosts that the platform's list names as leaving.
+    /// Hosts that the platform lists as leaving.
     LeavingHosts(BTreeSet<HostName>),
-    /// How far this voter has come.
+    /// Reads the position of this voter, without the changes themselves.
     PositionUpdate {
-        /// Wait for a change after this.
+        /// Waits for a change after this position.
         cursor: Position,
-        /// How long to wait for it, in milliseconds.
+        /// Longest wait, in milliseconds.
         wait_ms: u64,
-        /// The asker.
+        /// Receives the position.
         answer: ReplySender<PositionUpdate>,
     },
-    /// The configuration, from a state that is surely the newest.
+    /// Reads the configuration; linearizable.
     Configuration(ReplySender<Option<ConfigurationRecord>>),
-    /// The version of the newest configuration; for the leader.
+    /// Reads the version of the newest configuration; linearizable, for the leader.
     Confirm(ReplySender<u64>),
-    /// The leader confirmed that version, asked at a moment of this host's steady clock.
+    /// The leader has confirmed the version of the newest configuration.
     Confirmed {
         /// The version; 0 for none.
         version: u64,
-        /// When it was asked.
+        /// When the leader was queried, in milliseconds of this host's monotonic clock.
         asked_ms: u64,
     },
     /// An entry draws from quotas; for the leader.
     Quota(QuotaAsk, ReplySender<QuotaGrants>),
-    /// All client accounts, for operators; for the leader.
+    /// Lists all client accounts, for operators; for the leader.
     Accounts(ReplySender<Vec<AccountStatus>>),
-    /// Replicas that a control host has heard; for the leader.
+    /// Replicas that sent heartbeats to a control host; for the leader.
     ReplicasSeen(Vec<ReplicaId>, ReplySender<()>),
-    /// An entry's report; for the leader.
+    /// Report of an entry; for the leader.
     Report(EntryReport, ReplySender<ReportReply>),
-    /// What an entry has waiting at replicas; for the leader.
+    /// Prompt tokens of an entry that wait at replicas; for the leader.
     QueuedTokens(CrowdReport, ReplySender<WaitingTokens>),
-    /// An entry's wish; for the leader.
+    /// An entry requests an adapter at a replica; for the leader.
     AdapterRequest(AdapterPlace, ReplySender<bool>),
-    /// An entry asks for the turn of a suspect content; for the leader.
+    /// An entry requests the lease for one attempt of a suspect content; linearizable, for the
+    /// leader.
     SuspectLease(TurnAsk, ReplySender<TurnAnswer>),
-    /// A turn has ended; for the leader.
+    /// Releases such a lease; for the leader.
     SuspectLeaseEnd(TurnEnd, ReplySender<()>),
-    /// Whether one request may go to a replica that takes few; for the leader.
+    /// Requests a permit for one request to a replica with a rate limit; for the leader.
     Permit(PermitRequest, ReplySender<PermitReply>),
-    /// What an entry heard of replicas' limits; for the leader.
+    /// Rate limits of replicas that an entry has observed; for the leader.
     Limits(LimitReport, ReplySender<LimitPage>),
-    /// The contents under which replicas ended, from a state that is surely the newest.
+    /// Reads the contents during which replicas crashed; linearizable.
     Contents(ReplySender<CrashBook>),
-    /// Whether an order of that term may leave now, and for how long.
+    /// Requests a permit to send an order of that term.
     OrderPermit(Term, ReplySender<SendPermit>),
-    /// An engine's answer to an order of this leader.
+    /// An order of this leader has ended with that outcome.
     OrderDone(EngineOrder, OrderOutcome),
-    /// Compares a replica's heartbeat with what is committed here.
+    /// Compares a replica's heartbeat with the state that is committed here.
     Compare(Box<ReplicaRecord>, ReplySender<BeatNews>),
-    /// Stop: hand over first.
+    /// Hands over the leadership and stops.
     Stop(oneshot::Sender<()>),
 }
 
 impl ControlEvent {
-    /// Whether it asks for a state that nothing newer can exist besides.
+    /// Returns whether the event reads or checks the newest state. Such an event waits until
+    /// this voter has applied all that is committed.
     pub(super) fn is_linearizable(&self) -> bool {
         match self {
             Self::Configuration(_)
@@ -128,11 +130,11 @@
     }
 }
 
-/// Leave to send an order.
+/// Permit to send an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendPermit {
-    /// Until then no other leader decides, by [`crate::clock::monotonic_ms`]: the leader's lease as
-    /// it was when this was given. Nothing of the order may leave later.
+    /// End of the leader's lease when the permit was given, by [`crate::clock::monotonic_ms`]:
+    /// until then no other leader decides. No byte of the order may be sent later.
     pub until_ms: u64,
 }
 
@@ -141,7 +143,7 @@
 pub struct ControlHandle(pub Sender<ControlEvent>);
 
 impl ControlHandle {
-    /// Asks, and waits for the answer.
+    /// Sends an event and waits for its reply.
     pub async fn request<T>(
         &self,
         make: impl FnOnce(ReplySender<T>) -> ControlEvent,
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Tells, and waits for nothing.
+    /// Sends an event without waiting for a reply.
     pub fn notify(&self, event: ControlEvent) {
         let _ = self.0.send(event);
     }
--- a/src/control/journal.rs
+++ b/src/control/journal.rs
@@ -1,9 +1,9 @@
-//! The voter's files: an append-only log of records, and the last snapshot.
+//! Files of a voter: an append-only log of records, and the latest snapshot.
 //!
-//! A frame is `length | crc of length | crc of body | body`, all lengths and
-//! checksums little-endian `u32`. A frame cut short at the end of the file is
-//! an unsynced write and is dropped; a whole frame with a wrong checksum is
-//! damage, and the voter refuses to start on it.
+//! A frame is `length | crc of length | crc of body | body`, with all lengths and checksums as
+//! little-endian `u32`. An incomplete frame at the end of the file is an unsynced write and is
+//! dropped. A complete frame with a wrong checksum is corruption, and the voter refuses to
+//! start on it.
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions};
@@ -21,34 +21,35 @@
 use crate::process::settings::VoterSettings;
 
 const HEADER_BYTES: usize = 12;
-/// Longest frame: a snapshot fits, a damaged length does not allocate more.
+/// Maximum length of a frame body: the largest snapshot fits, and a corrupted length does not
+/// allocate more.
 const MAX_FRAME_BYTES: usize = 1 << 30;
 const LOG_FILE: &str = "log";
 const SNAPSHOT_FILE: &str = "snapshot";
 const IDENTITY_FILE: &str = "identity";
 const FIRST_START_FILE: &str = "first-start";
 
-/// Why the files cannot be used.
+/// Reason why the files cannot be used.
 #[derive(Debug, Snafu)]
 pub enum JournalError {
-    /// The operating system refused a step.
+    /// The operating system refused an operation.
     #[snafu(display("cannot {step} {}: {source}", path.display()))]
     Io {
-        /// What was tried.
+        /// The operation.
         step: &'static str,
-        /// On which file.
+        /// The file or folder.
         path: PathBuf,
-        /// The system's answer.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A whole frame has a wrong checksum.
+    /// A file is corrupted.
     #[snafu(display("{} is damaged at byte {offset}: {what}", path.display()))]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Where the frame starts.
+        /// Offset of the frame, in bytes.
         offset: usize,
-        /// Which check failed.
+        /// The check that failed.
         what: &'static str,
     },
 }
@@ -62,7 +63,8 @@
 }
 
 impl JournalError {
-    /// Whether the disk has no room left: nothing was lost, and the step may be tried again.
+    /// Returns whether the disk is full. Nothing that was saved before is lost, and the write
+    /// may be retried.
     pub fn is_full(&self) -> bool {
         match self {
             Self::Io { source, .. } => source.kind() == io::ErrorKind::StorageFull,
@@ -73,17 +75,19 @@
 
 type Result<T> = std::result::Result<T, JournalError>;
 
-/// Asked before each write of so many bytes; its refusal stands for the disk's own.
+/// Called before each write with its number of bytes; its error is handled like an error of the
+/// disk.
 pub type WriteCheck = Box<dyn FnMut(usize) -> io::Result<()> + Send>;
 
-/// Who a data folder belongs to.
+/// Identity of a data folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiskIdentity {
-    /// Made once for each folder, so that a lost disk never votes as its former self.
+    /// Created once for each folder, so that a new disk never votes under the identity of a
+    /// lost one.
     pub node: NodeId,
 }
 
-/// The open files of one voter.
+/// Open files of one voter.
 pub struct DiskJournal {
     folder: PathBuf,
     log: File,
@@ -102,7 +106,7 @@
     }
 }
 
-/// Whether nothing of a log is in a data folder yet: no snapshot, no record.
+/// Returns whether a data folder holds neither a snapshot nor a log record.
 pub fn is_blank(folder: &Path) -> bool {
     let is_empty = |name: &str| {
         let data = fs::metadata(folder.join(name));
@@ -111,9 +115,9 @@
     is_empty(SNAPSHOT_FILE) && is_empty(LOG_FILE)
 }
 
-/// Notes in a blank folder that its host takes part in the site's first start, with the
-/// hosts that were named to it. Whoever starts again is not told any more that it is the
-/// first start, and may be told of other hosts.
+/// Records in a blank folder that its host takes part in the site's first start, with the
+/// control hosts that were named to it. After a restart the host can no longer tell that this
+/// was the first start, and may be given other names.
 pub fn begin_first_start(folder: &Path, named: &[VoterSettings]) -> Result<()> {
     make_folder(folder)?;
     let mut frame = Vec::new();
@@ -121,8 +125,9 @@
     replace(folder, FIRST_START_FILE, &frame)
 }
 
-/// What [`begin_first_start`] noted, until the folder holds a log or an identity other
-/// than the `founder`'s: then its host has founded the site, or asked to be taken in.
+/// Returns what [`begin_first_start`] recorded, as long as the folder holds no log and no
+/// identity other than that of `founder`. A log means that the host has bootstrapped the site;
+/// another identity, that it has asked to join it.
 pub fn unfinished_first_start(
     folder: &Path,
     founder: NodeId,
@@ -136,8 +141,8 @@
 }
 
 impl DiskJournal {
-    /// Opens a data folder, or makes one: with `founder` as its identity where
-    /// the site is being founded, else with a random one.
+    /// Opens a data folder, or creates it: with `founder` as its identity at the bootstrap of
+    /// the site, otherwise with a random one.
     pub fn open(folder: &Path, founder: Option<NodeId>) -> Result<(Self, DiskImage)> {
         make_folder(folder)?;
         let identity = load_identity(folder, founder)?;
@@ -147,7 +152,7 @@
         let valid_len = load_log(&path, &mut image)?;
         let log = open_log(&path)?;
         log.set_len(valid_len as u64).context(IoSnafu {
-            step: "cut the torn tail of",
+            step: "truncate the torn tail of",
             path: &path,
         })?;
         log.sync_all().context(IoSnafu {
@@ -165,25 +170,26 @@
         Ok((journal, image))
     }
 
-    /// The folder's identity.
+    /// Returns the identity of the folder.
     pub fn identity(&self) -> DiskIdentity {
         self.identity
     }
 
-    /// Bytes in the log file.
+    /// Returns the length of the log file in bytes.
     pub fn written(&self) -> u64 {
         self.written
     }
 
-    /// Has each write checked first, for tests of disks that fail.
+    /// Installs a check before each write, for tests of failing disks.
     pub fn check_writes(&mut self, check: WriteCheck) {
         self.write_check = Some(check);
     }
 
-    /// Writes and syncs records: once this returns, they survive a crash.
+    /// Writes and syncs records. Once this returns, they survive a crash.
     ///
-    /// After an error the files' content is not known: the voter must stop, unless
-    /// the disk is full. Then what was saved before stays, and nothing of the rest.
+    /// After an error the content of the files is unknown and the voter must stop, unless the
+    /// disk is full. Then the records that were saved before remain, and none of the others is
+    /// kept.
     pub fn save(&mut self, records: &[DiskRecord]) -> Result<()> {
         let mut left = records;
         while !left.is_empty() {
@@ -193,8 +199,8 @@
         Ok(())
     }
 
-    /// Saves the first records, at least one, and returns how many: a snapshot, or
-    /// all up to the next snapshot.
+    /// Saves at least one of the records, from the first on, and returns their number: a single
+    /// snapshot, or all records before the next snapshot.
     pub fn save_prefix(&mut self, records: &[DiskRecord]) -> Result<usize> {
         if let Some(DiskRecord::Install(snapshot)) = records.first() {
             self.install(snapshot)?;
@@ -239,11 +245,11 @@
         })
     }
 
-    /// Takes back what a write has left behind that did not get through.
+    /// Removes the partial write that a full disk has left at the end of the log.
     fn truncate_torn_tail(&mut self) -> Result<()> {
         let path = self.folder.join(LOG_FILE);
         self.log.set_len(self.written).context(IoSnafu {
-            step: "cut the torn tail of",
+            step: "truncate the torn tail of",
             path: &path,
         })
     }
@@ -255,8 +261,8 @@
         }
     }
 
-    /// The snapshot goes first: until the log is rewritten, its older entries
-    /// are read and skipped.
+    /// Replaces the snapshot first: until the log is rewritten, reading skips the entries that
+    /// the snapshot includes.
     fn install(&mut self, snapshot: &LogSnapshot) -> Result<()> {
         let path = self.folder.join(LOG_FILE);
         let mut image = DiskImage::default();
@@ -315,13 +321,13 @@
 
 fn read_frame(bytes: &[u8], offset: usize) -> Frame<'_> {
     let rest = &bytes[offset..];
-    // A file grown by a write that never reached the disk reads as zeros.
+    // A file that was extended by a write that never reached the disk reads as zeros.
     if rest.len() < HEADER_BYTES || rest.iter().all(|byte| *byte == 0) {
         return Frame::Torn;
     }
     let len = read_u32(rest, 0) as usize;
     if crc32fast::hash(&rest[..4]) != read_u32(rest, 4) || len > MAX_FRAME_BYTES {
-        return Frame::Damaged("the checksum of a length is wrong");
+        return Frame::Damaged("length checksum mismatch");
     }
     let next = HEADER_BYTES + len;
     if rest.len() < next {
@@ -334,7 +340,7 @@
             next: offset + next,
         },
         false if body.iter().all(|byte| *byte == 0) && rest.len() == next => Frame::Torn,
-        false => Frame::Damaged("the checksum of a record is wrong"),
+        false => Frame::Damaged("record checksum mismatch"),
     }
 }
 
@@ -365,7 +371,7 @@
     })
 }
 
-/// Replays the log into `image`; returns the length of its sound part.
+/// Replays the log into `image` and returns the length of its valid part.
 fn load_log(path: &Path, image: &mut DiskImage) -> Result<usize> {
     let bytes = read_file(path)?;
     let mut offset = 0;
@@ -375,7 +381,7 @@
             Frame::Damaged(what) => return damage_error(path, offset, what),
             Frame::Complete { body, next } => {
                 let Ok(record) = bincode::deserialize(body) else {
-                    return damage_error(path, offset, "a record does not decode");
+                    return damage_error(path, offset, "record cannot be decoded");
                 };
                 replay(image, record);
                 offset = next;
@@ -385,7 +391,8 @@
     Ok(offset)
 }
 
-/// A log older than the snapshot still holds entries that the snapshot includes.
+/// Applies a record, except for entries that the snapshot includes: the log may be older than
+/// the snapshot.
 fn replay(image: &mut DiskImage, record: DiskRecord) {
     match record {
         DiskRecord::Append(entry) if entry.mark.index <= image.snapshot.last.index => {}
@@ -393,7 +400,7 @@
     }
 }
 
-/// A snapshot is replaced whole, so a torn one is damage too.
+/// Loads the snapshot. It is replaced atomically, so an incomplete one is corruption too.
 fn load_snapshot(folder: &Path, image: &mut DiskImage) -> Result<()> {
     let path = folder.join(SNAPSHOT_FILE);
     let bytes = read_file(&path)?;
@@ -403,16 +410,17 @@
     match read_frame(&bytes, 0) {
         Frame::Complete { body, .. } => match bincode::deserialize(body) {
             Ok(snapshot) => image.snapshot = snapshot,
-            Err(_) => return damage_error(&path, 0, "the snapshot does not decode"),
+            Err(_) => return damage_error(&path, 0, "snapshot cannot be decoded"),
         },
-        Frame::Torn => return damage_error(&path, 0, "the snapshot is cut short"),
+        Frame::Torn => return damage_error(&path, 0, "snapshot is truncated"),
         Frame::Damaged(what) => return damage_error(&path, 0, what),
     }
     Ok(())
 }
 
-/// Makes a folder that lasts: after a loss of power, a folder without its name would pass
-/// for a disk that was lost, with all that was acknowledged on it.
+/// Creates a folder and syncs its parents. Without the sync, the folder could be missing after
+/// a power loss, and its host would pass for one with a new disk although it had acknowledged
+/// entries.
 fn make_folder(folder: &Path) -> Result<()> {
     let created = folder.ancestors().take_while(|ancestor| !ancestor.exists());
     let created: Vec<&Path> = created.collect();
@@ -428,7 +436,8 @@
     Ok(())
 }
 
-/// The one value of a small file that is replaced whole; none where there is no file.
+/// Reads the value of a small file that is replaced atomically; returns `None` if there is no
+/// file.
 fn read_framed<T: DeserializeOwned>(folder: &Path, name: &str) -> Result<Option<T>> {
     let path = folder.join(name);
     let bytes = read_file(&path)?;
@@ -437,9 +446,9 @@
         false => match read_frame(&bytes, 0) {
             Frame::Complete { body, .. } => match bincode::deserialize(body) {
                 Ok(value) => Ok(Some(value)),
-                Err(_) => damage_error(&path, 0, "the value does not decode"),
+                Err(_) => damage_error(&path, 0, "value cannot be decoded"),
             },
-            _ => damage_error(&path, 0, "the value is cut short or changed"),
+            _ => damage_error(&path, 0, "value is truncated or corrupted"),
         },
     }
 }
@@ -456,7 +465,7 @@
     Ok(identity)
 }
 
-/// Replaces a file so that a crash leaves the old or the new content whole.
+/// Replaces a file atomically: after a crash it has either the old or the new content.
 fn replace(folder: &Path, name: &str, bytes: &[u8]) -> Result<()> {
     let path = folder.join(name);
     let temp_path = folder.join(format!("{name}.new"));
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,9 +1,9 @@
-//! The control hosts: voters with the log on their disks, relays without one, the calls of
-//! replicas and operators, and the leader's orders.
+//! The control plane: voters that keep the replicated log on their disks, relays that keep no
+//! log, the calls of replicas and operators, and the leader's orders to engines.
 //!
-//! Heartbeats, configurations, votes and members' reports enter; acknowledgements, the
-//! log's changes and orders to replicas leave. Uses the pure folders, `process`, and the
-//! connections to replicas of [`crate::forward`].
+//! Receives heartbeats, configurations, votes and the reports of members; sends
+//! acknowledgements, changes of the log and orders to replicas. Uses the pure modules,
+//! `process`, and the connections to replicas of [`crate::forward`].
 
 pub mod bootstrap;
 pub mod event;
--- a/src/control/order_dispatcher.rs
+++ b/src/control/order_dispatcher.rs
@@ -1,14 +1,14 @@
-//! Carries the leader's orders to engines, one at a time to each.
+//! Sends the leader's orders to engines, one at a time to each engine.
 //!
-//! Every order names the count of orders that the engine must have taken so far.
-//! So an order without an answer can be sent again, and takes effect once at
-//! most, however late either of them is carried out.
+//! Every order carries the count of orders that the engine must have taken so far. So an order
+//! without a response can be sent again and takes effect at most once, however late either of
+//! the two is executed.
 //!
-//! Each is on its way only while its leader decides: it leaves by a permit of the voter, and
-//! is reset at the permit's end unless that is renewed before. A leader that stood still, was
-//! cut off, or whose link holds its bytes, would else have it arrive beside the next one's.
-//! Where the process itself stands still, its kernel gives up soon after: see
-//! [`Connection::bound_sending`].
+//! An order is in transit only while its leader may decide: it is sent under a permit of the
+//! voter, and its connection is reset when the permit expires without renewal. Otherwise an
+//! order of a leader that was suspended, was partitioned off, or whose connection buffers its
+//! bytes could arrive among those of the next leader. If the process itself is suspended, its
+//! kernel gives up soon after: see [`Connection::bound_sending`].
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,48 +27,48 @@
 use crate::placement::order::{EngineOrder, OrderKind, OrderOutcome};
 use crate::process::daemon;
 
-/// Time for one call to an engine.
+/// Timeout of one call to an engine.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time to connect to an engine.
+/// Timeout of a connection to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause before an engine's report shows what came before.
+/// Delay until an engine's report includes the effect of earlier orders.
 const REPORT_DELAY: Duration = Duration::from_millis(300);
-/// Time in which an adapter arrives after its order was taken.
+/// Time that an adapter takes to load after its order was taken.
 const ADAPTER_LOAD_DELAY: Duration = Duration::from_millis(30);
-/// Time between two renewals of the permit of an order that is on its way: several in a
-/// lease, which lasts for some 400 ms.
+/// Interval of permit renewals while an order is in transit: several in a lease, which lasts
+/// for some 400 ms.
 const RENEW_INTERVAL: Duration = Duration::from_millis(50);
-/// Tries of one order.
+/// Maximum number of attempts of one order.
 const MAX_ATTEMPTS: u32 = 4;
-/// Longest body of an engine's answer, in bytes.
+/// Limit on the body of an engine's response, in bytes.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// A call to an engine, as its deployment words it.
+/// HTTP request to an engine, in the format of its deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineCall {
-    /// The method.
+    /// Method.
     pub method: &'static str,
-    /// The path.
+    /// Path.
     pub path: &'static str,
-    /// Headers besides those of every call.
+    /// Headers in addition to those of every call.
     pub headers: Vec<(&'static str, String)>,
-    /// The body, JSON; empty for none.
+    /// JSON body; empty for none.
     pub body: String,
 }
 
-/// What an engine reports of itself.
+/// State that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Orders taken in this life.
+    /// Number of orders taken in this incarnation.
     pub orders: u64,
-    /// An order is under way.
+    /// An order is being executed.
     pub busy: bool,
-    /// The models that are there, each with its adapters, those on their way in as well.
+    /// Models in memory with their adapters, including those that are being loaded.
     pub models: BTreeMap<ModelName, BTreeSet<String>>,
 }
 
 impl EngineReport {
-    /// Whether what an order asks for holds.
+    /// Returns whether the engine is in the state that an order requests.
     fn is_fulfilled(&self, order: &EngineOrder) -> bool {
         let held = self.models.get(&order.model);
         let there = match &order.adapter {
@@ -79,20 +79,20 @@
     }
 }
 
-/// How calls to engines are worded.
+/// Format of the calls to engines.
 #[derive(Clone, Copy)]
 pub struct EngineDialect {
-    /// An order that expects a count of orders.
+    /// Builds the request of an order that expects a count of orders.
     pub order: fn(&EngineOrder, u64) -> EngineCall,
-    /// The question for a report.
+    /// Builds the request for a report.
     pub report: fn(&ReplicaId) -> EngineCall,
-    /// Reads a report.
+    /// Parses a report.
     pub read_report: fn(&[u8]) -> Option<EngineReport>,
-    /// What a status says of an order.
+    /// Maps the HTTP status of an order's response to its outcome.
     pub outcome: fn(u16) -> OrderOutcome,
 }
 
-/// The count of orders that an engine has taken, where it is known.
+/// Number of orders that an engine has taken, if known.
 type OrderCount = Rc<Mutex<Option<u64>>>;
 
 /// Sends orders until the channel closes.
@@ -122,8 +122,8 @@
     }
 }
 
-/// The count of one life: the next one counts from the start, and that of the life before
-/// would be taken for it where both have the same id.
+/// Returns the count of one incarnation, and drops that of an earlier one with the same id: the
+/// next incarnation counts from zero.
 fn order_count(counts: &mut BTreeMap<ReplicaLife, OrderCount>, life: ReplicaLife) -> OrderCount {
     counts.retain(|other, _| other.id != life.id || *other == life);
     counts.entry(life).or_default().clone()
@@ -140,8 +140,9 @@
         let expected = match *count {
             Some(known) => known,
             None => match query_report(order, dialect).await {
-                // A count that has risen doesn't show whose order was taken: a leader before
-                // may have sent one that is carried out only now. What is there shows it.
+                // A higher count does not show whose order was taken: one of an earlier leader
+                // may have been executed only now. The loaded models show whether this order is
+                // fulfilled.
                 Some(report)
                     if unconfirmed.is_some_and(|sent_count| report.orders > sent_count)
                         && report.is_fulfilled(order) =>
@@ -165,7 +166,7 @@
             AttemptEnd::Answered(outcome) => outcome,
             AttemptEnd::NoReply => OrderOutcome::Unknown,
             AttemptEnd::NotSent if unconfirmed.is_some() => return OrderOutcome::Unknown,
-            // What surely never left may be given again at once, by whoever leads.
+            // An order that was certainly not sent may be issued again at once, by any leader.
             AttemptEnd::NotSent => return OrderOutcome::Busy,
         };
         match outcome {
@@ -177,13 +178,13 @@
                 unconfirmed = Some(expected);
                 *count = None;
             }
-            // It says nothing of the try before, which may still be carried out.
+            // This says nothing of the earlier attempt, which may still be executed.
             OrderOutcome::Busy if unconfirmed.is_some() => {
                 *count = None;
                 return OrderOutcome::Unknown;
             }
-            // The count is another, or an order is under way: the leader decides
-            // when to try again, by what it knows then.
+            // The count differs, or an order is being executed: the leader decides on its
+            // current state whether to issue the order again.
             OrderOutcome::Busy
             | OrderOutcome::Held
             | OrderOutcome::Fenced
@@ -197,13 +198,13 @@
     OrderOutcome::Unknown
 }
 
-/// What became of one try of an order.
+/// End of one attempt of an order.
 enum AttemptEnd {
-    /// The engine answered.
+    /// The engine responded.
     Answered(OrderOutcome),
-    /// It may be carried out, or not.
+    /// No response: the order may be executed or not.
     NoReply,
-    /// It never left: its leader decides no more.
+    /// Not sent: the leader may no longer send orders.
     NotSent,
 }
 
@@ -219,14 +220,14 @@
         Err(CallError::NotLeader) => {
             tracing::info!(
                 order = %order.id(), number, replica = %order.replica, term = %order.fence,
-                "an order was held back: its leader decides no more"
+                "an order was not sent: its leader may no longer send orders"
             );
             AttemptEnd::NotSent
         }
         Err(CallError::LeaseExpired) => {
             tracing::warn!(
                 order = %order.id(), number, replica = %order.replica, term = %order.fence,
-                "an order was cut off: its leader's lease ended"
+                "an order was reset: the lease of its leader expired"
             );
             AttemptEnd::NoReply
         }
@@ -248,34 +249,35 @@
     }
 }
 
-/// Why a call brought no answer.
+/// Reason why a call has no response.
 #[derive(Debug, Snafu)]
 enum CallError {
-    /// The connection failed, or the time was over.
+    /// The connection failed, or the call timed out.
     #[snafu(display("{source}"), context(false))]
     Exchange {
-        /// Why, and the peer.
+        /// The cause, with the address of the engine.
         source: ExchangeError,
     },
-    /// Nothing was sent: the leader decides no more.
-    #[snafu(display("the leader decides no more"))]
+    /// Nothing was sent: the leader may no longer send orders.
+    #[snafu(display("the leader may no longer send orders"))]
     NotLeader,
-    /// It was reset, perhaps after it was sent: nobody renewed the permit.
-    #[snafu(display("the leader's lease ended before an answer came"))]
+    /// The connection was reset, perhaps after the order was sent: the permit expired without
+    /// renewal.
+    #[snafu(display("the leader's lease expired before a response arrived"))]
     LeaseExpired,
 }
 
-/// Who is asked whether an order may leave.
+/// Requests and renews the send permit for one attempt of an order.
 #[derive(Clone, Copy)]
 struct PermitClient<'a> {
     handle: &'a ControlHandle,
     order: &'a EngineOrder,
-    /// Which try of the order it is, from 1.
+    /// Number of the attempt, from 1.
     number: u32,
 }
 
 impl PermitClient<'_> {
-    /// Leave to send; none where the leader decides no more.
+    /// Requests a permit; returns `None` if the leader may no longer send orders.
     async fn request(self) -> Option<SendPermit> {
         let term = self.order.fence;
         let may = self
@@ -284,15 +286,15 @@
         may.await.ok()
     }
 
-    /// Returns once the permit has ended. It is renewed before, as the voter may be held up
-    /// by its disk for longer than it lasts.
+    /// Returns once the permit has expired. Renews it well before, as the voter may be blocked
+    /// by its disk for longer than the permit lasts.
     async fn expired(self, mut permit: SendPermit) {
         while let Some(left) = remaining(permit) {
             tokio::time::sleep(RENEW_INTERVAL.min(left)).await;
             let left = remaining(permit).unwrap_or_default();
             match tokio::time::timeout(left, self.request()).await {
                 Ok(Some(renewed)) => permit = renewed,
-                // Until its end no other leader decides, whatever became of this one.
+                // No other leader decides before the permit ends, even if this one is deposed.
                 Ok(None) => tokio::time::sleep(left).await,
                 Err(_) => return,
             }
@@ -308,14 +310,14 @@
     }
 }
 
-/// How long a permit still lasts; none after its end.
+/// Returns the time until a permit expires; `None` once it has.
 fn remaining(permit: SendPermit) -> Option<Duration> {
     let left_ms = permit.until_ms.checked_sub(clock::monotonic_ms());
     let left_ms = left_ms.filter(|left_ms| *left_ms > 0);
     left_ms.map(Duration::from_millis)
 }
 
-/// One call on a connection of its own; an order leaves only while its leader decides.
+/// Makes one call on a new connection; an order is sent only under a permit.
 async fn exchange(
     address: SocketAddr,
     call: &EngineCall,
@@ -342,8 +344,8 @@
     connection.bound_sending(left)?;
     permits.log_sent(left);
     tokio::select! {
-        // The clock is looked at right before the first write, and again first of all where
-        // this process stood still. Dropping the call resets its connection.
+        // The expiry is checked right before the first write, and again before anything else
+        // after this process was suspended. Dropping the call resets its connection.
         biased;
         () = permits.expired(permit) => Err(CallError::LeaseExpired),
         answered = send_request(connection, call.method, &text) => answered,
--- a/src/control/outbox.rs
+++ b/src/control/outbox.rs
@@ -1,4 +1,4 @@
-//! The voter's messages to its peers.
+//! Outgoing Raft messages, by peer.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 use crate::consensus::raft::RaftMessage;
 use crate::ids::HostName;
 
-/// Opens the way to a host that was not known before.
+/// Opens a channel to a host that had none.
 pub type OpenPeer = Box<dyn Fn(&HostName) -> mpsc::Sender<RaftMessage> + Send>;
 
-/// Messages to one peer wait here; when it is full, they are dropped, as a
-/// network would.
+/// Bounded queues of messages to peers. When the queue of a peer is full, further messages to
+/// it are dropped, as by a network.
 #[derive(Default)]
 pub struct PeerOutbox {
-    /// The ways that are open.
+    /// Channel of each known peer.
     pub senders: BTreeMap<HostName, mpsc::Sender<RaftMessage>>,
-    /// Opens further ones, where any host may become a voter.
+    /// Opens further channels; set where any host may become a voter.
     pub open: Option<OpenPeer>,
 }
 
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -1,8 +1,10 @@
-//! What replicas and operators tell a control host, whichever it is: heartbeats,
-//! leaving, and whole configurations.
+//! Calls of replicas and operators to any control host: heartbeats, drains, configurations and
+//! the state of data halls.
 //!
-//! Each call is acknowledged only once what it says cannot be lost: a known
-//! heartbeat at once, anything else when it is committed.
+//! A heartbeat that reports nothing new is acknowledged at once. A drain, a configuration or a
+//! change of a data hall is acknowledged only once it is committed and so cannot be lost. A
+//! heartbeat with another change waits for the commit for a limited time, and is acknowledged
+//! in any case.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -20,73 +22,73 @@
 use crate::process::wire::{ControlRefusal, ControlWireClient};
 use crate::table::configuration::{Configuration, ConfigurationError, ConfigurationRecord};
 
-/// Time within which a replica's call is answered: it goes elsewhere after a second.
+/// Timeout of a replica's call: the replica turns to another host after a second.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time within which an operator's call is answered.
+/// Timeout of an operator's call.
 const CONFIGURE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time for one call to the leader.
+/// Timeout of one call to the leader.
 const LEADER_CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time for one call of a host without a log, so that another one can be asked.
+/// Timeout of one call from a host without a log, short enough to try another host as well.
 const RELAY_CALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause before a command is tried again.
+/// Delay before a command is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(25);
-/// Time between two tellings of who was heard.
+/// Interval of the reports on replicas that sent heartbeats.
 const SEEN_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Why a call was not taken.
+/// Reason why a call was refused.
 #[derive(Debug, Snafu)]
 pub enum RegistryError {
     /// The configuration is not valid.
     #[snafu(display("{source}"), context(false))]
     Invalid {
-        /// What is wrong.
+        /// The fault.
         source: ConfigurationError,
     },
-    /// The version in force has other contents.
+    /// The version is in force with other contents.
     #[snafu(display("version {version} is in force with other contents"))]
     Conflict {
         /// The version.
         version: u64,
     },
-    /// The call comes from a life that has ended.
+    /// The call is from an incarnation that has ended.
     #[snafu(display("this replica has ended"))]
     Ended,
-    /// There is no such data hall.
+    /// The data hall is unknown.
     #[snafu(display("there is no data hall '{hall}'"))]
     UnknownHall {
         /// The data hall.
         hall: HallName,
     },
-    /// The configuration names no such service.
+    /// The configuration does not contain the service.
     #[snafu(display("the configuration names no service '{service}'"))]
     UnknownService {
         /// The service.
         service: ServiceName,
     },
-    /// Nothing was committed in time; it may still be.
+    /// The command was not committed in time; it may still be.
     #[snafu(display("no quorum in time"))]
     NoQuorum,
 }
 
-/// How a control host reaches the log.
+/// Access of a control host to the log.
 pub enum LogAccess {
-    /// It keeps the log itself.
+    /// The host keeps the log itself.
     Local(ControlHandle),
-    /// It has no disk: all goes to the hosts that keep the log.
+    /// The host has no disk: all calls go to the hosts that keep the log.
     Remote,
 }
 
-/// One control host's way to the log.
+/// Entry point for calls of replicas and operators on one control host.
 pub struct Registry {
     access: LogAccess,
     link: Arc<ControlLink>,
-    /// The data halls that there are; empty where nobody has told.
+    /// All data halls; empty if they are not configured.
     halls: BTreeSet<HallName>,
     seen: Mutex<BTreeSet<ReplicaId>>,
 }
 
 impl Registry {
-    /// The registry of a control host; `link` reaches the others.
+    /// Creates the registry of a control host; `link` connects it with the other control hosts.
     pub fn new(access: LogAccess, link: Arc<ControlLink>, halls: BTreeSet<HallName>) -> Self {
         Self {
             access,
@@ -96,7 +98,7 @@
         }
     }
 
-    /// A replica's heartbeat.
+    /// Handles a replica's heartbeat.
     pub async fn heartbeat(&self, record: ReplicaRecord) -> Result<(), RegistryError> {
         let id = record.id.clone();
         self.seen().insert(id.clone());
@@ -109,11 +111,15 @@
             BeatNews::New => {
                 let phase = record.phase;
                 let models = record.models.len();
-                tracing::info!(replica = %id, service = %record.service, ?phase, models, "replica tells news");
+                tracing::info!(
+                    replica = %id, service = %record.service, ?phase, models,
+                    "replica reports a change"
+                );
                 let is_draining = phase == ReplicaPhase::Draining;
                 let command = Command::Replica(Box::new(record));
                 let committed = self.commit(command, HEARTBEAT_TIMEOUT).await;
-                // A replica that stays may take requests before all know of it.
+                // Only a draining replica needs the commit: one that stays may receive requests
+                // before its change is known everywhere.
                 match (committed, is_draining) {
                     (Err(error), true) => Err(error),
                     _ => Ok(()),
@@ -122,14 +128,14 @@
         }
     }
 
-    /// A replica that is leaving for good; it serves on for a while.
+    /// Marks a replica as draining; it keeps serving for a while.
     pub async fn drain(&self, id: ReplicaId) -> Result<(), RegistryError> {
-        tracing::info!(replica = %id, "replica leaves");
+        tracing::info!(replica = %id, "replica drains");
         let command = Command::ReplicaDrains(id);
         self.commit(command, HEARTBEAT_TIMEOUT).await.map(|_| ())
     }
 
-    /// An operator's configuration, with its text.
+    /// Commits an operator's configuration, together with its source text.
     pub async fn configure(
         &self,
         configuration: Configuration,
@@ -143,17 +149,17 @@
         };
         let command = Command::Configure(Box::new(record));
         let reply = self.commit(command, CONFIGURE_TIMEOUT).await;
-        tracing::info!(version, ?reply, "configuration");
+        tracing::info!(version, ?reply, "configuration proposed");
         match reply? {
             Reply::Configured(ConfigureAnswer::Conflict) => {
                 Err(RegistryError::Conflict { version })
             }
             Reply::Configured(answer) => Ok(answer),
-            reply => unreachable!("a configuration was answered with {reply:?}"),
+            reply => unreachable!("unexpected reply to a configuration: {reply:?}"),
         }
     }
 
-    /// An operator's word on a data hall: whether its replicas may get requests.
+    /// Sets whether the replicas of a data hall may receive requests.
     pub async fn set_hall(
         &self,
         hall: HallName,
@@ -167,11 +173,11 @@
             HallStanding::Open => Command::Restore(hall.clone()),
         };
         let reply = self.commit(command, CONFIGURE_TIMEOUT).await;
-        tracing::info!(%hall, ?standing, ?reply, "data hall");
+        tracing::info!(%hall, ?standing, ?reply, "data hall state proposed");
         reply.map(|_| ())
     }
 
-    /// The configuration, by a read that nothing newer can exist besides.
+    /// Reads the configuration; linearizable.
     pub async fn configuration(&self) -> Result<Option<ConfigurationRecord>, RegistryError> {
         let deadline = Instant::now() + CONFIGURE_TIMEOUT;
         loop {
@@ -195,7 +201,7 @@
         }
     }
 
-    /// Tells the leader, again and again, whom this host has heard.
+    /// Reports periodically to the leader which replicas sent heartbeats to this host.
     pub async fn report_seen_replicas(&self) {
         loop {
             tokio::time::sleep(SEEN_REPORT_INTERVAL).await;
@@ -209,7 +215,8 @@
                 let ids = ids.clone();
                 let call =
                     |client: ControlWireClient| async move { client.heard(context, ids).await };
-                // Replicas are heard again before long, here or elsewhere.
+                // A lost report is not repeated: the replicas soon send their next heartbeat,
+                // here or elsewhere.
                 let _ = self.request_leader(&leader, "heard", call).await;
             }
         }
@@ -228,7 +235,8 @@
         }
     }
 
-    /// Asks the log that this host keeps; one that keeps none names where to ask.
+    /// Sends a request to the log on this host. A host without a log refuses it and names the
+    /// presumed leader.
     async fn request_local<T>(
         &self,
         make: impl FnOnce(oneshot::Sender<Result<T, ControlRefusal>>) -> ControlEvent,
@@ -239,7 +247,7 @@
         }
     }
 
-    /// Asks the host that is taken for the leader, and notes what it answers.
+    /// Sends a request to the presumed leader and records from its reply whether it leads.
     async fn request_leader<T, F>(
         &self,
         leader: &str,
@@ -273,15 +281,15 @@
                     .call_leader("compare", HEARTBEAT_TIMEOUT, call)
                     .await;
                 compared.map_err(|error| {
-                    tracing::debug!(%error, "a heartbeat was not compared");
+                    tracing::debug!(%error, "heartbeat could not be compared with the log");
                     RegistryError::NoQuorum
                 })
             }
         }
     }
 
-    /// Commits a command here or at the leader. It may be committed more than
-    /// once, so each command must be safe to repeat.
+    /// Commits a command here or through the leader. The command may be committed more than
+    /// once, so it must be safe to repeat.
     async fn commit(&self, command: Command, timeout: Duration) -> Result<Reply, RegistryError> {
         let deadline = Instant::now() + timeout;
         loop {
@@ -321,7 +329,7 @@
     match called {
         Ok(reply) => reply,
         Err(error) => {
-            tracing::debug!(%error, "the leader did not answer");
+            tracing::debug!(%error, "the leader did not reply");
             Err(ControlRefusal::NoQuorum)
         }
     }
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -1,6 +1,6 @@
-//! A control host without a disk: it keeps no log and never votes. Replicas and
-//! operators may call it like any other; it passes on what they say to the hosts
-//! that keep the log, and names these to processes that know no other.
+//! Control host without a disk. It keeps no log and never votes. Replicas and operators may
+//! call it like any other control host: it forwards their calls to the hosts that keep the log,
+//! and names those hosts to processes that know no other.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -42,24 +42,24 @@
 use crate::table::configuration::ConfigurationRecord;
 use crate::table::quota::{QuotaAsk, QuotaGrants};
 
-/// Pause before an asker that knows nothing yet is answered: it asks again at once.
+/// Delay of the reply to a caller that knows nothing yet: such a caller calls again at once.
 const EMPTY_UPDATE_DELAY: Duration = Duration::from_millis(100);
-/// Hosts that enrolled, remembered until the hosts that keep the log are known.
+/// Maximum number of enrolled hosts that a relay remembers, to name them to other hosts.
 const MAX_ENROLLED_HOSTS: usize = 64;
-/// Time without word of a leader until the relay is not ready, in milliseconds.
+/// Time without a leader after which the relay is not ready, in milliseconds.
 const STALE_MS: u64 = 10_000;
-/// How long a host that keeps the log may hold a question, in milliseconds.
+/// Longest time for which a control host may hold back its reply, in milliseconds.
 const WATCH_WAIT_MS: u64 = 1_000;
-/// Time for such a question.
+/// Timeout of a call that may be held for [`WATCH_WAIT_MS`].
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// Pause after a host that did not answer, or that had hosts to tell of.
+/// Pause between two calls to the same control host.
 const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A running relay.
 pub struct RelayDaemon {
-    /// Where peers reach it.
+    /// Address for peers.
     pub address: SocketAddr,
-    /// Where metrics and health are served.
+    /// Address that serves metrics and health.
     pub watch: SocketAddr,
     hosts: Arc<HostRegistry>,
 }
@@ -71,7 +71,7 @@
         Self::start_on(listener, settings, secret).await
     }
 
-    /// Starts on a listener that is bound already.
+    /// Starts on a listener that is already bound.
     pub async fn start_on(
         listener: TcpListener,
         settings: CommonSettings,
@@ -80,8 +80,9 @@
         Self::open(listener, settings, secret, None).await
     }
 
-    /// Starts where the whole site starts for the first time. Only then may it take part
-    /// in naming a founder: later it cannot know whom it named before.
+    /// Starts at the first start of the whole site. Only then may the relay take part in the
+    /// agreement on the bootstrap host: a later process cannot know which host an earlier one
+    /// accepted.
     pub async fn start_first(
         settings: CommonSettings,
         secret: SiteSecret,
@@ -90,7 +91,7 @@
         Self::start_first_on(listener, settings, secret).await
     }
 
-    /// [`RelayDaemon::start_first`] on a listener that is bound already.
+    /// [`RelayDaemon::start_first`] on a listener that is already bound.
     pub async fn start_first_on(
         listener: TcpListener,
         settings: CommonSettings,
@@ -134,7 +135,7 @@
         };
         serve(listener, secret, relay);
         let watch = serve_health(settings.watch, hosts.clone()).await?;
-        tracing::info!(%address, %watch, "relay started: no disk, no vote");
+        tracing::info!(%address, %watch, "relay started without a disk");
         Ok(Self {
             address,
             watch,
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The way to the hosts that keep the log.
+    /// Returns the link to the hosts that keep the log.
     pub fn link(&self) -> &Arc<ControlLink> {
         &self.hosts.link
     }
@@ -183,12 +184,12 @@
     daemon::serve_health(address, Arc::new(read)).await
 }
 
-/// The control hosts that a relay knows, and how fresh their word of a leader is.
+/// Control hosts that a relay knows, and when one of them last knew a leader.
 struct HostRegistry {
     own: HostName,
     hall: HallName,
     link: Arc<ControlLink>,
-    /// When a leader was last known to lead, by this host's steady clock.
+    /// When a leader was last known to lead, in milliseconds of this host's monotonic clock.
     leader_seen_ms: AtomicU64,
 }
 
@@ -197,7 +198,7 @@
         clock::monotonic_ms().saturating_sub(self.leader_seen_ms.load(Ordering::SeqCst))
     }
 
-    /// Watches a control host, and from then on each that it names.
+    /// Watches a control host, and all further hosts that it names.
     fn watch(self: &Arc<Self>, address: &str) {
         if address != self.own.0 && self.link.add_host(address) {
             tokio::spawn(watch_host(self.clone(), address.to_owned()));
@@ -218,12 +219,13 @@
     }
 }
 
-/// Boxed, as the hosts that one names are watched in turn.
+/// Polls one control host forever. Boxed because it starts the same task for each host that is
+/// named.
 fn watch_host(hosts: Arc<HostRegistry>, address: String) -> BoxFuture<'static, ()> {
     Box::pin(async move {
         loop {
-            // A relay without a leader wants all names at once; else only whether
-            // the host is still there, after the whole wait.
+            // Without a leader, the relay requests all names at once. Otherwise the call only
+            // checks that the host is alive, and is held for the full wait.
             let cursor = match hosts.stale_ms() {
                 stale_ms if stale_ms > 2 * WATCH_WAIT_MS => Position(0),
                 _ => Position(u64::MAX),
@@ -239,7 +241,7 @@
                         .leader_seen_ms
                         .fetch_max(leader_seen_ms, Ordering::SeqCst);
                 }
-                Err(error) => tracing::debug!(%error, "a control host is silent"),
+                Err(error) => tracing::debug!(%error, "control host did not reply"),
             }
             tokio::time::sleep(WATCH_INTERVAL).await;
         }
@@ -249,24 +251,26 @@
 #[derive(Clone)]
 struct RelayServer {
     hosts: Arc<HostRegistry>,
-    /// Hosts with a disk that asked to become voters here.
+    /// Hosts with a disk that enrolled here to become voters.
     enrolled: Arc<Mutex<BTreeSet<HostName>>>,
     agreement: Arc<BootstrapAgreement>,
 }
 
-/// Who founds the site, as far as this relay knows.
+/// Agreement of the named hosts on the bootstrap host, as far as this relay knows it.
 struct BootstrapAgreement {
-    /// The other named hosts.
+    /// Addresses of the other named hosts.
     others: Vec<String>,
-    /// This relay's part in naming; none where it may have forgotten what it did.
+    /// Paxos acceptor of this relay; `None` if this is not the site's first start, as an
+    /// earlier process may have accepted another host, or if this host is not named.
     acceptor: Option<Mutex<NamingBook>>,
-    /// The host that was named. Held while it is agreed on, so that one host that asks
-    /// waits for the other's try.
+    /// The chosen bootstrap host. Locked during the agreement, so that a second caller waits
+    /// for the attempt of the first.
     founder: tokio::sync::Mutex<Option<HostName>>,
 }
 
 impl BootstrapAgreement {
-    /// One try to have `host` named; whoever was named before stays so.
+    /// Runs one round that proposes `host`. Returns the chosen host, which is an earlier one if
+    /// it may have been chosen already; `None` without a majority.
     async fn run_round(&self, link: &ControlLink, host: &HostName) -> Option<HostName> {
         let acceptor = self.acceptor.as_ref()?;
         let request = peers::lock(acceptor).begin();
@@ -278,7 +282,7 @@
             .map(|_| founder)
     }
 
-    /// The answers of all named hosts, if a majority granted what was asked.
+    /// Returns the replies of all named hosts if a majority granted the request.
     async fn query_all(
         &self,
         link: &ControlLink,
@@ -314,7 +318,7 @@
 
 impl ControlWire for RelayServer {
     async fn raft(self, _: Context, from: NodeId, _: HostName, _: RaftMessage) {
-        tracing::debug!(%from, "a voter's message came to a host without a log");
+        tracing::debug!(%from, "Raft message received by a host without a log");
     }
 
     async fn enroll(
@@ -376,7 +380,7 @@
         wait_ms: u64,
     ) -> Result<PositionUpdate, ControlRefusal> {
         let wait = Duration::from_millis(wait_ms);
-        // Whoever follows the log has nothing to learn here.
+        // A caller that follows the log learns nothing from a relay.
         let pause = match cursor {
             Position(0) => EMPTY_UPDATE_DELAY.min(wait),
             _ => wait,
@@ -463,7 +467,7 @@
             return Err(founded.map_or(ControlRefusal::NoQuorum, ControlRefusal::NotLeader));
         };
         self.hosts.watch(founder.as_str());
-        tracing::info!(%founder, "the founder of the site is named");
+        tracing::info!(%founder, "bootstrap host of the site is chosen");
         *named = Some(founder.clone());
         Ok(founder)
     }
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -1,4 +1,4 @@
-//! The control daemon's shell: sockets and tasks around the voter's thread.
+//! I/O of the control daemon: sockets and tasks around the voter's thread.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -44,31 +44,32 @@
 use crate::table::configuration::ConfigurationRecord;
 use crate::table::quota::{QuotaAsk, QuotaGrants};
 
-/// Messages that wait for one peer.
+/// Maximum number of messages queued for one peer.
 const OUTBOX_CAPACITY: usize = 64;
-/// Time for one message to a peer.
+/// Timeout of one message to a peer.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between two questions to the leader for the newest configuration: its age at
-/// members grows by this.
+/// Interval of queries to the leader for the newest configuration; it adds to the age of the
+/// configuration at members.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two looks at the platform's list, and two enrolments.
+/// Interval of reads of the platform's list, of enrolments and of announcements.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pages of everything that leave at a time, and how long each counts: after a loss of
-/// power all members ask at once, and each page is a megabyte at thousands of replicas.
+/// Maximum number of full snapshots in transit. After a power loss all members request one at
+/// once, and each is a megabyte with thousands of replicas.
 const MAX_FULL_SNAPSHOTS: usize = 24;
-/// See [`MAX_FULL_SNAPSHOTS`].
+/// Time for which a full snapshot counts as in transit.
 const FULL_SNAPSHOT_HOLD: Duration = Duration::from_millis(200);
-/// Longest wait for a turn; then another host may have room.
+/// Longest wait for one of the [`MAX_FULL_SNAPSHOTS`] slots; afterwards the caller is refused,
+/// as another host may have a free one.
 const FULL_SNAPSHOT_WAIT: Duration = Duration::from_millis(300);
-/// Calls that one peer may have under way.
+/// Maximum number of concurrent calls on one connection.
 const MAX_CALLS_PER_PEER: usize = 4096;
 
 /// A running control daemon.
 pub struct ControlDaemon {
-    /// Where peers reach it.
+    /// Address for peers.
     pub address: SocketAddr,
-    /// Where metrics and health are served.
+    /// Address that serves metrics and health.
     pub watch: SocketAddr,
     handle: ControlHandle,
     orders: Option<mpsc::UnboundedReceiver<EngineOrder>>,
@@ -82,8 +83,8 @@
         Self::start_on(listener, settings, secret).await
     }
 
-    /// Starts where the whole site starts for the first time: the named hosts that
-    /// have a disk found it, each with [`ControlDaemon::start_first`].
+    /// Starts at the first start of the whole site: the named hosts that have a disk bootstrap
+    /// it, each through [`ControlDaemon::start_first`].
     pub async fn start_first(
         settings: ControlSettings,
         secret: SiteSecret,
@@ -92,7 +93,7 @@
         Self::start_first_on(listener, settings, secret).await
     }
 
-    /// [`ControlDaemon::start_first`] on a listener that is bound already.
+    /// [`ControlDaemon::start_first`] on a listener that is already bound.
     pub async fn start_first_on(
         listener: TcpListener,
         settings: ControlSettings,
@@ -106,7 +107,7 @@
         Self::start_on(listener, settings, secret).await
     }
 
-    /// Starts on a listener that is bound already.
+    /// Starts on a listener that is already bound.
     pub async fn start_on(
         listener: TcpListener,
         mut settings: ControlSettings,
@@ -116,12 +117,13 @@
         let pool = Arc::new(PeerPool::new(secret.clone(), peers::dial_control));
         let (events, inbox) = std::sync::mpsc::channel();
         let handle = ControlHandle(events);
-        // Founders ask each other before any of them has a log.
+        // The bootstrap hosts query each other before any of them has a log.
         serve(listener, secret.clone(), handle.clone());
-        // Also where a first start was broken off: only this disk still knows of it.
+        // Also resumes an interrupted first start, which only this disk still records.
         if let Some(named) = bootstrap::unfinished_first_start(&settings)? {
             bootstrap_site(secret, &settings, &named).await?;
-            // Founders know each other from nowhere else until they have a leader.
+            // Until there is a leader, the bootstrap hosts know each other only from these
+            // names.
             let control = &mut settings.common.control;
             let others = named.into_iter().filter(|voter| !control.contains(voter));
             let others: Vec<VoterSettings> = others.collect();
@@ -160,27 +162,28 @@
         })
     }
 
-    /// The way to the voter's thread.
+    /// Returns the handle of the voter's thread.
     pub fn handle(&self) -> ControlHandle {
         self.handle.clone()
     }
 
-    /// The orders to engines that this host gives while it leads; once.
+    /// Takes the channel of the orders that this host issues to engines while it leads; `None`
+    /// after the first call.
     pub fn take_orders(&mut self) -> Option<mpsc::UnboundedReceiver<EngineOrder>> {
         self.orders.take()
     }
 
-    /// Asks this voter for its account of itself.
+    /// Returns the status of this voter.
     pub async fn status(&self) -> Option<ControlStatus> {
         status(&self.handle).await
     }
 
-    /// Waits until the voter ends by itself: its disk failed.
+    /// Waits until the voter's thread ends by itself because its disk failed.
     pub async fn ended(&mut self) -> Result<(), DaemonError> {
         (&mut self.ended).await.unwrap_or(Ok(()))
     }
 
-    /// Hands over and stops.
+    /// Hands over the leadership and stops.
     pub async fn stop(&self) {
         let (answer, done) = oneshot::channel();
         self.handle.notify(ControlEvent::Stop(answer));
@@ -188,7 +191,7 @@
     }
 }
 
-/// Takes part in the site's first start, among the hosts that were named then.
+/// Takes part in the site's first start, with the hosts that were named then.
 async fn bootstrap_site(
     secret: SiteSecret,
     settings: &ControlSettings,
@@ -214,7 +217,7 @@
     let pool = pool.clone();
     let open = move |peer: String| {
         let (sender, receiver) = mpsc::channel(OUTBOX_CAPACITY);
-        tracing::debug!(%peer, "sends to a voter");
+        tracing::debug!(%peer, "channel to a voter opened");
         runtime.spawn(send_messages(pool.clone(), from.clone(), peer, receiver));
         sender
     };
@@ -229,7 +232,8 @@
     }
 }
 
-/// Sends one peer's messages in order; a lost one is made good by the next heartbeat.
+/// Sends the messages for one peer in order. A lost message is made up for by the next
+/// heartbeat.
 async fn send_messages(
     pool: Arc<PeerPool<ControlWireClient>>,
     from: (NodeId, HostName),
@@ -245,13 +249,13 @@
             })
             .await;
         if let Err(error) = sent {
-            tracing::debug!(%error, "lost a message");
+            tracing::debug!(%error, "Raft message lost");
         }
     }
 }
 
-/// Tells the control hosts that the settings named, again and again, where this host is:
-/// after a restart of all, those without a disk know nobody else.
+/// Announces this host periodically to the control hosts of `link`: after a restart of all
+/// hosts, those without a disk know no host that keeps the log.
 pub async fn announce(own: HostName, link: Arc<ControlLink>) {
     loop {
         for address in link.addresses() {
@@ -264,7 +268,7 @@
                 let call =
                     |client: ControlWireClient| async move { client.announce(context, own).await };
                 if let Err(error) = link.call_at(&address, "announce", call).await {
-                    tracing::debug!(%error, "a control host was not told");
+                    tracing::debug!(%error, "announcement to a control host failed");
                 }
             });
         }
@@ -272,8 +276,8 @@
     }
 }
 
-/// A disk that does not vote asks all control hosts that it hears of, again and
-/// again; only the leader acts on it.
+/// Enrols a disk that does not vote, periodically and at all known control hosts; only the
+/// leader acts on it.
 async fn enroll(
     pool: Arc<PeerPool<ControlWireClient>>,
     settings: ControlSettings,
@@ -311,8 +315,8 @@
     }
 }
 
-/// Asks the leader again and again which configuration is the newest, so that members
-/// who ask here are told how old this host's word is.
+/// Queries the leader periodically for the newest configuration, so that this host can report
+/// to members how old its copy is.
 async fn confirm(pool: Arc<PeerPool<ControlWireClient>>, handle: ControlHandle) {
     loop {
         tokio::time::sleep(CONFIRM_INTERVAL).await;
@@ -326,8 +330,10 @@
         let call = |client: ControlWireClient| async move { client.confirm(context).await };
         match pool.call(&leader, "confirm", call).await {
             Ok(Ok(version)) => handle.notify(ControlEvent::Confirmed { version, asked_ms }),
-            Ok(Err(refusal)) => tracing::debug!(?refusal, peer = %leader, "not confirmed"),
-            Err(error) => tracing::debug!(%error, "not confirmed"),
+            Ok(Err(refusal)) => {
+                tracing::debug!(?refusal, peer = %leader, "newest configuration not confirmed")
+            }
+            Err(error) => tracing::debug!(%error, "newest configuration not confirmed"),
         }
     }
 }
@@ -336,13 +342,13 @@
     loop {
         match daemon::get_json::<PlatformHosts>(&url).await {
             Ok(list) => handle.notify(ControlEvent::LeavingHosts(list.leaving)),
-            Err(error) => tracing::debug!(%error, "cannot read the platform's list"),
+            Err(error) => tracing::debug!(%error, "cannot read the platform's list of hosts"),
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The platform's list of hosts. It lags.
+/// The platform's list of hosts, which lags behind.
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
 pub struct PlatformHosts {
     /// Hosts that are leaving.
@@ -352,12 +358,12 @@
 #[derive(Clone)]
 struct ControlServer {
     handle: ControlHandle,
-    /// Pages from nothing that may be under way.
+    /// Slots for full snapshots in transit.
     full_snapshots: Arc<Semaphore>,
 }
 
 impl ControlServer {
-    /// Waits for its turn with a page that holds everything.
+    /// Waits for a slot to send a full snapshot.
     async fn acquire_snapshot_slot(&self) -> Result<(), ControlRefusal> {
         let slot = self.full_snapshots.clone().acquire_owned();
         let Ok(Ok(permit)) = tokio::time::timeout(FULL_SNAPSHOT_WAIT, slot).await else {
@@ -548,12 +554,12 @@
     }
 
     async fn announce(self, _: Context, host: HostName) {
-        // Whoever keeps the log knows the others from it.
-        tracing::trace!(%host, "another host told where it is");
+        // A host that keeps the log knows the others from it.
+        tracing::trace!(%host, "announcement ignored: this host keeps the log");
     }
 
     async fn appoint(self, _: Context, _: HostName) -> Result<HostName, ControlRefusal> {
-        // A host with a disk founds the site itself.
+        // A host with a disk takes part in the bootstrap itself.
         Err(ControlRefusal::NotLeader(None))
     }
 
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -1,5 +1,5 @@
-//! The control daemon: one thread owns the voter and its disk; calls and
-//! messages reach it as events, so that one sync serves all that wait for it.
+//! The voter's event loop: one thread owns the voter and its disk. Calls and messages reach it
+//! as events, so that one sync serves all events of a batch.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
@@ -34,23 +34,23 @@
 use crate::table::accounts::{AccountBook, AccountSpec};
 use crate::table::quota::QuotaGrantor;
 
-/// Longest pause between two looks at the clock.
+/// Longest interval between two checks of the clock.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// Most events that share one sync.
+/// Maximum number of events, after the first one, that share a sync.
 const MAX_BATCH_EVENTS: usize = 1024;
-/// Longest wait of a [`ControlEvent::Sync`].
+/// Longest wait of a [`ControlEvent::Sync`], in milliseconds.
 const MAX_SYNC_WAIT_MS: u64 = 2_000;
-/// Least time between two tellings of changes to members, in milliseconds. A change that
-/// comes alone is told at once; where replicas change hundreds of times a second, a member
-/// asks and pulls ten times a second rather than each time.
+/// Minimum interval between two notifications of members, in milliseconds. A single change is
+/// reported at once; where replicas change hundreds of times a second, a member queries and
+/// pulls ten times a second rather than for each change.
 const NOTIFY_INTERVAL_MS: u64 = 100;
-/// Silence after which an even set of voters sheds one, in milliseconds.
+/// Silence after which an even set of voters drops a voter, in milliseconds.
 const SHED_VOTER_MS: u64 = 3_000;
-/// Whoever leads in it has no predecessor.
+/// The first term, whose leader has no predecessor.
 const FIRST_TERM: Term = Term(1);
-/// Pause before a full disk is tried again.
+/// Delay before a write to a full disk is retried.
 const DISK_FULL_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time that a stopping leader waits for its heir.
+/// Time for which a stopping leader waits for its successor, in milliseconds.
 const HANDOVER_TIMEOUT_MS: u64 = 2_000;
 
 enum WaiterReply {
@@ -64,15 +64,15 @@
     answer: WaiterReply,
 }
 
-/// Whether the voter goes on.
+/// Whether the voter continues to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RunState {
     Runs,
     Stopped,
 }
 
-/// Drops what comes for a while, as a network would: askers are refused and go
-/// elsewhere. A stop is obeyed.
+/// Discards events for a while, as a network would: callers are refused and turn to another
+/// host. A stop is still obeyed.
 fn discard_events(events: &Receiver<ControlEvent>) -> RunState {
     let until_ms = clock::monotonic_ms() + DISK_FULL_RETRY_DELAY.as_millis() as u64;
     loop {
@@ -89,7 +89,7 @@
     }
 }
 
-/// The voter's thread.
+/// State of the voter's thread.
 pub struct ControlLoop {
     settings: ControlSettings,
     replica: LogReplica,
@@ -99,30 +99,31 @@
     quotas: Option<QuotaGrantor>,
     suspect_leases: Option<TurnDesk>,
     rates: Option<ReplicaRates>,
-    /// The newest configuration that a leader confirmed, and when this host asked.
+    /// Version of the newest configuration that a leader confirmed, and when this host queried
+    /// it.
     confirmed: Option<(u64, u64)>,
     orders: Option<mpsc::UnboundedSender<EngineOrder>>,
     pending_proposals: BTreeMap<Position, (Term, ReplySender<(Position, Reply)>)>,
     waiters: Vec<SyncWaiter>,
-    /// When members were last told of a change.
+    /// When members were last notified of a change.
     notified_ms: u64,
     hosts: BTreeMap<NodeId, HostName>,
-    /// Hosts that this leader has proposed to note.
+    /// Hosts of disks that this leader has proposed to record.
     proposed_hosts: BTreeSet<(NodeId, HostName)>,
     outbox: PeerOutbox,
-    /// Reads that wait for the end of this batch of events.
+    /// Linearizable reads that wait for the end of this batch of events.
     deferred: Vec<ControlEvent>,
     stopping: Option<StopRequest>,
-    /// The latest end of a [`SendPermit`] that was given.
+    /// Latest expiry of all send permits that were given.
     permitted_until_ms: u64,
 }
 
-/// A stop that was asked for.
+/// A requested stop.
 struct StopRequest {
     since_ms: u64,
     answer: oneshot::Sender<()>,
-    /// An heir has been asked to stand. Until then it is tried again: this voter may win an
-    /// election that was under way, or its followers may be heard again.
+    /// A successor has been asked to stand for election. Until then the handover is retried:
+    /// this voter may win an election in progress, or hear from its followers again.
     handed_over: bool,
 }
 
@@ -142,7 +143,7 @@
         let voters = settings.common.control.iter();
         let hosts = voters.map(|voter| (bootstrap::voter_id(&voter.host), voter.host.clone()));
         let mut hosts: BTreeMap<NodeId, HostName> = hosts.collect();
-        // The newest hosts may stand in entries that are not known to be committed.
+        // The latest hosts may be in entries that are not yet known to be committed.
         hosts.extend(replica.logged_hosts());
         hosts.insert(node, settings.common.host.clone());
         Ok(Self {
@@ -168,33 +169,33 @@
         })
     }
 
-    /// The ways to the other voters.
+    /// Sets the channels to the other voters.
     pub fn send_messages(&mut self, outbox: PeerOutbox) {
         self.outbox = outbox;
     }
 
-    /// Has the orders of this leader sent by whoever holds the other end.
+    /// Sets the channel for the orders of this leader.
     pub fn send_orders(&mut self, orders: mpsc::UnboundedSender<EngineOrder>) {
         self.orders = Some(orders);
     }
 
-    /// Has each write to the disk checked first, for tests of disks that fail.
+    /// Installs a check before each write to the disk, for tests of failing disks.
     pub fn check_writes(&mut self, check: WriteCheck) {
         self.journal.check_writes(check);
     }
 
-    /// This voter's disk.
+    /// Returns the identity of this voter's disk.
     pub fn node(&self) -> NodeId {
         self.journal.identity().node
     }
 
-    /// Whether this disk is no voter, as far as it knows.
+    /// Returns whether this disk does not vote, as far as it knows.
     pub fn is_learner(&self) -> bool {
         !self.replica.raft().voters().contains(&self.node())
     }
 
-    /// Runs until it is stopped, or the disk fails: then the voter says
-    /// nothing more, as it cannot know what it has kept.
+    /// Runs until it is stopped or its disk fails. After a failure the voter sends nothing
+    /// more, as it cannot know what was saved.
     pub fn run(mut self, events: Receiver<ControlEvent>) -> Result<(), JournalError> {
         loop {
             match events.recv_timeout(TICK_INTERVAL) {
@@ -388,7 +389,7 @@
         }
     }
 
-    /// Only the leader acts on it, and only where it can reach the host's disk.
+    /// Makes a disk a learner and records its host, if this voter leads.
     fn enroll(&mut self, node: NodeId, host: HostName) {
         self.hosts.insert(node, host.clone());
         if !self.replica.raft().is_leader() {
@@ -398,7 +399,7 @@
         self.record_host(node, host);
     }
 
-    /// Keeps in the log where a disk is reached, for a restart of all voters.
+    /// Records in the log on which host a disk is reached, for a restart of all voters.
     fn record_host(&mut self, node: NodeId, host: HostName) {
         let known = self.replica.state().voter_hosts.get(&node) == Some(&host);
         if self.settings.open_membership
@@ -437,7 +438,8 @@
         })
     }
 
-    /// What a leader makes of its quotas, by the accounts of the newest configuration.
+    /// Calls `make` with the leader's quotas, updated to the accounts of the newest
+    /// configuration.
     fn with_quotas<T>(
         &mut self,
         now_ms: u64,
@@ -479,7 +481,7 @@
         let standing = ContentStanding::of(state.crashes.count(&request.content));
         let answer = leases.ask(now_ms, standing, request);
         let (content, replica) = (request.content, &request.replica);
-        tracing::debug!(%content, %replica, ?standing, ?answer, "turn of a suspect content");
+        tracing::debug!(%content, %replica, ?standing, ?answer, "suspect lease requested");
         Ok(answer)
     }
 
@@ -539,8 +541,9 @@
         Ok(SendPermit { until_ms })
     }
 
-    /// Hands over once asked to stop. A permit promises that no other decides until its end:
-    /// an heir, which is elected within milliseconds, would order beside what was permitted.
+    /// Hands over the leadership after a stop was requested and all send permits have expired.
+    /// A permit promises that no other leader decides before its expiry; a successor, elected
+    /// within milliseconds, would send its orders in parallel with a permitted one.
     fn hand_over_after_permits(&mut self, now_ms: u64) {
         match &mut self.stopping {
             Some(stop) if !stop.handed_over && now_ms >= self.permitted_until_ms => {
@@ -704,7 +707,7 @@
         };
         if changed {
             let voters = self.replica.raft().voters();
-            tracing::info!(?voters, "changes the voters");
+            tracing::info!(?voters, "change of the voters proposed");
         }
     }
 
@@ -750,7 +753,7 @@
         }
     }
 
-    /// What was proposed by a leader that leads no more may still be committed.
+    /// Refuses all pending proposals of a former leader; they may still be committed.
     fn fail_pending(&mut self) {
         for (_, (_, answer)) in std::mem::take(&mut self.pending_proposals) {
             let _ = answer.send(Err(ControlRefusal::NoQuorum));
@@ -783,8 +786,8 @@
         Ok(RunState::Runs)
     }
 
-    /// Saves all records, and waits where the disk is full: until they are on it,
-    /// nothing that follows from them may leave.
+    /// Saves all records, and waits while the disk is full: nothing that depends on them may be
+    /// sent before they are saved.
     fn save(
         &mut self,
         records: &[DiskRecord],
@@ -797,7 +800,7 @@
                 Ok(saved) => left = &left[saved..],
                 Err(error) if error.is_full() => {
                     if full_since_ms.is_none() {
-                        tracing::warn!(%error, "the disk is full: this voter waits for room");
+                        tracing::warn!(%error, "disk is full; the voter waits for free space");
                         full_since_ms = Some(clock::monotonic_ms());
                     }
                     if discard_events(events) == RunState::Stopped {
@@ -809,7 +812,7 @@
         }
         if let Some(since_ms) = full_since_ms {
             let waited_ms = clock::monotonic_ms() - since_ms;
-            tracing::info!(waited_ms, "the disk has room again");
+            tracing::info!(waited_ms, "disk has free space again");
         }
         Ok(RunState::Runs)
     }
@@ -852,7 +855,7 @@
         }
     }
 
-    /// Which configuration surely was the newest, and how long ago.
+    /// Returns a proof of which configuration was the newest, and how long ago.
     fn proof(&self, now_ms: u64) -> Option<FreshnessProof> {
         match (self.replica.newest(now_ms), self.confirmed) {
             (Some(state), _) if !self.replica.lags() => Some(FreshnessProof {
@@ -888,8 +891,7 @@
     record.map_or(0, |record| record.configuration.version)
 }
 
-/// An entry's report, without figures where one cannot be true: the entry still counts
-/// among those that report.
+/// Compares an incarnation of a replica with the state; it is over once a later one is known.
 fn incarnation_state(state: &SiteState, life: &ReplicaLife) -> LifeState {
     match state.replicas.records().get(&life.id) {
         Some(record) if record.born_ms > life.born_ms => LifeState::Over,
@@ -898,12 +900,13 @@
     }
 }
 
-/// A report whose figures cannot be true tells of nothing but its entry.
+/// Drops the figures of an implausible report. The entry still counts among those that report,
+/// and keeps its limits.
 fn drop_invalid_figures(report: EntryReport) -> EntryReport {
     match report.check() {
         Ok(()) => report,
         Err(error) => {
-            tracing::warn!(host = report.host, %error, "a report cannot be true");
+            tracing::warn!(host = report.host, %error, "implausible report, figures ignored");
             EntryReport {
                 host: report.host,
                 limits: report.limits,
