--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -330,10 +330,8 @@
         let call = |client: ControlWireClient| async move { client.confirm(context).await };
         match pool.call(&leader, "confirm", call).await {
             Ok(Ok(version)) => handle.notify(ControlEvent::Confirmed { version, asked_ms }),
-            Ok(Err(refusal)) => {
-                tracing::debug!(?refusal, peer = %leader, "newest configuration not confirmed")
-            }
-            Err(error) => tracing::debug!(%error, "newest configuration not confirmed"),
+            Ok(Err(refusal)) => tracing::debug!(?refusal, peer = %leader, "version not confirmed"),
+            Err(error) => tracing::debug!(%error, "version not confirmed"),
         }
     }
 }
--- a/src/process/arguments.rs
+++ b/src/process/arguments.rs
@@ -1,4 +1,4 @@
-//! The daemons' command line: a settings file, and where to write addresses.
+//! Command line of the daemons.
 
 use std::path::PathBuf;
 use std::process::exit;
@@ -9,25 +9,25 @@
 use crate::process::peers::SiteSecret;
 use crate::process::settings::{self, CommonSettings, ValidatedSettings};
 
-/// What a daemon was started with.
+/// Parsed command line and settings of a daemon.
 pub struct DaemonStart<S> {
     /// The checked settings.
     pub settings: S,
     /// The site's secret.
     pub secret: SiteSecret,
-    /// Where to write the addresses that the system chose.
+    /// File for the listening addresses, including ports that the system chose.
     pub announce: Option<PathBuf>,
-    /// `--found` was given.
+    /// `--found` was given: bootstrap the site and exit.
     pub bootstrap: bool,
 }
 
-/// Ends the process: its start failed for this reason.
+/// Exits the process because its start failed for this reason.
 pub fn fail(program: &str, reason: impl std::fmt::Display) -> ! {
     eprintln!("{program}: {reason}");
     exit(START_FAILED)
 }
 
-/// Reads the command line and settings of a daemon, and starts its logs.
+/// Reads the command line and the settings of a daemon, and initializes its logs.
 pub fn start<S: ValidatedSettings>(
     program: &str,
     common: fn(&S) -> &CommonSettings,
@@ -43,7 +43,7 @@
     options.optflag(
         "",
         "found",
-        "found the site in an empty data folder, and end",
+        "bootstrap the site in an empty data folder, and exit",
     );
     options.optflag("h", "help", "show this text");
     let args: Vec<String> = std::env::args().skip(1).collect();
--- a/src/process/auth.rs
+++ b/src/process/auth.rs
@@ -1,4 +1,4 @@
-//! Keys of callers and operators: kept as digests, compared in constant time.
+//! Keys of callers and operators, stored as digests and compared in constant time.
 
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
@@ -6,23 +6,23 @@
 use crate::ids::PartnerName;
 use crate::process::settings::{EntrySettings, PartnerSettings};
 
-/// The partner whose caller key this is.
+/// Returns the partner with this caller key.
 pub fn caller<'a>(settings: &'a EntrySettings, key: &str) -> Option<&'a PartnerName> {
     find(settings, key, |partner| &partner.caller_keys)
 }
 
-/// The partner whose operator key this is.
+/// Returns the partner with this operator key.
 pub fn operator<'a>(settings: &'a EntrySettings, key: &str) -> Option<&'a PartnerName> {
     find(settings, key, |partner| &partner.operator_keys)
 }
 
-/// The digest of a key as settings hold it.
+/// Returns the digest of a key in the form that settings hold.
 pub fn digest(key: &str) -> String {
     let digest = Sha256::digest(key.as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Looks at every key, so that the time taken tells nothing.
+/// Compares the key with every known key, so that the time taken reveals nothing.
 fn find<'a>(
     settings: &'a EntrySettings,
     key: &str,
--- a/src/process/daemon.rs
+++ b/src/process/daemon.rs
@@ -1,4 +1,4 @@
-//! What all daemons share: listening, health pages, small HTTP calls, signals and logs.
+//! Code that all daemons share: listeners, health pages, small HTTP calls, signals and logs.
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener as StdListener};
@@ -29,59 +29,59 @@
 
 /// Exit status of a process whose start failed.
 pub const START_FAILED: i32 = 2;
-/// Longest answer read from a platform service, in bytes.
+/// Limit on a response of a platform service, in bytes.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Why a daemon cannot start or go on.
+/// Reason why a daemon cannot start or continue.
 #[derive(Debug, Snafu)]
 pub enum DaemonError {
     /// The settings are not usable.
     #[snafu(display("{source}"), context(false))]
     Settings {
-        /// Which and why.
+        /// The field and the fault.
         source: SettingsError,
     },
     /// The data folder is not usable, or a sync failed.
     #[snafu(display("data folder: {source}"))]
     Storage {
-        /// Which file and why.
+        /// The file and the fault.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
     /// An address cannot be listened on.
     #[snafu(display("cannot listen on {address} (field {field}): {source}"))]
     Listen {
-        /// The settings' field.
+        /// Field of the settings.
         field: &'static str,
         /// The address.
         address: String,
-        /// The system's answer.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// A thread cannot be started.
     #[snafu(display("cannot start a thread: {source}"))]
     Thread {
-        /// The system's answer.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Control cannot be reached.
+    /// No control host can be reached.
     #[snafu(display("{source}"), context(false))]
     Peer {
-        /// Which peer and why.
+        /// The peer and the fault.
         source: PeerError,
     },
-    /// A call to a target or platform service failed.
+    /// A call to a target or a platform service failed.
     #[snafu(display("cannot {step} {url}: {reason}"))]
     Http {
-        /// What was tried.
+        /// The operation.
         step: &'static str,
-        /// Where.
+        /// The URL.
         url: String,
-        /// What went wrong.
+        /// The fault.
         reason: String,
     },
 }
 
-/// Listens for peers.
+/// Opens a listener for peers.
 pub async fn bind(field: &'static str, address: SocketAddr) -> Result<TcpListener, DaemonError> {
     TcpListener::bind(address).await.context(ListenSnafu {
         field,
@@ -89,7 +89,7 @@
     })
 }
 
-/// The address that the system chose.
+/// Returns the address of a listener, including a port that the system chose.
 pub fn address_of(field: &'static str, listener: &TcpListener) -> Result<SocketAddr, DaemonError> {
     listener.local_addr().context(ListenSnafu {
         field,
@@ -97,7 +97,7 @@
     })
 }
 
-/// Listens for HTTP.
+/// Opens a listener for HTTP.
 pub fn bind_http(
     field: &'static str,
     address: SocketAddr,
@@ -116,7 +116,7 @@
     ntex::rt::spawn(task);
 }
 
-/// Serves HTTP on threads of its own until the returned server is stopped.
+/// Serves HTTP on separate threads until the returned server is stopped.
 pub fn run_http<F, I, S, B>(
     listener: StdListener,
     workers: usize,
@@ -139,17 +139,17 @@
     Ok(server.run())
 }
 
-/// What a health page shows.
+/// Content of the health pages.
 pub struct HealthPage {
-    /// Whether the process serves.
+    /// Whether the process is ready to serve.
     pub ready: bool,
-    /// Its metrics as text.
+    /// Metrics as text.
     pub metrics: String,
 }
 
-/// A health page being read.
+/// Future of a [`HealthPage`].
 pub type HealthFuture = Pin<Box<dyn Future<Output = HealthPage> + Send>>;
-/// Reads a process's health.
+/// Reads the health of a process.
 pub type HealthSource = Arc<dyn Fn() -> HealthFuture + Send + Sync>;
 
 /// Serves `/healthz`, `/readyz` (also as `/ready`) and `/metrics`.
@@ -195,7 +195,7 @@
         .body(page.metrics + &logs)
 }
 
-/// Reads a small JSON document.
+/// Reads a JSON document of at most `MAX_RESPONSE_BYTES`.
 pub async fn get_json<T: DeserializeOwned>(url: &str) -> Result<T, DaemonError> {
     let failed = |step: &'static str, reason: String| DaemonError::Http {
         step,
@@ -210,10 +210,10 @@
     serde_json::from_slice(&body).map_err(|error| failed("decode", error.to_string()))
 }
 
-/// Sets logging up; every line names the process and hall.
+/// Initializes logging; every line names the process, host and hall.
 pub fn init_logging(settings: &LogSettings, process: &str, host: &HostName, hall: &HallName) {
     let filter = EnvFilter::try_new(&settings.filter).unwrap_or_else(|_| EnvFilter::new("info"));
-    // A reader that is stuck costs lines, never time.
+    // If standard output is not read, lines are dropped rather than blocking the process.
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
         .buffered_lines_limit(LOG_BUFFER_LINES)
@@ -237,11 +237,11 @@
     }
 }
 
-/// Lines that wait to be written; further ones are dropped and counted.
+/// Capacity of the log buffer in lines; further lines are dropped and counted.
 const LOG_BUFFER_LINES: usize = 8_192;
-/// Counts the lines that were dropped.
+/// Counter of dropped lines.
 static LOG_DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
-/// Keeps the writer's thread.
+/// Keeps the thread of the log writer running.
 static LOG_GUARD: Mutex<Option<WorkerGuard>> = Mutex::new(None);
 
 fn lock_guard() -> MutexGuard<'static, Option<WorkerGuard>> {
@@ -250,29 +250,29 @@
         .unwrap_or_else(|broken| broken.into_inner())
 }
 
-/// Log lines that were dropped, as standard output was not read.
+/// Returns the number of log lines that were dropped because standard output was not read.
 pub fn dropped_lines() -> u64 {
     LOG_DROPPED
         .get()
         .map_or(0, |lines| lines.dropped_lines() as u64)
 }
 
-/// Writes out what waits; nothing is logged afterwards.
+/// Writes the buffered lines; nothing is logged afterwards.
 pub fn flush_logs() {
     drop(lock_guard().take());
 }
 
-/// Names the process, host and hall of a daemon in every line of its log.
+/// Span that names the process, host and hall of a daemon in every log line.
 static LOG_SPAN: OnceLock<tracing::Span> = OnceLock::new();
 
-/// Has the current thread's lines name the daemon, until the thread ends.
+/// Enters the daemon's span on the current thread, until the thread ends.
 pub fn enter_log_span() {
     if let Some(span) = LOG_SPAN.get() {
         std::mem::forget(span.clone().entered());
     }
 }
 
-/// Waits for SIGTERM or SIGINT: a planned stop.
+/// Waits for SIGTERM or SIGINT, the signals of a planned stop.
 pub async fn stop_signal() {
     use tokio::signal::unix::{SignalKind, signal};
     let (Ok(mut term), Ok(mut int)) = (
@@ -287,14 +287,14 @@
     }
 }
 
-/// Settings to be looked at again: by SIGHUP, or because some time has passed.
+/// Triggers for reloading the settings: SIGHUP, or an interval that has passed.
 pub struct ReloadSignal {
     hangup: Option<tokio::signal::unix::Signal>,
     every: Duration,
 }
 
 impl ReloadSignal {
-    /// From now on SIGHUP does not end the process.
+    /// Installs the handler of SIGHUP, which from now on does not end the process.
     pub fn new(every: Duration) -> Self {
         use tokio::signal::unix::{SignalKind, signal};
         Self {
@@ -303,7 +303,7 @@
         }
     }
 
-    /// Waits for the next; returns whether a signal asked for it.
+    /// Waits for the next trigger; returns whether it was a signal.
     pub async fn next(&mut self) -> bool {
         match &mut self.hangup {
             Some(hangup) => tokio::time::timeout(self.every, hangup.recv())
@@ -317,8 +317,8 @@
     }
 }
 
-/// Writes the addresses that the system chose, for whoever started the process
-/// with port 0: one line, `name address` pairs.
+/// Writes the listening addresses on one line as `name address` pairs, for a parent process
+/// that started this one with port 0.
 pub fn announce(path: Option<&Path>, addresses: &[(&str, SocketAddr)]) {
     let pairs = addresses.iter();
     let pairs: Vec<String> = pairs.map(|(name, at)| format!("{name} {at}")).collect();
--- a/src/process/follow.rs
+++ b/src/process/follow.rs
@@ -1,8 +1,8 @@
-//! A member's copy of what the log holds, fed by every control host.
+//! A member's copy of the log's state, fed by all control hosts.
 //!
-//! Each control host is asked for its position only; the changes are pulled
-//! once, from the first host that is ahead. So a host that is cut off, frozen or
-//! behind delays nothing as long as another one is up to date.
+//! Each control host is only queried for its position; the changes are pulled once, from the
+//! first host that is ahead. So a host that is partitioned, suspended or behind delays nothing
+//! as long as another one is up to date.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,37 +18,41 @@
 use crate::routing::authority::ProofBook;
 use crate::routing::view::SiteView;
 
-/// Longest wait for one notice.
+/// Longest time for which a control host may hold back its position, in milliseconds.
 const UPDATE_WAIT_MS: u64 = 1_000;
-/// Time for a call that waits [`UPDATE_WAIT_MS`].
+/// Timeout of a call that may be held for [`UPDATE_WAIT_MS`].
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// Time for one pull: all of thousands of replicas takes a second over a link of 10 Mbit/s,
-/// and others may be served first. Other hosts are pulled from meanwhile.
+/// Timeout of one pull. A full snapshot with thousands of replicas takes a second over a link
+/// of 10 Mbit/s, and other members may be served first. Meanwhile the copy is pulled from other
+/// hosts.
 const PULL_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// Pause after another task's pull, before this host is pulled from as well.
+/// Longest wait for the pull of another task before this host is pulled from as well, and the
+/// head start of hosts in the same hall.
 const PULL_LOCK_WAIT: Duration = Duration::from_millis(60);
-/// The same pause where all is pulled: five copies at once would take five times as long.
+/// The same wait for a full snapshot: five copies at once would take five times as long.
 const FULL_PULL_LOCK_WAIT: Duration = Duration::from_millis(1_500);
-/// How long a host of the same hall that was heard is waited for with what others tell of,
-/// in milliseconds: bytes between halls are dear, and each host answers once a second.
+/// Time for which a control host in the same hall has precedence after its reply, in
+/// milliseconds: traffic between halls is expensive, and each host replies once a second.
 const LOCAL_HALL_TTL_MS: u64 = 1_500;
-/// Pause after a host that did not answer; it doubles while others answer.
+/// Delay after a control host did not reply. It doubles with each failure while a leader is
+/// known.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest such pause.
+/// Upper limit of that delay.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Time without word of a leader from which the pause stays short, in milliseconds:
-/// after a loss of power of all hosts each one that returns must be found at once.
+/// Time without a leader after which the delay stays short, in milliseconds: after a power loss
+/// of all hosts, each one that returns must be found at once.
 const LEADER_LOST_MS: u64 = 1_500;
 
-/// The copy, shared by a process's tasks.
+/// Copy of the state, shared by the tasks of a process.
 pub struct ControlFollower {
     link: Arc<ControlLink>,
     hall: HallName,
-    /// When a control host of the same hall was last heard that has news.
+    /// When a control host in the same hall last reported a position that is not behind this
+    /// copy.
     local_hall_seen_ms: AtomicU64,
     view: Mutex<SiteView>,
     watched: Mutex<BTreeSet<String>>,
-    /// Held while all or a part is pulled.
+    /// Held during a pull.
     pull_lock: tokio::sync::Mutex<()>,
     leader_seen_ms: AtomicU64,
     proofs: Mutex<ProofBook>,
@@ -57,7 +61,7 @@
 }
 
 impl ControlFollower {
-    /// A copy of nothing, for a member in that hall.
+    /// Creates an empty copy for a member in that hall.
     pub fn new(link: Arc<ControlLink>, hall: HallName) -> Self {
         Self {
             link,
@@ -73,24 +77,24 @@
         }
     }
 
-    /// The way to the control hosts.
+    /// Returns the link to the control hosts.
     pub fn link(&self) -> &Arc<ControlLink> {
         &self.link
     }
 
-    /// The copy.
+    /// Locks the copy.
     pub fn view(&self) -> MutexGuard<'_, SiteView> {
         self.view
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// How far the copy follows the log.
+    /// Returns the log position of the copy.
     pub fn position(&self) -> Position {
         self.view().position
     }
 
-    /// How long no control host with a leader has been heard, in milliseconds.
+    /// Returns the time since a control host last knew a leader, in milliseconds.
     pub fn stale_ms(&self) -> u64 {
         clock::monotonic_ms().saturating_sub(self.leader_seen_ms.load(Ordering::SeqCst))
     }
@@ -100,19 +104,19 @@
         self.changed.notified().await;
     }
 
-    /// For how long nothing newer than the configuration `version` is known not to exist,
-    /// in milliseconds; none where it never was.
+    /// Returns the age of the latest proof that no configuration newer than `version` had been
+    /// acknowledged, in milliseconds; `None` without a proof.
     pub fn proof_age_ms(&self, version: u64) -> Option<u64> {
         let proven_ms = peers::lock(&self.proofs).proven_ms(version)?;
         Some(clock::monotonic_ms().saturating_sub(proven_ms))
     }
 
-    /// Returns once a further proof has come.
+    /// Returns once a further proof was received.
     pub async fn proof_received(&self) {
         self.proof_received.notified().await;
     }
 
-    /// Watches a control host, and from then on each that it names.
+    /// Watches a control host, and all further hosts that it names.
     pub fn watch(self: &Arc<Self>, address: &str) {
         self.link.add_host(address);
         let mut watched = self.watched.lock().unwrap_or_else(|b| b.into_inner());
@@ -138,7 +142,8 @@
         }
     }
 
-    /// Whether a host of the same hall may be left to bring what another one tells of.
+    /// Returns whether a pull from a host in `hall` waits, because a host in the own hall is
+    /// expected to have the same changes.
     fn prefers_local_hall(&self, hall: &HallName) -> bool {
         let local_hall_seen_ms = self.local_hall_seen_ms.load(Ordering::SeqCst);
         *hall != self.hall && clock::monotonic_ms() < local_hall_seen_ms + LOCAL_HALL_TTL_MS
@@ -152,7 +157,7 @@
             Position(0) => FULL_PULL_LOCK_WAIT,
             _ => PULL_LOCK_WAIT,
         };
-        // One at a time, but for one that takes too long.
+        // One pull at a time, unless it takes too long.
         let _guard = tokio::time::timeout(pause, self.pull_lock.lock()).await;
         if self.position() >= target {
             return;
@@ -182,7 +187,7 @@
         let answer = query_update(&follower, &address, cursor).await;
         let answered = matches!(answer, Ok(Ok(_)));
         if reached != Some(answered) {
-            tracing::info!(peer = %address, answered, "control host");
+            tracing::info!(peer = %address, answered, "control host reachability changed");
             reached = Some(answered);
         }
         match answer {
--- a/src/process/log_limit.rs
+++ b/src/process/log_limit.rs
@@ -1,5 +1,5 @@
-//! Bounds the lines that one place in the code may log each second, so that no load
-//! makes the log's volume grow. What is passed over is counted.
+//! Limits the log lines per second of each call site, so that the volume of the log does not
+//! grow with load. Suppressed lines are counted.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -9,25 +9,25 @@
 use tracing::{Event, Subscriber};
 use tracing_subscriber::layer::{Context, Layer};
 
-/// Lines a second of one place in the code.
+/// Limit on the lines of one call site.
 pub const MAX_LINES_PER_SECOND: u32 = 100;
 
-/// Lines that were passed over in this process.
+/// Number of suppressed lines in this process.
 static SUPPRESSED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines of this process that were passed over, for its metrics.
+/// Returns the number of suppressed lines, for the metrics.
 pub fn suppressed_lines() -> u64 {
     SUPPRESSED_LINES.load(Ordering::Relaxed)
 }
 
-/// The lines of the current second, by the place that logs them.
+/// Number of lines in the current second, by call site.
 #[derive(Debug, Default)]
 struct SecondCount {
     second: u64,
     lines: HashMap<Identifier, u32>,
 }
 
-/// A layer that leaves out what is beyond the bound.
+/// Layer that suppresses the lines beyond the limit.
 #[derive(Debug)]
 pub struct LineLimiter {
     clock_ms: fn() -> u64,
@@ -35,7 +35,7 @@
 }
 
 impl LineLimiter {
-    /// Counts by a steady clock.
+    /// Creates a limiter that counts by a monotonic clock in milliseconds.
     pub fn new(clock_ms: fn() -> u64) -> Self {
         Self {
             clock_ms,
--- a/src/process/member.rs
+++ b/src/process/member.rs
@@ -1,4 +1,4 @@
-//! What entries and agents share: joining the site and following its log.
+//! Code that entries and agents share: joining the site and following its log.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -13,26 +13,26 @@
 use crate::process::settings::CommonSettings;
 use crate::routing::view::SiteView;
 
-/// Longest wait for one change.
+/// Longest time for which a control host may hold back its reply, in milliseconds.
 const SYNC_WAIT_MS: u64 = 1_000;
-/// Time for a call that waits [`SYNC_WAIT_MS`].
+/// Timeout of a call that may be held for [`SYNC_WAIT_MS`].
 const SYNC_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Pause after a control host that did not answer.
+/// Delay after a control host did not reply.
 const SYNC_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time to join before a process gives up its start.
+/// Timeout of joining, after which the start of a process fails.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A member's copy of the site, shared by its tasks.
+/// A member's copy of the site's state, shared by its tasks.
 pub struct SiteFollower {
     link: Arc<ControlLink>,
     view: Mutex<SiteView>,
-    /// The highest position that a peer told.
+    /// Highest position that a peer reported.
     observed: AtomicU64,
     behind: Notify,
 }
 
 impl SiteFollower {
-    /// A copy of nothing.
+    /// Creates an empty copy.
     pub fn new(link: Arc<ControlLink>) -> Self {
         Self {
             link,
@@ -42,19 +42,20 @@
         }
     }
 
-    /// The copy.
+    /// Locks the copy.
     pub fn view(&self) -> MutexGuard<'_, SiteView> {
         self.view
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// How far the copy follows the log.
+    /// Returns the log position of the copy.
     pub fn position(&self) -> Position {
         self.view().position
     }
 
-    /// A peer told its position: where it stays ahead, another control host is asked.
+    /// Records the position that a peer reported. If the copy stays behind it, another control
+    /// host is queried.
     pub fn observe_position(&self, position: Position) {
         let known = self.observed.fetch_max(position.0, Ordering::SeqCst);
         if position.0 > known {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Returns once the asked control host has kept a change back for too long.
+    /// Returns once the copy is still behind a reported position after [`SYNC_RETRY_DELAY`].
     async fn sync_overdue(&self) {
         loop {
             self.behind.notified().await;
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Fills the copy from a state that nothing newer existed besides.
+    /// Fills the copy with a linearizable read.
     pub async fn start(&self) -> Result<(), PeerError> {
         let page = self
             .link
@@ -85,8 +86,8 @@
         Ok(())
     }
 
-    /// Follows for ever. `seed` spreads members over the control hosts;
-    /// `changed` is called after each page that was followed.
+    /// Follows the log forever. `seed` spreads members over the control hosts; `changed` is
+    /// called after each page that was applied.
     pub async fn run(&self, seed: usize, mut changed: impl FnMut(&SiteView)) {
         let mut number = seed;
         loop {
@@ -116,7 +117,7 @@
     }
 }
 
-/// Starts a life.
+/// Joins the site and returns the new incarnation.
 pub async fn join(
     link: &ControlLink,
     common: &CommonSettings,
@@ -127,12 +128,12 @@
     let command = Command::Join(host.clone(), role, address.to_owned(), hall.clone());
     match propose(link, "join", JOIN_TIMEOUT, command).await? {
         Reply::Joined(incarnation) => Ok(incarnation),
-        reply => unreachable!("a join was answered with {reply:?}"),
+        reply => unreachable!("unexpected reply to a join: {reply:?}"),
     }
 }
 
-/// Goes on with a life that was taken for lost. Returns false where another
-/// process has taken the name.
+/// Resumes an incarnation that was considered lost. Returns false if another process has taken
+/// the host name.
 pub async fn rejoin(
     link: &ControlLink,
     common: &CommonSettings,
@@ -163,7 +164,7 @@
     answer.map(|(_, reply)| reply)
 }
 
-/// The same, with where in the log it stands.
+/// Commits a command and returns its position in the log as well.
 pub async fn propose_at(
     link: &ControlLink,
     step: &'static str,
@@ -177,7 +178,7 @@
     .await
 }
 
-/// A number for a host, to spread members over control hosts.
+/// Returns a number derived from the host name, to spread members over control hosts.
 pub fn spread_seed(host: &HostName) -> usize {
     crc32fast::hash(host.as_str().as_bytes()) as usize
 }
--- a/src/process/metrics.rs
+++ b/src/process/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of one process, as text for a scraper.
+//! Counters, gauges and histograms of one process, rendered as text for a scraper.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -7,16 +7,17 @@
 
 /// Longest recorded time: one day, in microseconds.
 const MAX_MICROS: u64 = 86_400_000_000;
-/// Significant digits kept: with 2, a time is told to within one part in a hundred, in 26 kB
-/// a histogram; a third digit takes 230 kB, and there is one for each client account.
+/// Significant digits of a histogram. With 2, a time is exact to one part in a hundred and a
+/// histogram takes 26 kB; a third digit would take 230 kB, and there is a histogram for each
+/// client account.
 const DIGITS: u8 = 2;
-/// Accounts that have a histogram of their own; the others share one.
+/// Maximum number of accounts with their own histogram; all further accounts share one.
 const MAX_ACCOUNT_LABELS: usize = 64;
-/// The label of the accounts beyond [`MAX_ACCOUNT_LABELS`].
+/// Label of the accounts beyond [`MAX_ACCOUNT_LABELS`].
 const OTHER_ACCOUNTS_LABEL: &str = "other";
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
 
-/// A metric's name and labels.
+/// Name and labels of a metric.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MetricKey {
     name: &'static str,
@@ -24,7 +25,7 @@
 }
 
 impl MetricKey {
-    /// Names a metric.
+    /// Creates the key of a metric.
     pub fn new(name: &'static str, labels: &[(&'static str, &str)]) -> Self {
         let labels = labels.iter();
         let labels = labels.map(|(label, value)| (*label, (*value).to_owned()));
@@ -63,7 +64,8 @@
         histogram.saturating_record(micros.max(1));
     }
 
-    /// The label for an account: its name, as long as there are not too many.
+    /// Returns the label of an account: its name, or a shared label once there are too many
+    /// accounts.
     pub fn account_label<'a>(&mut self, account: &'a str) -> &'a str {
         let known = self.accounts.contains(account);
         if !known && self.accounts.len() >= MAX_ACCOUNT_LABELS {
@@ -75,7 +77,7 @@
         account
     }
 
-    /// Writes all metrics in the Prometheus text format; times in seconds.
+    /// Renders all metrics in the Prometheus text format, with times in seconds.
     pub fn render(&self) -> String {
         let mut text = String::new();
         for (kind, metrics) in [("counter", &self.counters), ("gauge", &self.gauges)] {
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,8 +1,8 @@
-//! What every process shares: settings, command line, logs, metrics, connections between
-//! processes and the calls on them, and following the log.
+//! Code that all processes share: settings, command line, logs, metrics, connections between
+//! processes and the calls on them, and replication of the log to members.
 //!
-//! May use the pure folders, never a folder of one program. The calls in [`wire`] are the
-//! whole protocol between the system's own processes.
+//! May use the pure modules, but no module of a single program. The calls in [`wire`] are the
+//! complete protocol between the system's own processes.
 
 pub mod arguments;
 pub mod auth;
--- a/src/process/peers.rs
+++ b/src/process/peers.rs
@@ -1,5 +1,5 @@
-//! Connections between the system's own processes: framing, the handshake by
-//! which both sides prove the shared secret, and clients that reconnect.
+//! Connections between the system's own processes: framing, the handshake by which both sides
+//! prove that they know the shared secret, and clients that reconnect.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -24,89 +24,91 @@
 
 use crate::process::wire::{AgentWireClient, ControlRefusal, ControlWireClient, PROTOCOL};
 
-/// Longest frame of a handshake, in bytes.
+/// Maximum length of a frame during the handshake.
 const MAX_HANDSHAKE_FRAME_BYTES: usize = 4096;
-/// Longest frame afterwards: a snapshot of the largest site fits.
+/// Maximum length of a frame after the handshake: a snapshot of the largest site fits.
 const MAX_FRAME_BYTES: usize = 64 << 20;
-/// Longest handshake.
+/// Timeout of the handshake, with the connection setup on the client's side.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Longest time for a connection to come up. A host without power says nothing,
-/// and a lost first packet is sent again only after a second.
+/// Timeout of the connection setup. A host without power does not respond, and a lost first
+/// packet is sent again only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time without an answer after which a further connection is begun: far above a
-/// round trip within a region, and a fifth of the whole time.
+/// Time without a response after which another connection is started: far above a round trip
+/// within a region, and a fifth of [`CONNECT_TIMEOUT`].
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Least time between two tries to reach the same peer.
+/// Minimum interval between two attempts to reach the same peer.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// Connections that may be in their handshake at once.
+/// Maximum number of connections in their handshake.
 const MAX_HANDSHAKES: usize = 256;
 
 type Frames = Framed<TcpStream, LengthDelimitedCodec>;
-/// A framed, authenticated connection that carries calls.
+/// Framed, authenticated connection that carries calls.
 pub type PeerTransport<In, Out> =
     tarpc::serde_transport::Transport<TcpStream, In, Out, Bincode<In, Out>>;
 
-/// Why a peer could not be reached or believed.
+/// Reason why a peer could not be reached or authenticated, or did not do what it was called
+/// for.
 #[derive(Debug, Snafu)]
 pub enum PeerError {
     /// The connection failed.
     #[snafu(display("cannot {step} peer {peer}: {source}"))]
     Io {
-        /// What was tried.
+        /// The operation.
         step: &'static str,
-        /// The peer's address.
+        /// Address of the peer.
         peer: String,
-        /// The system's answer.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The peer is of another version.
+    /// The peer has another protocol version.
     #[snafu(display("peer {peer} speaks protocol {theirs}, this process {PROTOCOL}"))]
     Version {
-        /// The peer's address.
+        /// Address of the peer.
         peer: String,
-        /// Its version.
+        /// Protocol version of the peer.
         theirs: u32,
     },
     /// The peer does not know the secret.
     #[snafu(display("peer {peer} failed the proof of the shared secret"))]
     Proof {
-        /// The peer's address.
+        /// Address of the peer.
         peer: String,
     },
-    /// The peer closed or was silent in the handshake.
+    /// The peer closed the connection or did not respond during the handshake, or was
+    /// unreachable a moment ago.
     #[snafu(display("peer {peer} did not finish the handshake"))]
     Handshake {
-        /// The peer's address.
+        /// Address of the peer.
         peer: String,
     },
     /// A call failed.
     #[snafu(display("call {step} to peer {peer} failed: {source}"))]
     Call {
-        /// Which call.
+        /// Name of the call.
         step: &'static str,
-        /// The peer's address.
+        /// Address of the peer.
         peer: String,
-        /// Why.
+        /// The cause.
         source: RpcError,
     },
-    /// No control host did what was asked.
+    /// No control host accepted a call.
     #[snafu(display("call {step} to control failed at {peer}: {refusal:?}"))]
     Refused {
-        /// Which call.
+        /// Name of the call.
         step: &'static str,
-        /// The last host asked.
+        /// Address of the last host that was called.
         peer: String,
         /// Its refusal.
         refusal: ControlRefusal,
     },
 }
 
-/// The secret that all processes of a site share. Its text is never shown.
+/// Secret that all processes of a site share. Its text is never shown.
 #[derive(Clone)]
 pub struct SiteSecret(Arc<[u8]>);
 
 impl SiteSecret {
-    /// Takes the secret from settings.
+    /// Creates the secret from its text in the settings.
     pub fn new(text: &str) -> Self {
         Self(text.as_bytes().into())
     }
@@ -124,7 +126,7 @@
         mac
     }
 
-    /// Compares in constant time.
+    /// Verifies a proof in constant time.
     fn check(&self, side: &str, nonces: [&[u8; 32]; 2], proof: &[u8; 32]) -> bool {
         self.mac(side, nonces).verify_slice(proof).is_ok()
     }
@@ -161,7 +163,7 @@
 }
 
 async fn send<T: Serialize>(frames: &mut Frames, peer: &str, value: &T) -> Result<(), PeerError> {
-    let bytes = bincode::serialize(value).expect("greetings encode into memory");
+    let bytes = bincode::serialize(value).expect("handshake messages encode into memory");
     frames
         .send(Bytes::from(bytes))
         .await
@@ -255,12 +257,12 @@
     In: DeserializeOwned,
     Out: Serialize,
 {
-    // Nothing may be buffered: the peer speaks again only after the greeting.
+    // Nothing can be buffered here: the peer sends more only after the handshake.
     let framed = Framed::new(frames.into_inner(), codec(MAX_FRAME_BYTES));
     tarpc::serde_transport::new(framed, Bincode::default())
 }
 
-/// Connects to a peer.
+/// Connects to a peer and authenticates it.
 pub async fn dial<In, Out>(
     address: &str,
     secret: &SiteSecret,
@@ -285,8 +287,8 @@
     Ok(transport(with_handshake_timeout(address, connect).await?))
 }
 
-/// Opens a connection. While nothing answers, further ones are begun: the first packet
-/// to a host that is just coming back is lost, and is sent again only after a second.
+/// Opens a connection. While there is no response, further attempts are started: the first
+/// packet to a host that is just coming back is lost, and is sent again only after a second.
 async fn connect(address: &str) -> io::Result<TcpStream> {
     let mut pending = FuturesUnordered::new();
     let tries = async {
@@ -303,7 +305,8 @@
     connected.map_err(late).and_then(|connected| connected)
 }
 
-/// Accepts peers until the listener fails; `serve` gets each that proved the secret.
+/// Accepts peers in an endless loop; `serve` gets the connection of each peer that proved the
+/// secret.
 pub async fn listen<In, Out>(
     listener: TcpListener,
     secret: SiteSecret,
@@ -318,7 +321,8 @@
             return;
         };
         let Ok((stream, address)) = listener.accept().await else {
-            // Out of file handles, most likely: let some close.
+            // Most likely there are no free file descriptors: wait until some connections
+            // close.
             tokio::time::sleep(RECONNECT_DELAY).await;
             continue;
         };
@@ -331,23 +335,23 @@
             drop(permit);
             match authenticated {
                 Ok(frames) => serve(transport(frames)),
-                Err(error) => tracing::warn!(%peer, %error, "refused a peer"),
+                Err(error) => tracing::warn!(%peer, %error, "peer rejected in the handshake"),
             }
         });
     }
 }
 
-/// The context of a call that must be answered within `time`.
+/// Returns the context of a call that must be answered within `time`.
 pub fn within(time: Duration) -> tarpc::context::Context {
     let mut context = tarpc::context::current();
     context.deadline = Instant::now() + time;
     context
 }
 
-/// Connects a client of one kind.
+/// Function that connects a client of one kind.
 pub type DialClient<C> = fn(String, SiteSecret) -> BoxFuture<'static, Result<C, PeerError>>;
 
-/// Connects a client of control.
+/// Connects a client of a control host.
 pub fn dial_control(
     address: String,
     secret: SiteSecret,
@@ -358,7 +362,8 @@
     })
 }
 
-/// Locks what a holder that panicked may have left: each change here is one step.
+/// Locks a value even if an earlier holder panicked: every change of these values is a single
+/// step.
 pub(crate) fn lock<T>(shared: &Mutex<T>) -> MutexGuard<'_, T> {
     shared.lock().unwrap_or_else(|broken| broken.into_inner())
 }
@@ -379,8 +384,8 @@
     Broken(Instant),
 }
 
-/// Clients of one kind by address; each connects when first used, and again
-/// after it broke.
+/// Clients of one kind by address. Each connects at its first use, and again after its
+/// connection failed.
 pub struct PeerPool<C> {
     secret: SiteSecret,
     dial: DialClient<C>,
@@ -388,7 +393,7 @@
 }
 
 impl<C: Clone> PeerPool<C> {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(secret: SiteSecret, dial: DialClient<C>) -> Self {
         Self {
             secret,
@@ -411,7 +416,7 @@
         let answer = make(client).await;
         if matches!(
             answer,
-            // A peer behind a cut says nothing: the next call starts anew.
+            // A partitioned peer does not respond: the next call opens a new connection.
             Err(RpcError::Shutdown
                 | RpcError::Channel(_)
                 | RpcError::Send(_)
@@ -426,7 +431,7 @@
         })
     }
 
-    /// Drops the connections to addresses that `keep` no longer names.
+    /// Drops the connections to all addresses for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         self.lock().retain(|address, _| keep(address));
     }
@@ -461,22 +466,23 @@
     }
 }
 
-/// Finds the control host that can answer: the leader for decisions, any for the rest.
+/// Sends calls to the control hosts: to the leader for decisions, to any of them for other
+/// calls.
 pub struct ControlLink {
     pool: PeerPool<ControlWireClient>,
     addresses: Mutex<Vec<String>>,
     leader: Mutex<usize>,
-    /// The host that answered last as one that keeps the log.
+    /// Host that last replied as one that keeps the log.
     confirmed: Mutex<Option<String>>,
 }
 
-/// Time for one call to one control host.
+/// Timeout of one call to one control host.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause between rounds over all control hosts.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
 
 impl ControlLink {
-    /// A link to the control hosts of a site.
+    /// Creates a link to the control hosts of a site.
     pub fn new(secret: SiteSecret, addresses: Vec<String>) -> Self {
         Self {
             pool: PeerPool::new(secret, dial_control),
@@ -486,22 +492,22 @@
         }
     }
 
-    /// The number of control hosts.
+    /// Returns the number of known control hosts.
     pub fn len(&self) -> usize {
         self.known().len()
     }
 
-    /// Whether no control host is known.
+    /// Returns whether no control host is known.
     pub fn is_empty(&self) -> bool {
         self.known().is_empty()
     }
 
-    /// The control hosts that are known.
+    /// Returns the addresses of the known control hosts.
     pub fn addresses(&self) -> Vec<String> {
         self.known().clone()
     }
 
-    /// Adds a control host. Returns whether it was not known.
+    /// Adds a control host. Returns whether it was not known before.
     pub fn add_host(&self, address: &str) -> bool {
         let mut known = self.known();
         let new = !known.iter().any(|other| other == address);
@@ -511,8 +517,9 @@
         new
     }
 
-    /// The control host that answered last as one that keeps the log, while it does.
-    /// Others may be sent there; a guess would send relays to each other.
+    /// Returns the control host that last replied as one that keeps the log, until it fails to
+    /// do so. Callers may be redirected there; with a guess, relays would redirect to each
+    /// other.
     pub fn confirmed(&self) -> Option<String> {
         lock(&self.confirmed).clone()
     }
@@ -526,7 +533,7 @@
         }
     }
 
-    /// The control host that decided last, or is to be asked next.
+    /// Returns the control host that last decided, or else the next one to try.
     pub fn presumed_leader(&self) -> Option<String> {
         let number = *self.lock();
         (!self.is_empty()).then(|| self.address(number))
@@ -556,7 +563,7 @@
         known[number % known.len()].clone()
     }
 
-    /// Calls the control host of that number, for what any of them can answer.
+    /// Calls the control host with that index, for calls that any of them can answer.
     pub async fn call_any<T, F>(
         &self,
         number: usize,
@@ -570,8 +577,8 @@
         self.pool.call(&address, step, make).await
     }
 
-    /// Calls the leader, following refusals and going round the hosts until
-    /// one decides or `timeout` is over.
+    /// Calls the leader: follows the redirections of refusals, and tries all hosts in turn
+    /// until one decides or `timeout` has passed.
     ///
     /// A call may be made more than once, so it must be safe to repeat.
     pub async fn call_leader<T, F>(
@@ -620,8 +627,8 @@
         }
     }
 
-    /// Notes what a host that was taken for the leader answered: after a refusal,
-    /// another one is presumed to lead.
+    /// Records the reply of the presumed leader: after a refusal, another host is presumed to
+    /// lead.
     pub fn record_reply<T>(
         &self,
         address: &str,
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of each daemon: one JSON file with comments, checked in full before
+//! Settings of the daemons: one JSON file with comments each, checked completely before
 //! anything starts.
 
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 use crate::routing::route::RoutePolicy;
 use crate::table::site::{ModelKind, SiteSpec};
 
-/// Why settings cannot be used.
+/// Reason why settings cannot be used.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -32,10 +32,10 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// The system's answer.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The text does not have the form of the settings.
+    /// The text does not have the structure of the settings.
     #[snafu(display("{}:{line}:{column}: field {field}: {reason}", path.display()))]
     Form {
         /// The file.
@@ -44,9 +44,9 @@
         line: usize,
         /// Column, from 1.
         column: usize,
-        /// The path of the field.
+        /// Path of the field.
         field: String,
-        /// What is wrong.
+        /// The fault.
         reason: String,
     },
     /// A value is not usable.
@@ -54,20 +54,20 @@
     Value {
         /// The file.
         path: PathBuf,
-        /// The path of the field.
+        /// Path of the field.
         field: &'static str,
-        /// What is wrong.
+        /// The fault.
         reason: String,
     },
 }
 
-/// How logs are written.
+/// Format and level of the logs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// Write JSON lines, else text.
+    /// Writes JSON lines instead of text.
     pub json: bool,
-    /// Least level or filter, as `info` or `dunlinspring=debug`.
+    /// Minimum level or filter, such as `info` or `dunlinspring=debug`.
     pub filter: String,
 }
 
@@ -80,21 +80,21 @@
     }
 }
 
-/// What all daemons need.
+/// Settings that all daemons need.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CommonSettings {
-    /// This host. An agent's host has its target's name.
+    /// Name of this host. An agent's host has the name of its target.
     pub host: HostName,
-    /// This host's data hall.
+    /// Data hall of this host.
     pub hall: HallName,
-    /// Where the site's other processes reach this one; port 0 lets the system choose.
+    /// Address for the site's other processes; with port 0, the system chooses the port.
     pub listen: SocketAddr,
-    /// Where metrics and health are served.
+    /// Address that serves metrics and health.
     pub watch: SocketAddr,
-    /// The control hosts, in the same order everywhere.
+    /// The control hosts, in the same order in all settings.
     pub control: Vec<VoterSettings>,
-    /// File with the site's secret, on its first line.
+    /// File with the site's secret on its first line.
     pub secret_file: PathBuf,
     /// Logs.
     #[serde(default)]
@@ -105,27 +105,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VoterSettings {
-    /// Its name.
+    /// Name of the host.
     pub host: HostName,
-    /// Its address, as `ip:port`.
+    /// Address, as `ip:port`.
     pub address: SocketAddr,
 }
 
-/// Leases, losses and placement.
+/// Leases, loss detection and placement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ControllerSettings {
-    /// Silence after which a process is lost, in milliseconds.
+    /// Silence after which a process is considered lost, in milliseconds.
     pub loss_ms: u64,
     /// Lease of a target's plan, in milliseconds.
     pub lease_ms: u64,
-    /// Time between placement rounds, in milliseconds.
+    /// Interval of placement rounds, in milliseconds.
     pub round_ms: u64,
-    /// Relief in concurrent requests that a load for demand must bring.
+    /// Relief that a load for demand must bring, in concurrent requests a home.
     pub move_price: f64,
     /// Homes that each model keeps where memory allows.
     pub spread: usize,
-    /// Follow demand.
+    /// Whether placement follows demand.
     pub by_demand: bool,
 }
 
@@ -143,7 +143,7 @@
 }
 
 impl ControllerSettings {
-    /// As the leader's duties take it.
+    /// Returns the policy of the leader's controllers.
     pub fn policy(&self) -> DutyPolicy {
         DutyPolicy {
             loss_ms: self.loss_ms,
@@ -158,31 +158,31 @@
     }
 }
 
-/// A control host's settings.
+/// Settings of a control host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// What all daemons need.
+    /// Settings that all daemons need.
     pub common: CommonSettings,
     /// Folder of the durable state.
     pub data_folder: PathBuf,
-    /// Elections.
+    /// Timing of elections.
     #[serde(default = "default_timing")]
     pub timing: RaftTiming,
-    /// Leases, losses and placement.
+    /// Leases, loss detection and placement.
     #[serde(default)]
     pub duties: ControllerSettings,
-    /// Log entries after which a snapshot is taken.
+    /// Number of log entries after which a snapshot is taken.
     #[serde(default = "default_compact")]
     pub compact_after: usize,
-    /// Where the platform lists leaving hosts, as an HTTP URL.
+    /// HTTP URL of the platform's list of leaving hosts.
     #[serde(default)]
     pub platform_url: Option<String>,
-    /// Hosts that `common.control` does not name may become voters. Those it
-    /// names are the founders, and where the others are first looked for.
+    /// Whether hosts that `common.control` does not name may become voters. The hosts that it
+    /// names bootstrap the site, and are the first ones to be searched for others.
     #[serde(default)]
     pub open_membership: bool,
-    /// Replicas that register themselves.
+    /// Policy for replicas that register themselves.
     #[serde(default)]
     pub fleet: FleetPolicy,
     /// The catalogue and the targets.
@@ -201,7 +201,7 @@
     2000
 }
 
-/// One partner's keys, each as the SHA-256 of the key in hex.
+/// Keys of one partner, each as the hexadecimal SHA-256 digest of the key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PartnerSettings {
@@ -211,23 +211,24 @@
     pub operator_keys: Vec<String>,
 }
 
-/// How an entry routes and retries.
+/// Routing and retries of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RouteSettings {
-    /// Homes of a model that this entry uses at most.
+    /// Maximum number of homes of a model that this entry uses.
     pub subset: usize,
-    /// Requests that the home with the warm prefix may be busier by.
+    /// Number of requests by which the home with the warm prefix may be busier and still be
+    /// chosen.
     pub affinity_slack: u32,
-    /// Requests that a home in another hall must be less busy by.
+    /// Number of requests by which a home in another hall must be less busy to be chosen.
     pub hall_slack: u32,
-    /// Weigh load; else choose at random.
+    /// Chooses homes by load instead of at random.
     pub by_load: bool,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub attempts: u32,
-    /// Hundredths of a retry that each request earns its row.
+    /// Retry credit that a request earns for its row, in hundredths of a retry.
     pub retry_earned: u32,
-    /// Retries that a row may save up.
+    /// Maximum number of retries that a row may save up.
     pub retry_burst: u32,
 }
 
@@ -246,7 +247,7 @@
 }
 
 impl RouteSettings {
-    /// As routing takes it.
+    /// Returns the routing policy.
     pub fn policy(&self) -> RoutePolicy {
         RoutePolicy {
             subset: self.subset,
@@ -256,7 +257,7 @@
         }
     }
 
-    /// As the retry budget takes it.
+    /// Returns the policy of the retry budget.
     pub fn retries(&self) -> RetryPolicy {
         RetryPolicy {
             earned: self.retry_earned,
@@ -265,22 +266,22 @@
     }
 }
 
-/// An entry's settings.
+/// Settings of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// What all daemons need.
+    /// Settings that all daemons need.
     pub common: CommonSettings,
-    /// Where callers and operators reach this entry.
+    /// Address for callers and operators.
     pub callers: SocketAddr,
-    /// Threads that serve them.
+    /// Number of threads that serve them.
     #[serde(default = "default_workers")]
     pub workers: usize,
-    /// Longest time without the leader's word that the table is current, in
+    /// Longest time without the leader's confirmation that the table is current, in
     /// milliseconds; after it, requests are refused.
     #[serde(default = "default_stale")]
     pub stale_ms: u64,
-    /// Longest body of a request, in bytes.
+    /// Maximum length of a request body, in bytes.
     #[serde(default = "default_body")]
     pub max_body: usize,
     /// Partners and their keys.
@@ -302,19 +303,19 @@
     1 << 20
 }
 
-/// The run queue beside a target.
+/// Run queue in front of a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct QueueSettings {
-    /// Runs that the engine batches at once.
+    /// Maximum number of runs that the engine batches at once.
     pub slots: usize,
-    /// Slots that Batch may not take.
+    /// Slots that the urgency `Batch` may not use.
     pub batch_headroom: usize,
-    /// Refuse at once what is predicted to miss its patience.
+    /// Refuses a run at once if it is predicted to miss its deadline.
     pub refuse_early: bool,
-    /// Order by urgency and share; else first come, first served.
+    /// Orders runs by urgency and share instead of by arrival.
     pub ordered: bool,
-    /// Most runs that wait.
+    /// Maximum number of waiting runs.
     pub limit: usize,
 }
 
@@ -331,7 +332,7 @@
 }
 
 impl QueueSettings {
-    /// As the queue takes it.
+    /// Returns the policy of the queue.
     pub fn policy(&self) -> QueuePolicy {
         QueuePolicy {
             slots: self.slots,
@@ -343,28 +344,28 @@
     }
 }
 
-/// An agent's settings.
+/// Settings of an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// What all daemons need.
+    /// Settings that all daemons need.
     pub common: CommonSettings,
-    /// The engine's or service's address, as an HTTP URL without a path.
+    /// Address of the engine or service, as an HTTP URL without a path.
     pub target_url: String,
-    /// Whether the engine checks who orders it.
+    /// Whether the engine itself checks the fence of orders.
     pub check: OrderCheck,
-    /// Plain services behind this agent, always there.
+    /// Plain services behind this agent, which are always available.
     #[serde(default)]
     pub services: Vec<ModelName>,
     /// Accelerator memory, in MiB.
     pub memory_mib: u64,
-    /// The run queue.
+    /// Run queue.
     #[serde(default)]
     pub queue: QueueSettings,
     /// Longest lease that control grants, in milliseconds.
     #[serde(default = "default_lease")]
     pub lease_ms: u64,
-    /// Time between reports of the engine, in milliseconds.
+    /// Interval of the engine's reports, in milliseconds.
     #[serde(default = "default_report")]
     pub report_ms: u64,
 }
@@ -377,9 +378,9 @@
     100
 }
 
-/// Settings whose values can be checked beyond their form.
+/// Settings with checks of their values beyond their structure.
 pub trait ValidatedSettings: DeserializeOwned + Serialize {
-    /// Checks the values; names the field and what is wrong with it.
+    /// Checks the values; an error names the field and the fault.
     fn check(&self) -> Result<(), (&'static str, String)>;
 }
 
@@ -491,10 +492,10 @@
     parse(path, &text)
 }
 
-/// Checks settings given as text; `path` is for messages.
+/// Parses and checks settings given as text; `path` is used in messages.
 pub fn parse<S: ValidatedSettings>(path: &Path, text: &str) -> Result<S, SettingsError> {
     let mut plain = String::new();
-    // Comments become spaces, so that lines and columns stay true.
+    // Comments are replaced by spaces, so that lines and columns in errors are correct.
     StripComments::new(text.as_bytes())
         .read_to_string(&mut plain)
         .context(ReadSnafu { path })?;
@@ -528,7 +529,7 @@
     Ok(settings)
 }
 
-/// The effective settings as text. Key digests are masked.
+/// Returns the effective settings as text, with key digests masked.
 pub fn show<S: ValidatedSettings>(settings: &S) -> String {
     let mut value = serde_json::to_value(settings).expect("settings encode");
     mask(&mut value);
--- a/src/process/wire.rs
+++ b/src/process/wire.rs
@@ -1,4 +1,4 @@
-//! The calls between the system's own processes.
+//! Calls between the system's own processes.
 
 use std::collections::BTreeMap;
 
@@ -29,116 +29,117 @@
 use crate::table::quota::{QuotaAsk, QuotaGrants, QuotaUsage};
 use crate::table::rows::Row;
 
-/// Raised with each change of a type on the wire; peers of other versions are refused.
+/// Protocol version. Incremented with each change of a type on the wire; peers with another
+/// version are refused.
 pub const PROTOCOL: u32 = 9;
 
-/// Why control did not do what was asked.
+/// Reason why a control host refused a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlRefusal {
     /// Another voter leads, at this address if known.
     NotLeader(Option<String>),
-    /// No quorum confirmed it in time: it may or may not take effect.
+    /// No quorum confirmed the command in time: it may take effect or not.
     NoQuorum,
-    /// The process stops.
+    /// The process is stopping.
     Stopping,
-    /// It serves as many as it can: another one may have room.
+    /// The host serves as many callers as it can: another one may have capacity.
     Busy,
 }
 
-/// The answer to an agent's beat.
+/// Reply to an agent's heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentHeartbeatReply {
-    /// The whole wish for its target; none where its life has ended: it must
+    /// Complete plan for its target; `None` if its incarnation has ended and the agent must
     /// join again.
     pub plan: Option<TargetPlan>,
-    /// The last change of what members follow.
+    /// Position of the last change that members follow.
     pub position: Position,
 }
 
-/// The answer to an entry's beat.
+/// Reply to an entry's heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryHeartbeatReply {
     /// Shares of row limits above the floor.
     pub grants: BTreeMap<RowId, u32>,
-    /// Its life has ended: it must join again.
+    /// The entry's incarnation has ended: it must join again.
     pub rejoin: bool,
-    /// The last change of what members follow.
+    /// Position of the last change that members follow.
     pub position: Position,
 }
 
-/// A row with how far it is in force.
+/// A row, and how many processes have its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowStatus {
     /// The row.
     pub row: Row,
-    /// Processes that follow its version.
+    /// Number of processes that have its version.
     pub in_force: usize,
-    /// All processes.
+    /// Number of all processes.
     pub members: usize,
-    /// The processes that do not, at most a few.
+    /// Processes that do not have it yet, at most `MAX_LAGGING_NAMES`.
     pub lagging: Vec<HostName>,
-    /// Ready homes of its model.
+    /// Targets on which the row's model is ready.
     pub homes: Vec<String>,
 }
 
-/// The table as operators read it back.
+/// The table as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableStatus {
-    /// The log position it was read at.
+    /// Log position of the read.
     pub position: Position,
-    /// The rows.
+    /// Rows.
     pub rows: BTreeMap<RowId, RowStatus>,
 }
 
-/// A client account as operators read it; its keys are only counted.
+/// A client account as shown to operators, with the number of its keys only.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AccountStatus {
-    /// Its name.
+    /// Name of the account.
     pub name: AccountName,
-    /// Its rank, where it has one.
+    /// Priority, if it has one.
     pub priority: Option<u32>,
-    /// How many keys it has.
+    /// Number of keys.
     pub keys: usize,
-    /// None where it has no limit.
+    /// Limit; `None` if it has none.
     pub limit: Option<LimitStatus>,
 }
 
-/// An account's limit.
+/// Limit of an account.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitStatus {
-    /// As configured.
+    /// The configured quota.
     pub quota: QuotaSpec,
-    /// As far as this leader knows.
+    /// Its usage, as far as this leader knows.
     pub usage: QuotaUsage,
 }
 
-/// A voter's account of itself.
+/// Status of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlStatus {
     /// Its host.
     pub host: HostName,
-    /// Its disk.
+    /// Identity of its disk.
     pub node: NodeId,
     /// Its term.
     pub term: Term,
-    /// The leader's host, as far as it knows.
+    /// Host of the leader, as far as the voter knows.
     pub leader: Option<HostName>,
-    /// Whether it may decide now.
+    /// Whether the voter may decide now.
     pub decides: bool,
-    /// The voters' disks.
+    /// Identities of the voters' disks.
     pub voters: Vec<NodeId>,
-    /// How far it has applied the log.
+    /// Log position that it has applied.
     pub position: Position,
-    /// Members that live.
+    /// Live members.
     pub members: BTreeMap<HostName, crate::consensus::state::MemberInfo>,
-    /// Moves so far.
+    /// Number of moves so far.
     pub moves: u64,
-    /// Claims kept.
+    /// Number of claims kept.
     pub claims: usize,
 }
 
 impl ControlStatus {
-    /// The account of a host that keeps no log, or can no longer tell.
+    /// Returns the status of a host that keeps no log, or whose voter has stopped.
     pub fn without_log(host: HostName) -> Self {
         Self {
             host,
@@ -155,124 +156,127 @@
     }
 }
 
-/// How far a control host has come, without the changes themselves.
+/// Position of a control host in the log, without the changes themselves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PositionUpdate {
-    /// The data hall of this host.
+    /// Data hall of this host.
     pub hall: HallName,
-    /// The last change of what members follow.
+    /// Position of the last change that members follow.
     pub position: Position,
-    /// How long this host has not heard from a leader, in milliseconds.
+    /// Time since this host last heard from a leader, in milliseconds.
     pub leaderless_ms: u64,
-    /// The control hosts that it knows.
+    /// Control hosts that this host knows.
     pub hosts: Vec<HostName>,
-    /// Which configuration surely was the newest, and when; none where no leader has
-    /// confirmed it.
+    /// Proof of which configuration was the newest, and when; `None` if no leader has confirmed
+    /// one.
     pub proof: Option<FreshnessProof>,
 }
 
 /// Calls to control hosts.
 #[tarpc::service]
 pub trait ControlWire {
-    /// A voter's message to another.
+    /// Sends a Raft message to another voter.
     async fn raft(from: NodeId, host: HostName, message: RaftMessage);
-    /// A process with a blank disk asks to be made a voter. The leader acts on
-    /// it; each host tells the control hosts that it knows.
+    /// Requests that a process with a blank disk becomes a voter. Only the leader acts on it;
+    /// every host replies with the control hosts that it knows.
     async fn enroll(node: NodeId, host: HostName) -> Result<PositionUpdate, ControlRefusal>;
-    /// The changes after a cursor, waiting up to `wait_ms` for one. With
-    /// `fresh`, only from a state that nothing newer can exist besides.
+    /// Returns the changes after a cursor, and waits up to `wait_ms` for one. With `fresh`, the
+    /// read is linearizable.
     async fn sync(cursor: Position, wait_ms: u64, fresh: bool) -> Result<SyncPage, ControlRefusal>;
     /// Commits a command.
     async fn propose(command: Command) -> Result<(Position, Reply), ControlRefusal>;
-    /// An agent's beat.
+    /// Sends an agent's heartbeat.
     async fn agent_beat(beat: AgentBeat) -> Result<AgentHeartbeatReply, ControlRefusal>;
-    /// An entry's beat.
+    /// Sends an entry's heartbeat.
     async fn entry_beat(beat: EntryBeat) -> Result<EntryHeartbeatReply, ControlRefusal>;
-    /// The table, by a linearizable read.
+    /// Reads the table; linearizable.
     async fn table() -> Result<TableStatus, ControlRefusal>;
-    /// Looks a claim up, by a linearizable read.
+    /// Reads a claim; linearizable.
     async fn claim(
         key: crate::consensus::claims::ClaimKey,
     ) -> Result<Option<ClaimRecord>, ControlRefusal>;
-    /// This voter's account of itself.
+    /// Returns the status of this voter.
     async fn status() -> ControlStatus;
-    /// How far this host has come, waiting up to `wait_ms` for a change after a cursor.
+    /// Returns the position of this host, and waits up to `wait_ms` for a change after a
+    /// cursor.
     async fn notice(cursor: Position, wait_ms: u64) -> Result<PositionUpdate, ControlRefusal>;
-    /// The configuration, by a linearizable read.
+    /// Reads the configuration; linearizable.
     async fn configuration() -> Result<Option<ConfigurationRecord>, ControlRefusal>;
-    /// The version of the newest configuration, 0 for none; only from a leader whose
-    /// lease holds.
+    /// Returns the version of the newest configuration, 0 for none; only from a leader whose
+    /// lease is valid.
     async fn confirm() -> Result<u64, ControlRefusal>;
-    /// An entry draws from the quotas of accounts; for the leader.
+    /// Draws from the quotas of accounts, for an entry; for the leader.
     async fn quota(request: QuotaAsk) -> Result<QuotaGrants, ControlRefusal>;
-    /// All client accounts, with what is drawn of their quotas; for the leader.
+    /// Lists all client accounts, with the usage of their quotas; for the leader.
     async fn accounts() -> Result<Vec<AccountStatus>, ControlRefusal>;
-    /// Replicas that another control host has heard; for the leader.
+    /// Reports the replicas that sent heartbeats to another control host; for the leader.
     async fn heard(ids: Vec<ReplicaId>) -> Result<(), ControlRefusal>;
-    /// An entry's report on demand; for the leader.
+    /// Sends an entry's report on demand; for the leader.
     async fn report(report: EntryReport) -> Result<ReportReply, ControlRefusal>;
-    /// What an entry has waiting at replicas; the leader tells which ones are crowded.
+    /// Reports the prompt tokens of an entry that wait at replicas. The leader returns the most
+    /// congested ones.
     async fn crowd(report: CrowdReport) -> Result<WaitingTokens, ControlRefusal>;
-    /// An entry wants an adapter; the leader tells whether it comes soon.
+    /// Requests an adapter at a replica, for an entry. The leader returns whether it will be
+    /// loaded soon.
     async fn wish(request: AdapterPlace) -> Result<bool, ControlRefusal>;
-    /// An entry asks for the turn of an attempt of a suspect content; for the leader.
+    /// Requests the lease for one attempt of a suspect content, for an entry; for the leader.
     async fn turn(request: TurnAsk) -> Result<TurnAnswer, ControlRefusal>;
-    /// An attempt that had a turn has ended; for the leader.
+    /// Releases the lease of an attempt that has ended; for the leader.
     async fn end_turn(end: TurnEnd) -> Result<(), ControlRefusal>;
-    /// Asks the leader whether one request may go to a replica that takes few.
+    /// Requests a permit for one request to a replica with a rate limit; for the leader.
     async fn permit(request: PermitRequest) -> Result<PermitReply, ControlRefusal>;
-    /// What an entry heard of the limits that replicas name; for the leader.
+    /// Reports the rate limits that replicas advertise to an entry; for the leader.
     async fn limits(report: LimitReport) -> Result<LimitPage, ControlRefusal>;
-    /// The contents under which replicas ended, by a linearizable read.
+    /// Reads the contents during which replicas crashed; linearizable.
     async fn contents() -> Result<CrashBook, ControlRefusal>;
-    /// Compares a replica's heartbeat with what is committed here; for hosts that
+    /// Compares a replica's heartbeat with the state that is committed here; for hosts that
     /// keep no log.
     async fn compare(record: ReplicaRecord) -> Result<BeatNews, ControlRefusal>;
-    /// Whether this host keeps the log on a disk of its own. It is answered before
-    /// the site is founded: its founders are found by it.
+    /// Returns whether this host keeps the log on its own disk. Answered before the site
+    /// exists, as the hosts that bootstrap it are found by this call.
     async fn keeps_log() -> bool;
-    /// A host that keeps the log tells where it is, for hosts that keep none and know
-    /// only each other.
+    /// Announces a host that keeps the log, to hosts that keep none and only know each other.
     async fn announce(host: HostName);
-    /// A host with a disk asks a named one without to have the only founder named,
-    /// where no host that all were told of has a disk. The first that asks is named,
-    /// and stays so.
+    /// Requests that a named host without a disk has the caller chosen as the only bootstrap
+    /// host, used if none of the named hosts has a disk. The first host that is chosen remains
+    /// the bootstrap host.
     async fn appoint(host: HostName) -> Result<HostName, ControlRefusal>;
-    /// The named hosts without a disk agree on the founder.
+    /// Sends a Paxos request of the agreement on the bootstrap host to a named host without a
+    /// disk.
     async fn naming(request: NamingAsk) -> NamingAnswer;
 }
 
-/// An agent's word with its load.
+/// An agent's reply, with its load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentReply {
-    /// What it says of the attempt.
+    /// Status of the attempt.
     pub status: AttemptWord,
-    /// Queued and running requests.
+    /// Number of queued and running requests.
     pub load: u32,
-    /// How far the agent follows the log: an entry that is behind catches up.
+    /// Log position of the agent, so that an entry that is behind catches up.
     pub position: Position,
 }
 
-/// Calls to agents. Each carries the caller's position, so that an agent that
-/// is behind catches up.
+/// Calls to agents. Starting an attempt carries the caller's position, so that an agent that is
+/// behind catches up.
 #[tarpc::service]
 pub trait AgentWire {
-    /// Starts an attempt, once.
+    /// Starts an attempt, at most once.
     async fn start(position: Position, request: RunAsk) -> AgentReply;
-    /// The answer from a piece on, waiting up to `wait_ms` for one.
+    /// Returns the output from a piece on, and waits up to `wait_ms` for one.
     async fn pull(
         attempt: AttemptId,
         incarnation: Incarnation,
         offset: u32,
         wait_ms: u64,
     ) -> AgentReply;
-    /// Ends an attempt that has not started.
+    /// Ends an attempt that has not started, for good; returns the status of one that has.
     async fn seal(attempt: AttemptId, incarnation: Incarnation) -> AgentReply;
-    /// Ends an attempt whose caller has gone.
+    /// Cancels an attempt whose caller has gone.
     async fn cancel(attempt: AttemptId);
 }
 
-/// Cuts a table's status from the newest state.
+/// Returns the status of the table in a state.
 pub fn table_status(
     state: &SiteState,
     in_force: impl Fn(Position) -> (usize, Vec<HostName>),
@@ -298,5 +302,5 @@
     }
 }
 
-/// Most lagging processes named for one row.
+/// Maximum number of lagging processes that are named for one row.
 const MAX_LAGGING_NAMES: usize = 16;
