--- a/src/control/bootstrap.rs
+++ b/src/control/bootstrap.rs
@@ -1,12 +1,13 @@
 //! Bootstrap of a site: which hosts create its first log.
 //!
-//! Used where the settings of all hosts name the same few control hosts, and not all of these
-//! have a disk.
+//! Used where the settings of all hosts name the same few control hosts, and not all
+//! of these have a disk.
 //!
-//! The named hosts with a disk bootstrap the site together. Whether a host has a disk never
-//! changes, so all of them arrive at the same set, in whatever order they start. Where no named
-//! host has a disk, the named hosts agree on a single bootstrap host among those that request
-//! it, and the other hosts join that one: see [`crate::consensus::naming`].
+//! The named hosts with a disk bootstrap the site together.
+//! Whether a host has a disk never changes, so that all bootstrap hosts come to the same
+//! set, in whatever order they start. Where none of the named hosts has one, these
+//! agree on a single bootstrap host among the hosts that request it, and the others join that
+//! one: see [`crate::consensus::naming`].
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -29,21 +30,22 @@
 /// Timeout of a request to have the bootstrap host chosen. The callee makes three rounds of
 /// calls at most: the two phases of the agreement, and a search for a site that exists already.
 const APPOINT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause before the hosts that did not reply are called again.
+/// Pause before the hosts that did not answer are asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Rounds without all replies between two log lines.
+/// Rounds without all answers between two log lines.
 const ROUNDS_PER_LOG_LINE: u32 = 25;
 
 /// Returns the disk identity of a voter that takes part in the bootstrap.
 pub fn voter_id(host: &HostName) -> NodeId {
     let digest = Sha256::digest(host.as_str().as_bytes());
-    let mut prefix = [0; 8];
-    prefix.copy_from_slice(&digest[..8]);
-    NodeId(u64::from_le_bytes(prefix))
+    let mut word = [0; 8];
+    word.copy_from_slice(&digest[..8]);
+    NodeId(u64::from_le_bytes(word))
 }
 
 /// Bootstraps the voter of this host in an empty data folder, with all control hosts that the
-/// settings name. To be run once on each of them, and never again after a disk was lost.
+/// settings name. To be done once, on each of them, and never again after a disk
+/// was lost.
 pub fn bootstrap(settings: &ControlSettings) -> Result<(), JournalError> {
     let named = settings.common.control.iter();
     init_voter(settings, named.map(|voter| &voter.host))
@@ -97,36 +99,36 @@
     named: &[VoterSettings],
 ) -> InitialRole {
     let is_named = named.iter().any(|voter| voter.host == *own);
-    let mut answers = NamedHosts::default();
+    let mut hosts = NamedHosts::default();
     if is_named {
-        answers.with_disk.insert(own.clone());
+        hosts.with_disk.insert(own.clone());
     }
     for round in 1.. {
         for voter in named {
             let known =
-                answers.with_disk.contains(&voter.host) || answers.without.contains(&voter.host);
+                hosts.with_disk.contains(&voter.host) || hosts.without.contains(&voter.host);
             if !known {
                 match keeps_log(link, &voter.address.to_string()).await {
-                    Some(true) => answers.with_disk.insert(voter.host.clone()),
-                    Some(false) => answers.without.insert(voter.host.clone()),
+                    Some(true) => hosts.with_disk.insert(voter.host.clone()),
+                    Some(false) => hosts.without.insert(voter.host.clone()),
                     None => continue,
                 };
             }
         }
-        let all = answers.with_disk.len() + answers.without.len() == named.len();
-        match answers.with_disk.is_empty() {
+        let all = hosts.with_disk.len() + hosts.without.len() == named.len();
+        match hosts.with_disk.is_empty() {
             false if !is_named => return InitialRole::Joins,
-            false if all => return InitialRole::Founds(answers.with_disk),
+            false if all => return InitialRole::Founds(hosts.with_disk),
             true if all => return request_appointment(link, own, named).await,
             _ => {}
         }
         if round % ROUNDS_PER_LOG_LINE == 0 {
-            let (with_disk, without) = (answers.with_disk.len(), answers.without.len());
+            let (with_disk, without) = (hosts.with_disk.len(), hosts.without.len());
             tracing::warn!(
                 with_disk,
                 without,
                 named = named.len(),
-                "bootstrap waits for the replies of named hosts"
+                "bootstrap waits for named hosts"
             );
         }
         tokio::time::sleep(RETRY_DELAY).await;
@@ -137,23 +139,23 @@
 async fn keeps_log(link: &ControlLink, address: &str) -> Option<bool> {
     let context = peers::within(QUERY_TIMEOUT);
     let call = |client: ControlWireClient| async move { client.keeps_log(context).await };
-    let answers = link.call_at(address, "keeps_log", call).await;
-    answers
-        .inspect_err(|error| tracing::debug!(%error, "named host did not reply"))
+    let reply = link.call_at(address, "keeps_log", call).await;
+    reply
+        .inspect_err(|error| tracing::debug!(%error, "no reply of a named host"))
         .ok()
 }
 
 /// Returns a known control host that has a log with voters, which means that the site exists.
 pub async fn find_bootstrapped_host(link: &ControlLink) -> Option<String> {
     let addresses = link.addresses();
-    let queries = addresses.iter().map(|address| {
+    let asked = addresses.iter().map(|address| {
         let context = peers::within(QUERY_TIMEOUT);
         let call = move |client: ControlWireClient| async move { client.status(context).await };
         link.call_at(address, "status", call)
     });
-    let answers = future::join_all(queries).await;
-    let mut answers = addresses.iter().zip(answers);
-    let founded = answers.find(|(_, answers)| answers.as_ref().is_ok_and(has_voters));
+    let replies = future::join_all(asked).await;
+    let mut replies = addresses.iter().zip(replies);
+    let founded = replies.find(|(_, reply)| reply.as_ref().is_ok_and(has_voters));
     founded.map(|(address, _)| address.clone())
 }
 
@@ -168,20 +170,20 @@
     others: &[String],
     request: &NamingAsk,
 ) -> Vec<NamingAnswer> {
-    let queries = others.iter().map(|address| {
+    let asked = others.iter().map(|address| {
         let (context, request) = (peers::within(QUERY_TIMEOUT), request.clone());
         let call =
             move |client: ControlWireClient| async move { client.naming(context, request).await };
         link.call_at(address, "naming", call)
     });
-    let answers = future::join_all(queries).await.into_iter();
-    answers
-        .map(|answers| answers.unwrap_or(NamingAnswer::Abstains))
+    let replies = future::join_all(asked).await.into_iter();
+    replies
+        .map(|reply| reply.unwrap_or(NamingAnswer::Abstains))
         .collect()
 }
 
-/// Has the named hosts, none of which has a disk, choose the bootstrap host. Calls one after
-/// the other, in the same order on all hosts, so that they seldom propose at the same time.
+/// Has the named hosts, none of which has a disk, choose the bootstrap host. One after the other
+/// is asked, always in the same order, so that they seldom try at the same time.
 async fn request_appointment(
     link: &ControlLink,
     own: &HostName,
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -352,7 +352,7 @@
     pub common: CommonSettings,
     /// Address of the engine or service, as an HTTP URL without a path.
     pub target_url: String,
-    /// Whether the engine itself checks the fence of orders.
+    /// Whether the engine refuses orders below its fence, or how late an order may arrive.
     pub check: OrderCheck,
     /// Plain services behind this agent, which are always available.
     #[serde(default)]
