--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -13,7 +13,7 @@
 use crate::agent::shell::AgentDaemon;
 use crate::cli::load::{LoadClass, LoadMix};
 use crate::consensus::raft::RaftTiming;
-use crate::control::founding;
+use crate::control::bootstrap;
 use crate::control::shell::ControlDaemon;
 use crate::entry::shell::EntryDaemon;
 use crate::ids::{HallName, HostName, ModelName, PartnerName, TargetName};
@@ -64,7 +64,7 @@
     /// Queues.
     pub queue: QueueSettings,
     /// Leases and placement.
-    pub duties: DutySettings,
+    pub duties: ControllerSettings,
 }
 
 impl Default for DemoShape {
@@ -85,7 +85,7 @@
             },
             route: RouteSettings::default(),
             queue: QueueSettings::default(),
-            duties: DutySettings::default(),
+            duties: ControllerSettings::default(),
         }
     }
 }
@@ -574,7 +574,7 @@
             fleet: Default::default(),
             site: site_spec(shape),
         };
-        founding::found(&settings)?;
+        bootstrap::bootstrap(&settings)?;
         let daemon = ControlDaemon::start_on(listener, settings, secret.clone()).await?;
         controls.push(daemon);
     }
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -1,4 +1,4 @@
-//! What reaches the voter's thread, and the way there.
+//! Events of the voter's thread, and the handle that sends them.
 
 use std::collections::BTreeSet;
 use std::sync::mpsc::Sender;
@@ -12,128 +12,129 @@
 use crate::consensus::state::{Command, Reply};
 use crate::ids::{HostName, NodeId, Position, ReplicaId, Term};
 use crate::placement::congestion::{QueueReport, QueuedTokens};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::placement::named_limits::{LimitPage, LimitReport};
 use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::suspect_leases::{
-    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
-};
-use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
+use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeaseRelease};
 use crate::process::wire::{
-    AccountStatus, AgentOrders, ControlRefusal, ControlStatus, EntryOrders, Notice, TableStatus,
+    AccountStatus, AgentHeartbeatReply, ControlRefusal, ControlStatus, EntryHeartbeatReply,
+    PositionUpdate, TableStatus,
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
-use crate::table::quota::{QuotaGrants, QuotaRequest};
+use crate::table::quota::{QuotaRequest, QuotaGrants};
 
-/// Where the answer to an event goes.
-pub type Answer<T> = oneshot::Sender<Result<T, ControlRefusal>>;
+/// Channel for the reply to an event.
+pub type ReplySender<T> = oneshot::Sender<Result<T, ControlRefusal>>;
 
-/// What reaches the voter's thread.
+/// An event for the voter's thread.
 pub enum ControlEvent {
-    /// A message from a voter.
+    /// A Raft message from another voter.
     Raft(NodeId, HostName, RaftMessage),
-    /// A process with a blank disk asks to be made a voter.
-    Enroll(NodeId, HostName, Answer<Notice>),
-    /// Commit a command.
-    Propose(Command, Answer<(Position, Reply)>),
-    /// The changes after a cursor.
+    /// A process with a blank disk asks to become a voter.
+    Enroll(NodeId, HostName, ReplySender<PositionUpdate>),
+    /// Commits a command.
+    Propose(Command, ReplySender<(Position, Reply)>),
+    /// Reads the changes after a cursor.
     Sync {
-        /// The cursor.
+        /// Position of the last change that the caller has.
         cursor: Position,
-        /// How long to wait for a change, in milliseconds.
+        /// Longest wait for a change, in milliseconds.
         wait_ms: u64,
-        /// Only from a state that is surely the newest.
+        /// Makes the read linearizable: only the leader replies, within its lease.
         fresh: bool,
-        /// The asker.
-        answer: Answer<SyncPage>,
+        /// Receives the changes.
+        answer: ReplySender<SyncPage>,
     },
-    /// An agent's beat.
-    Agent(AgentHeartbeat, Answer<AgentOrders>),
-    /// An entry's beat.
-    Entry(EntryHeartbeat, Answer<EntryOrders>),
-    /// The table.
-    Table(Answer<TableStatus>),
-    /// A claim.
-    Claim(ClaimKey, Answer<Option<ClaimRecord>>),
-    /// This voter's account of itself.
+    /// Heartbeat of an agent.
+    AgentHeartbeat(AgentHeartbeat, ReplySender<AgentHeartbeatReply>),
+    /// Heartbeat of an entry.
+    EntryHeartbeat(EntryHeartbeat, ReplySender<EntryHeartbeatReply>),
+    /// Reads the table; linearizable.
+    Table(ReplySender<TableStatus>),
+    /// Reads a claim; linearizable.
+    Claim(ClaimKey, ReplySender<Option<ClaimRecord>>),
+    /// Reads the status of this voter.
     Status(oneshot::Sender<ControlStatus>),
-    /// Hosts that the platform's list names as leaving.
-    Platform(BTreeSet<HostName>),
-    /// How far this voter has come.
-    Notice {
-        /// Wait for a change after this.
+    /// Hosts that the platform lists as leaving.
+    LeavingHosts(BTreeSet<HostName>),
+    /// Reads the position of this voter, without the changes themselves.
+    PositionUpdate {
+        /// Waits for a change after this position.
         cursor: Position,
-        /// How long to wait for it, in milliseconds.
+        /// Longest wait, in milliseconds.
         wait_ms: u64,
-        /// The asker.
-        answer: Answer<Notice>,
+        /// Receives the position.
+        answer: ReplySender<PositionUpdate>,
     },
-    /// The configuration, from a state that is surely the newest.
-    Configuration(Answer<Option<ConfigurationRecord>>),
-    /// The version of the newest configuration; for the leader.
-    Confirm(Answer<u64>),
-    /// The leader confirmed that version, asked at a moment of this host's steady clock.
+    /// Reads the configuration; linearizable.
+    Configuration(ReplySender<Option<ConfigurationRecord>>),
+    /// Reads the version of the newest configuration; linearizable, for the leader.
+    Confirm(ReplySender<u64>),
+    /// The leader has confirmed the version of the newest configuration.
     Confirmed {
         /// The version; 0 for none.
         version: u64,
-        /// When it was asked.
+        /// When the leader was queried, in milliseconds of this host's monotonic clock.
         asked_ms: u64,
     },
     /// An entry draws from quotas; for the leader.
-    Quota(QuotaRequest, Answer<QuotaGrants>),
-    /// All client accounts, for operators; for the leader.
-    Accounts(Answer<Vec<AccountStatus>>),
-    /// Replicas that a control host has heard; for the leader.
-    Heard(Vec<ReplicaId>, Answer<()>),
-    /// An entry's report; for the leader.
-    Report(EntryReport, Answer<ReportReply>),
-    /// What an entry has waiting at replicas; for the leader.
-    Crowd(QueueReport, Answer<QueuedTokens>),
-    /// An entry's wish; for the leader.
-    Wish(AdapterPlacement, Answer<bool>),
-    /// An entry asks for the turn of a suspect content; for the leader.
-    Turn(SuspectLeaseRequest, Answer<SuspectLeaseReply>),
-    /// A turn has ended; for the leader.
-    TurnEnded(SuspectLeaseRelease, Answer<()>),
-    /// Whether one request may go to a replica that takes few; for the leader.
-    Permit(PermitRequest, Answer<PermitReply>),
-    /// What an entry heard of replicas' limits; for the leader.
-    Limits(LimitReport, Answer<LimitPage>),
-    /// The contents under which replicas ended, from a state that is surely the newest.
-    Contents(Answer<CrashStore>),
-    /// Whether an order of that term may leave now, and for how long.
-    MayOrder(Term, Answer<SendPermit>),
-    /// An engine's answer to an order of this leader.
-    Ordered(EngineOrder, OrderOutcome),
-    /// Compares a replica's heartbeat with what is committed here.
-    Compare(Box<ReplicaRecord>, Answer<HeartbeatStatus>),
-    /// Stop: hand over first.
+    Quota(QuotaRequest, ReplySender<QuotaGrants>),
+    /// Lists all client accounts, for operators; for the leader.
+    Accounts(ReplySender<Vec<AccountStatus>>),
+    /// Replicas that sent heartbeats to a control host; for the leader.
+    ReplicasSeen(Vec<ReplicaId>, ReplySender<()>),
+    /// Report of an entry; for the leader.
+    Report(EntryReport, ReplySender<ReportReply>),
+    /// Prompt tokens of an entry that wait at replicas; for the leader.
+    QueuedTokens(QueueReport, ReplySender<QueuedTokens>),
+    /// An entry requests an adapter at a replica; for the leader.
+    AdapterRequest(AdapterPlacement, ReplySender<bool>),
+    /// An entry requests the lease for one attempt of a suspect content; linearizable, for the
+    /// leader.
+    SuspectLease(SuspectLeaseRequest, ReplySender<SuspectLeaseReply>),
+    /// Releases such a lease; for the leader.
+    SuspectLeaseEnd(SuspectLeaseRelease, ReplySender<()>),
+    /// Requests a permit for one request to a replica with a rate limit; for the leader.
+    Permit(PermitRequest, ReplySender<PermitReply>),
+    /// Rate limits of replicas that an entry has observed; for the leader.
+    Limits(LimitReport, ReplySender<LimitPage>),
+    /// Reads the contents during which replicas crashed; linearizable.
+    Contents(ReplySender<CrashStore>),
+    /// Requests a permit to send an order of that term.
+    OrderPermit(Term, ReplySender<SendPermit>),
+    /// An order of this leader has ended with that outcome.
+    OrderDone(EngineOrder, OrderOutcome),
+    /// Compares a replica's heartbeat with the state that is committed here.
+    Compare(Box<ReplicaRecord>, ReplySender<HeartbeatStatus>),
+    /// Hands over the leadership and stops.
     Stop(oneshot::Sender<()>),
 }
 
 impl ControlEvent {
-    /// Whether it asks for a state that nothing newer can exist besides.
-    pub(super) fn reads_newest(&self) -> bool {
+    /// Returns whether the event reads or checks the newest state. Such an event waits until
+    /// this voter has applied all that is committed.
+    pub(super) fn is_linearizable(&self) -> bool {
         match self {
             Self::Configuration(_)
             | Self::Table(_)
             | Self::Claim(..)
             | Self::Confirm(_)
             | Self::Contents(_)
-            | Self::Turn(..) => true,
+            | Self::SuspectLease(..) => true,
             Self::Sync { fresh, .. } => *fresh,
             _ => false,
         }
     }
 }
 
-/// Leave to send an order.
+/// Permit to send an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendPermit {
-    /// Until then no other leader decides, by [`crate::clock::monotonic_ms`]: the leader's lease as
-    /// it was when this was given. Nothing of the order may leave later.
+    /// End of the leader's lease when the permit was given, by [`crate::clock::monotonic_ms`]:
+    /// until then no other leader decides. No byte of the order may be sent later.
     pub until_ms: u64,
 }
 
@@ -142,10 +143,10 @@
 pub struct ControlHandle(pub Sender<ControlEvent>);
 
 impl ControlHandle {
-    /// Asks, and waits for the answer.
-    pub async fn ask<T>(
+    /// Sends an event and waits for its reply.
+    pub async fn request<T>(
         &self,
-        make: impl FnOnce(Answer<T>) -> ControlEvent,
+        make: impl FnOnce(ReplySender<T>) -> ControlEvent,
     ) -> Result<T, ControlRefusal> {
         let (answer, wait) = oneshot::channel();
         let sent = self.0.send(make(answer));
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Tells, and waits for nothing.
-    pub fn tell(&self, event: ControlEvent) {
+    /// Sends an event without waiting for a reply.
+    pub fn notify(&self, event: ControlEvent) {
         let _ = self.0.send(event);
     }
 }
--- /dev/null
+++ b/src/control/order_dispatcher.rs
@@ -0,0 +1,395 @@
+//! Sends the leader's orders to engines, one at a time to each engine.
+//!
+//! Every order carries the count of orders that the engine must have taken so far. So an order
+//! without a response can be sent again and takes effect at most once, however late either of
+//! the two is executed.
+//!
+//! An order is in transit only while its leader may decide: it is sent under a permit of the
+//! voter, and its connection is reset when the permit expires without renewal. Otherwise an
+//! order of a leader that was suspended, was partitioned off, or whose connection buffers its
+//! bytes could arrive among those of the next leader. If the process itself is suspended, its
+//! kernel gives up soon after: see [`Connection::bound_sending`].
+
+use std::cell::RefCell;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use snafu::Snafu;
+use tokio::sync::{Mutex, mpsc};
+
+use crate::clock;
+use crate::control::event::{ControlEvent, ControlHandle, SendPermit};
+use crate::forward::head;
+use crate::forward::upstream::{Connection, Exchange, ExchangeError, Outgoing};
+use crate::ids::{ModelName, ReplicaId, ReplicaIncarnation};
+use crate::placement::order::{EngineOrder, OrderKind, OrderOutcome};
+use crate::process::daemon;
+
+/// Timeout of one call to an engine.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of a connection to an engine.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay until an engine's report includes the effect of earlier orders.
+const REPORT_DELAY: Duration = Duration::from_millis(300);
+/// Time that an adapter takes to load after its order was taken.
+const ADAPTER_LOAD_DELAY: Duration = Duration::from_millis(30);
+/// Interval of permit renewals while an order is in transit: several in a lease, which lasts
+/// for some 400 ms.
+const RENEW_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of attempts of one order.
+const MAX_ATTEMPTS: u32 = 4;
+/// Limit on the body of an engine's response, in bytes.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
+
+/// HTTP request to an engine, in the format of its deployment.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EngineCall {
+    /// Method.
+    pub method: &'static str,
+    /// Path.
+    pub path: &'static str,
+    /// Headers in addition to those of every call.
+    pub headers: Vec<(&'static str, String)>,
+    /// JSON body; empty for none.
+    pub body: String,
+}
+
+/// State that an engine reports.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct EngineReport {
+    /// Number of orders taken in this incarnation.
+    pub orders: u64,
+    /// An order is being executed.
+    pub busy: bool,
+    /// Models in memory with their adapters, including those that are being loaded.
+    pub models: BTreeMap<ModelName, BTreeSet<String>>,
+}
+
+impl EngineReport {
+    /// Returns whether the engine is in the state that an order requests.
+    fn is_fulfilled(&self, order: &EngineOrder) -> bool {
+        let held = self.models.get(&order.model);
+        let there = match &order.adapter {
+            Some(adapter) => held.is_some_and(|adapters| adapters.contains(adapter)),
+            None => held.is_some(),
+        };
+        there == (order.kind == OrderKind::Load)
+    }
+}
+
+/// Format of the calls to engines.
+#[derive(Clone, Copy)]
+pub struct EngineDialect {
+    /// Builds the request of an order that expects a count of orders.
+    pub order: fn(&EngineOrder, u64) -> EngineCall,
+    /// Builds the request for a report.
+    pub report: fn(&ReplicaId) -> EngineCall,
+    /// Parses a report.
+    pub read_report: fn(&[u8]) -> Option<EngineReport>,
+    /// Maps the HTTP status of an order's response to its outcome.
+    pub outcome: fn(u16) -> OrderOutcome,
+}
+
+/// Number of orders that an engine has taken, if known.
+type OrderCount = Rc<Mutex<Option<u64>>>;
+
+/// Sends orders until the channel closes.
+pub async fn run(
+    mut orders: mpsc::UnboundedReceiver<EngineOrder>,
+    handle: ControlHandle,
+    dialect: EngineDialect,
+) {
+    let counts: RefCell<BTreeMap<ReplicaIncarnation, OrderCount>> = RefCell::default();
+    while let Some(order) = orders.recv().await {
+        let count = order_count(&mut counts.borrow_mut(), order.incarnation());
+        let handle = handle.clone();
+        daemon::spawn_local(async move {
+            let mut count = count.lock().await;
+            let outcome = deliver(&order, &mut count, &handle, &dialect).await;
+            tracing::info!(
+                order = %order.id(), replica = %order.replica, kind = ?order.kind,
+                model = %order.model, adapter = order.adapter, term = %order.fence,
+                count = *count, ?outcome, "order"
+            );
+            drop(count);
+            if order.adapter.is_some() && outcome == OrderOutcome::Taken {
+                tokio::time::sleep(ADAPTER_LOAD_DELAY).await;
+            }
+            handle.notify(ControlEvent::OrderDone(order, outcome));
+        });
+    }
+}
+
+/// Returns the count of one incarnation, and drops that of an earlier one with the same id: the
+/// next incarnation counts from zero.
+fn order_count(
+    counts: &mut BTreeMap<ReplicaIncarnation, OrderCount>,
+    life: ReplicaIncarnation,
+) -> OrderCount {
+    counts.retain(|other, _| other.id != life.id || *other == life);
+    counts.entry(life).or_default().clone()
+}
+
+async fn deliver(
+    order: &EngineOrder,
+    count: &mut Option<u64>,
+    handle: &ControlHandle,
+    dialect: &EngineDialect,
+) -> OrderOutcome {
+    let mut unconfirmed: Option<u64> = None;
+    for number in 1..=MAX_ATTEMPTS {
+        let expected = match *count {
+            Some(known) => known,
+            None => match query_report(order, dialect).await {
+                // A higher count does not show whose order was taken: one of an earlier leader
+                // may have been executed only now. The loaded models show whether this order is
+                // fulfilled.
+                Some(report)
+                    if unconfirmed.is_some_and(|sent_count| report.orders > sent_count)
+                        && report.is_fulfilled(order) =>
+                {
+                    *count = Some(report.orders);
+                    return match order.kind {
+                        OrderKind::Load => OrderOutcome::Taken,
+                        OrderKind::Unload => OrderOutcome::Held,
+                    };
+                }
+                Some(report) => report.orders,
+                None => continue,
+            },
+        };
+        let permits = PermitClient {
+            handle,
+            order,
+            number,
+        };
+        let outcome = match attempt_once(permits, expected, dialect).await {
+            AttemptEnd::Answered(outcome) => outcome,
+            AttemptEnd::NoReply => OrderOutcome::Unknown,
+            AttemptEnd::NotSent if unconfirmed.is_some() => return OrderOutcome::Unknown,
+            // An order that was certainly not sent may be issued again at once, by any leader.
+            AttemptEnd::NotSent => return OrderOutcome::Busy,
+        };
+        match outcome {
+            OrderOutcome::Taken => {
+                *count = Some(expected + 1);
+                return outcome;
+            }
+            OrderOutcome::Unknown => {
+                unconfirmed = Some(expected);
+                *count = None;
+            }
+            // This says nothing of the earlier attempt, which may still be executed.
+            OrderOutcome::Busy if unconfirmed.is_some() => {
+                *count = None;
+                return OrderOutcome::Unknown;
+            }
+            // The count differs, or an order is being executed: the leader decides on its
+            // current state whether to issue the order again.
+            OrderOutcome::Busy
+            | OrderOutcome::Held
+            | OrderOutcome::Fenced
+            | OrderOutcome::Refused => {
+                *count = None;
+                return outcome;
+            }
+        }
+        tokio::time::sleep(REPORT_DELAY).await;
+    }
+    OrderOutcome::Unknown
+}
+
+/// End of one attempt of an order.
+enum AttemptEnd {
+    /// The engine responded.
+    Answered(OrderOutcome),
+    /// No response: the order may be executed or not.
+    NoReply,
+    /// Not sent: the leader may no longer send orders.
+    NotSent,
+}
+
+async fn attempt_once(
+    permits: PermitClient<'_>,
+    expected: u64,
+    dialect: &EngineDialect,
+) -> AttemptEnd {
+    let PermitClient { order, number, .. } = permits;
+    let call = (dialect.order)(order, expected);
+    match exchange(order.address, &call, Some(permits)).await {
+        Ok((status, _)) => AttemptEnd::Answered((dialect.outcome)(status)),
+        Err(CallError::NotLeader) => {
+            tracing::info!(
+                order = %order.id(), number, replica = %order.replica, term = %order.fence,
+                "an order was not sent: its leader may no longer send orders"
+            );
+            AttemptEnd::NotSent
+        }
+        Err(CallError::LeaseExpired) => {
+            tracing::warn!(
+                order = %order.id(), number, replica = %order.replica, term = %order.fence,
+                "an order was reset: the lease of its leader expired"
+            );
+            AttemptEnd::NoReply
+        }
+        Err(error) => {
+            tracing::warn!(
+                %error, order = %order.id(), number, replica = %order.replica,
+                "an order got no answer"
+            );
+            AttemptEnd::NoReply
+        }
+    }
+}
+
+async fn query_report(order: &EngineOrder, dialect: &EngineDialect) -> Option<EngineReport> {
+    let call = (dialect.report)(&order.replica);
+    match exchange(order.address, &call, None).await {
+        Ok((200, body)) => (dialect.read_report)(&body),
+        _ => None,
+    }
+}
+
+/// Reason why a call has no response.
+#[derive(Debug, Snafu)]
+enum CallError {
+    /// The connection failed, or the call timed out.
+    #[snafu(display("{source}"), context(false))]
+    Exchange {
+        /// The cause, with the address of the engine.
+        source: ExchangeError,
+    },
+    /// Nothing was sent: the leader may no longer send orders.
+    #[snafu(display("the leader may no longer send orders"))]
+    NotLeader,
+    /// The connection was reset, perhaps after the order was sent: the permit expired without
+    /// renewal.
+    #[snafu(display("the leader's lease expired before a response arrived"))]
+    LeaseExpired,
+}
+
+/// Requests and renews the send permit for one attempt of an order.
+#[derive(Clone, Copy)]
+struct PermitClient<'a> {
+    handle: &'a ControlHandle,
+    order: &'a EngineOrder,
+    /// Number of the attempt, from 1.
+    number: u32,
+}
+
+impl PermitClient<'_> {
+    /// Requests a permit; returns `None` if the leader may no longer send orders.
+    async fn request(self) -> Option<SendPermit> {
+        let term = self.order.fence;
+        let may = self
+            .handle
+            .request(|answer| ControlEvent::OrderPermit(term, answer));
+        may.await.ok()
+    }
+
+    /// Returns once the permit has expired. Renews it well before, as the voter may be blocked
+    /// by its disk for longer than the permit lasts.
+    async fn expired(self, mut permit: SendPermit) {
+        while let Some(left) = remaining(permit) {
+            tokio::time::sleep(RENEW_INTERVAL.min(left)).await;
+            let left = remaining(permit).unwrap_or_default();
+            match tokio::time::timeout(left, self.request()).await {
+                Ok(Some(renewed)) => permit = renewed,
+                // No other leader decides before the permit ends, even if this one is deposed.
+                Ok(None) => tokio::time::sleep(left).await,
+                Err(_) => return,
+            }
+        }
+    }
+
+    fn log_sent(self, left: Duration) {
+        let lease_left_ms = left.as_millis() as u64;
+        tracing::info!(
+            order = %self.order.id(), number = self.number, replica = %self.order.replica,
+            lease_left_ms, "order sent"
+        );
+    }
+}
+
+/// Returns the time until a permit expires; `None` once it has.
+fn remaining(permit: SendPermit) -> Option<Duration> {
+    let left_ms = permit.until_ms.checked_sub(clock::monotonic_ms());
+    let left_ms = left_ms.filter(|left_ms| *left_ms > 0);
+    left_ms.map(Duration::from_millis)
+}
+
+/// Makes one call on a new connection; an order is sent only under a permit.
+async fn exchange(
+    address: SocketAddr,
+    call: &EngineCall,
+    permits: Option<PermitClient<'_>>,
+) -> Result<(u16, Vec<u8>), CallError> {
+    let late = |_| ExchangeError::Closed { peer: address };
+    let called =
+        tokio::time::timeout(CALL_TIMEOUT, exchange_unbounded(address, call, permits)).await;
+    called.map_err(late)?
+}
+
+async fn exchange_unbounded(
+    address: SocketAddr,
+    call: &EngineCall,
+    permits: Option<PermitClient<'_>>,
+) -> Result<(u16, Vec<u8>), CallError> {
+    let connection = Connection::open(address, CONNECT_TIMEOUT).await?;
+    let text = request_text(address, call);
+    let Some(permits) = permits else {
+        return send_request(connection, call.method, &text).await;
+    };
+    let permit = permits.request().await.ok_or(CallError::NotLeader)?;
+    let left = remaining(permit).ok_or(CallError::LeaseExpired)?;
+    connection.bound_sending(left)?;
+    permits.log_sent(left);
+    tokio::select! {
+        // The expiry is checked right before the first write, and again before anything else
+        // after this process was suspended. Dropping the call resets its connection.
+        biased;
+        () = permits.expired(permit) => Err(CallError::LeaseExpired),
+        answered = send_request(connection, call.method, &text) => answered,
+    }
+}
+
+fn request_text(address: SocketAddr, call: &EngineCall) -> String {
+    let mut text = format!("{} {} HTTP/1.1\r\n", call.method, call.path);
+    head::push_header(&mut text, "Host", &address.to_string());
+    head::push_header(&mut text, "Connection", "close");
+    for (name, value) in &call.headers {
+        head::push_header(&mut text, name, value);
+    }
+    if !call.body.is_empty() {
+        head::push_header(&mut text, "Content-Type", "application/json");
+        head::push_header(&mut text, "Content-Length", &call.body.len().to_string());
+    }
+    text.push_str("\r\n");
+    text.push_str(&call.body);
+    text
+}
+
+async fn send_request(
+    connection: Connection,
+    method: &str,
+    text: &str,
+) -> Result<(u16, Vec<u8>), CallError> {
+    let outgoing = Outgoing {
+        bytes: text.as_bytes(),
+        method,
+        identity: None,
+        on_head: &|_| {},
+    };
+    let (mut exchange, head) = Exchange::send(connection, &outgoing).await?;
+    let mut body = Vec::new();
+    while let Some(bytes) = exchange.next().await? {
+        body.extend_from_slice(&bytes);
+        if body.len() > MAX_BODY_BYTES {
+            break;
+        }
+    }
+    exchange.close();
+    Ok((head.status, body))
+}
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -1,6 +1,6 @@
-//! A control host without a disk: it keeps no log and never votes. Replicas and
-//! operators may call it like any other; it passes on what they say to the hosts
-//! that keep the log, and names these to processes that know no other.
+//! Control host without a disk. It keeps no log and never votes. Replicas and operators may
+//! call it like any other control host: it forwards their calls to the hosts that keep the log,
+//! and names those hosts to processes that know no other.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,52 +18,50 @@
 use crate::consensus::claims::{ClaimKey, ClaimRecord};
 use crate::consensus::crashes::CrashStore;
 use crate::consensus::directory::{HeartbeatStatus, ReplicaRecord};
-use crate::consensus::paxos::{self, PaxosAcceptor, PaxosReply, PaxosRequest};
+use crate::consensus::paxos::{self, PaxosReply, PaxosRequest, PaxosAcceptor};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
-use crate::control::founding;
+use crate::control::bootstrap;
 use crate::ids::{HallName, HostName, Incarnation, NodeId, Position, ReplicaId};
 use crate::placement::congestion::{QueueReport, QueuedTokens};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::placement::named_limits::{LimitPage, LimitReport};
 use crate::placement::order::AdapterPlacement;
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::suspect_leases::{
-    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
-};
-use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
+use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeaseRelease};
 use crate::process::daemon::{self, DaemonError};
-use crate::process::metrics::{MetricBook, MetricKey};
+use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{self, ControlLink, PeerError, SiteSecret};
 use crate::process::settings::CommonSettings;
 use crate::process::wire::{
-    AccountStatus, AgentOrders, ControlRefusal, ControlStatus, ControlWire, ControlWireClient,
-    EntryOrders, Notice, TableStatus,
+    AccountStatus, AgentHeartbeatReply, ControlRefusal, ControlStatus, ControlWire,
+    ControlWireClient, EntryHeartbeatReply, PositionUpdate, TableStatus,
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
-use crate::table::quota::{QuotaGrants, QuotaRequest};
+use crate::table::quota::{QuotaRequest, QuotaGrants};
 
-/// Pause before an asker that knows nothing yet is answered: it asks again at once.
-const NOTICE_PAUSE: Duration = Duration::from_millis(100);
-/// Hosts that enrolled, remembered until the hosts that keep the log are known.
-const MAX_ENROLLED: usize = 64;
-/// Time without word of a leader until the relay is not ready, in milliseconds.
+/// Delay of the reply to a caller that knows nothing yet: such a caller calls again at once.
+const EMPTY_UPDATE_DELAY: Duration = Duration::from_millis(100);
+/// Maximum number of enrolled hosts that a relay remembers, to name them to other hosts.
+const MAX_ENROLLED_HOSTS: usize = 64;
+/// Time without a leader after which the relay is not ready, in milliseconds.
 const STALE_MS: u64 = 10_000;
-/// How long a host that keeps the log may hold a question, in milliseconds.
+/// Longest time for which a control host may hold back its reply, in milliseconds.
 const WATCH_WAIT_MS: u64 = 1_000;
-/// Time for such a question.
-const WATCH_TIME: Duration = Duration::from_millis(1_600);
-/// Pause after a host that did not answer, or that had hosts to tell of.
-const WATCH_PAUSE: Duration = Duration::from_millis(250);
+/// Timeout of a call that may be held for [`WATCH_WAIT_MS`].
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// Pause between two calls to the same control host.
+const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A running relay.
 pub struct RelayDaemon {
-    /// Where peers reach it.
+    /// Address for peers.
     pub address: SocketAddr,
-    /// Where metrics and health are served.
+    /// Address that serves metrics and health.
     pub watch: SocketAddr,
-    hosts: Arc<HostBook>,
+    hosts: Arc<HostRegistry>,
 }
 
 impl RelayDaemon {
@@ -73,7 +71,7 @@
         Self::start_on(listener, settings, secret).await
     }
 
-    /// Starts on a listener that is bound already.
+    /// Starts on a listener that is already bound.
     pub async fn start_on(
         listener: TcpListener,
         settings: CommonSettings,
@@ -82,8 +80,9 @@
         Self::open(listener, settings, secret, None).await
     }
 
-    /// Starts where the whole site starts for the first time. Only then may it take part
-    /// in naming a founder: later it cannot know whom it named before.
+    /// Starts at the first start of the whole site. Only then may the relay take part in the
+    /// agreement on the bootstrap host: a later process cannot know which host an earlier one
+    /// accepted.
     pub async fn start_first(
         settings: CommonSettings,
         secret: SiteSecret,
@@ -92,7 +91,7 @@
         Self::start_first_on(listener, settings, secret).await
     }
 
-    /// [`RelayDaemon::start_first`] on a listener that is bound already.
+    /// [`RelayDaemon::start_first`] on a listener that is already bound.
     pub async fn start_first_on(
         listener: TcpListener,
         settings: CommonSettings,
@@ -101,26 +100,26 @@
         let named = settings.control.iter().map(|voter| voter.host.clone());
         let named: BTreeSet<HostName> = named.collect();
         let is_named = named.contains(&settings.host);
-        let book = is_named.then(|| PaxosAcceptor::new(named, Incarnation(rand::random())));
-        Self::open(listener, settings, secret, book).await
+        let acceptor = is_named.then(|| PaxosAcceptor::new(named, Incarnation(rand::random())));
+        Self::open(listener, settings, secret, acceptor).await
     }
 
     async fn open(
         listener: TcpListener,
         settings: CommonSettings,
         secret: SiteSecret,
-        book: Option<PaxosAcceptor>,
+        acceptor: Option<PaxosAcceptor>,
     ) -> Result<Self, DaemonError> {
         let address = daemon::address_of("listen", &listener)?;
         let named = settings.control.iter();
         let others = named.filter(|voter| voter.host != settings.host);
         let others: Vec<String> = others.map(|voter| voter.address.to_string()).collect();
         let link = Arc::new(ControlLink::new(secret.clone(), Vec::new()));
-        let hosts = Arc::new(HostBook {
+        let hosts = Arc::new(HostRegistry {
             own: settings.host.clone(),
             hall: settings.hall.clone(),
             link,
-            fresh_ms: AtomicU64::new(0),
+            leader_seen_ms: AtomicU64::new(0),
         });
         for other in &others {
             hosts.watch(other);
@@ -128,15 +127,15 @@
         let relay = RelayServer {
             hosts: hosts.clone(),
             enrolled: Arc::default(),
-            naming: Arc::new(Naming {
+            agreement: Arc::new(BootstrapAgreement {
                 others,
-                book: book.map(Mutex::new),
+                acceptor: acceptor.map(Mutex::new),
                 founder: tokio::sync::Mutex::default(),
             }),
         };
         serve(listener, secret, relay);
-        let watch = serve_watch(settings.watch, hosts.clone()).await?;
-        tracing::info!(%address, %watch, "relay started: no disk, no vote");
+        let watch = serve_health(settings.watch, hosts.clone()).await?;
+        tracing::info!(%address, %watch, "relay started without a disk");
         Ok(Self {
             address,
             watch,
@@ -145,13 +144,13 @@
     }
 
     /// Watches further control hosts, after a change of the settings.
-    pub fn learn_control(&self, control: &[SocketAddr]) {
+    pub fn add_control_hosts(&self, control: &[SocketAddr]) {
         for address in control {
             self.hosts.watch(&address.to_string());
         }
     }
 
-    /// The way to the hosts that keep the log.
+    /// Returns the link to the hosts that keep the log.
     pub fn link(&self) -> &Arc<ControlLink> {
         &self.hosts.link
     }
@@ -168,43 +167,46 @@
     tokio::spawn(peers::listen(listener, secret, serve));
 }
 
-async fn serve_watch(address: SocketAddr, hosts: Arc<HostBook>) -> Result<SocketAddr, DaemonError> {
+async fn serve_health(
+    address: SocketAddr,
+    hosts: Arc<HostRegistry>,
+) -> Result<SocketAddr, DaemonError> {
     let read = move || {
         let stale_ms = hosts.stale_ms();
-        let mut book = MetricBook::default();
-        book.gauge(MetricKey::new("dunlinspring_relay_stale_ms", &[]), stale_ms);
-        let page = daemon::WatchPage {
+        let mut metrics = MetricRegistry::default();
+        metrics.gauge(MetricKey::new("dunlinspring_relay_stale_ms", &[]), stale_ms);
+        let page = daemon::HealthPage {
             ready: stale_ms < STALE_MS,
-            metrics: book.render(),
+            metrics: metrics.render(),
         };
-        Box::pin(async move { page }) as daemon::WatchRead
+        Box::pin(async move { page }) as daemon::HealthFuture
     };
-    daemon::serve_watch(address, Arc::new(read)).await
+    daemon::serve_health(address, Arc::new(read)).await
 }
 
-/// The control hosts that a relay knows, and how fresh their word of a leader is.
-struct HostBook {
+/// Control hosts that a relay knows, and when one of them last knew a leader.
+struct HostRegistry {
     own: HostName,
     hall: HallName,
     link: Arc<ControlLink>,
-    /// When a leader was last known to lead, by this host's steady clock.
-    fresh_ms: AtomicU64,
+    /// When a leader was last known to lead, in milliseconds of this host's monotonic clock.
+    leader_seen_ms: AtomicU64,
 }
 
-impl HostBook {
+impl HostRegistry {
     fn stale_ms(&self) -> u64 {
-        clock::monotonic_ms().saturating_sub(self.fresh_ms.load(Ordering::SeqCst))
+        clock::monotonic_ms().saturating_sub(self.leader_seen_ms.load(Ordering::SeqCst))
     }
 
-    /// Watches a control host, and from then on each that it names.
+    /// Watches a control host, and all further hosts that it names.
     fn watch(self: &Arc<Self>, address: &str) {
-        if address != self.own.0 && self.link.learn(address) {
+        if address != self.own.0 && self.link.add_host(address) {
             tokio::spawn(watch_host(self.clone(), address.to_owned()));
         }
     }
 
-    async fn ask(&self, address: &str, cursor: Position) -> Result<Notice, PeerError> {
-        let context = peers::within(WATCH_TIME);
+    async fn query(&self, address: &str, cursor: Position) -> Result<PositionUpdate, PeerError> {
+        let context = peers::within(WATCH_TIMEOUT);
         let call = |client: ControlWireClient| async move {
             client.notice(context, cursor, WATCH_WAIT_MS).await
         };
@@ -217,87 +219,94 @@
     }
 }
 
-/// Boxed, as the hosts that one names are watched in turn.
-fn watch_host(hosts: Arc<HostBook>, address: String) -> BoxFuture<'static, ()> {
+/// Polls one control host forever. Boxed because it starts the same task for each host that is
+/// named.
+fn watch_host(hosts: Arc<HostRegistry>, address: String) -> BoxFuture<'static, ()> {
     Box::pin(async move {
         loop {
-            // A relay without a leader wants all names at once; else only whether
-            // the host is still there, after the whole wait.
+            // Without a leader, the relay requests all names at once. Otherwise the call only
+            // checks that the host is alive, and is held for the full wait.
             let cursor = match hosts.stale_ms() {
                 stale_ms if stale_ms > 2 * WATCH_WAIT_MS => Position(0),
                 _ => Position(u64::MAX),
             };
             let asked_ms = clock::monotonic_ms();
-            match hosts.ask(&address, cursor).await {
+            match hosts.query(&address, cursor).await {
                 Ok(notice) => {
                     for host in &notice.hosts {
                         hosts.watch(host.as_str());
                     }
-                    let fresh_ms = asked_ms.saturating_sub(notice.leaderless_ms);
-                    hosts.fresh_ms.fetch_max(fresh_ms, Ordering::SeqCst);
+                    let leader_seen_ms = asked_ms.saturating_sub(notice.leaderless_ms);
+                    hosts
+                        .leader_seen_ms
+                        .fetch_max(leader_seen_ms, Ordering::SeqCst);
                 }
-                Err(error) => tracing::debug!(%error, "a control host is silent"),
+                Err(error) => tracing::debug!(%error, "control host did not reply"),
             }
-            tokio::time::sleep(WATCH_PAUSE).await;
+            tokio::time::sleep(WATCH_INTERVAL).await;
         }
     })
 }
 
 #[derive(Clone)]
 struct RelayServer {
-    hosts: Arc<HostBook>,
-    /// Hosts with a disk that asked to become voters here.
+    hosts: Arc<HostRegistry>,
+    /// Hosts with a disk that enrolled here to become voters.
     enrolled: Arc<Mutex<BTreeSet<HostName>>>,
-    naming: Arc<Naming>,
+    agreement: Arc<BootstrapAgreement>,
 }
 
-/// Who founds the site, as far as this relay knows.
-struct Naming {
-    /// The other named hosts.
+/// Agreement of the named hosts on the bootstrap host, as far as this relay knows it.
+struct BootstrapAgreement {
+    /// Addresses of the other named hosts.
     others: Vec<String>,
-    /// This relay's part in naming; none where it may have forgotten what it did.
-    book: Option<Mutex<PaxosAcceptor>>,
-    /// The host that was named. Held while it is agreed on, so that one host that asks
-    /// waits for the other's try.
+    /// Paxos acceptor of this relay; `None` if this is not the site's first start, as an
+    /// earlier process may have accepted another host, or if this host is not named.
+    acceptor: Option<Mutex<PaxosAcceptor>>,
+    /// The chosen bootstrap host. Locked during the agreement, so that a second caller waits
+    /// for the attempt of the first.
     founder: tokio::sync::Mutex<Option<HostName>>,
 }
 
-impl Naming {
-    /// One try to have `host` named; whoever was named before stays so.
-    async fn agree(&self, link: &ControlLink, host: &HostName) -> Option<HostName> {
-        let book = self.book.as_ref()?;
-        let ask = peers::lock(book).prepare();
-        let promises = self.ask_all(link, book, &ask).await?;
+impl BootstrapAgreement {
+    /// Runs one round that proposes `host`. Returns the chosen host, which is an earlier one if
+    /// it may have been chosen already; `None` without a majority.
+    async fn run_round(&self, link: &ControlLink, host: &HostName) -> Option<HostName> {
+        let acceptor = self.acceptor.as_ref()?;
+        let request = peers::lock(acceptor).prepare();
+        let promises = self.query_all(link, acceptor, &request).await?;
         let founder = paxos::value_to_accept(&promises, host);
-        let ask = ask.accept(founder.clone());
-        self.ask_all(link, book, &ask).await.map(|_| founder)
+        let request = request.accept(founder.clone());
+        self.query_all(link, acceptor, &request)
+            .await
+            .map(|_| founder)
     }
 
-    /// The answers of all named hosts, if a majority granted what was asked.
-    async fn ask_all(
+    /// Returns the replies of all named hosts if a majority granted the request.
+    async fn query_all(
         &self,
         link: &ControlLink,
-        book: &Mutex<PaxosAcceptor>,
-        ask: &PaxosRequest,
+        acceptor: &Mutex<PaxosAcceptor>,
+        request: &PaxosRequest,
     ) -> Option<Vec<PaxosReply>> {
-        let mut answers = founding::ask_named(link, &self.others, ask).await;
-        let mut book = peers::lock(book);
-        answers.push(book.respond(ask));
-        book.has_majority(&answers).then_some(answers)
+        let mut answers = bootstrap::query_named_hosts(link, &self.others, request).await;
+        let mut acceptor = peers::lock(acceptor);
+        answers.push(acceptor.respond(request));
+        acceptor.has_majority(&answers).then_some(answers)
     }
 }
 
 impl RelayServer {
-    fn elsewhere(&self) -> ControlRefusal {
+    fn not_leader(&self) -> ControlRefusal {
         ControlRefusal::NotLeader(self.hosts.link.confirmed())
     }
 
-    fn known_hosts(&self) -> Notice {
+    fn known_hosts(&self) -> PositionUpdate {
         let known = self.hosts.link.addresses().into_iter().map(HostName);
         let enrolled = peers::lock(&self.enrolled).clone();
         let others = known.chain(enrolled);
         let hosts: BTreeSet<HostName> = others.collect();
-        Notice {
+        PositionUpdate {
             hall: self.hosts.hall.clone(),
             position: Position(0),
             leaderless_ms: clock::monotonic_ms(),
@@ -309,12 +318,17 @@
 
 impl ControlWire for RelayServer {
     async fn raft(self, _: Context, from: NodeId, _: HostName, _: RaftMessage) {
-        tracing::debug!(%from, "a voter's message came to a host without a log");
+        tracing::debug!(%from, "Raft message received by a host without a log");
     }
 
-    async fn enroll(self, _: Context, _: NodeId, host: HostName) -> Result<Notice, ControlRefusal> {
+    async fn enroll(
+        self,
+        _: Context,
+        _: NodeId,
+        host: HostName,
+    ) -> Result<PositionUpdate, ControlRefusal> {
         let mut enrolled = peers::lock(&self.enrolled);
-        if enrolled.len() < MAX_ENROLLED {
+        if enrolled.len() < MAX_ENROLLED_HOSTS {
             enrolled.insert(host);
         }
         drop(enrolled);
@@ -328,35 +342,35 @@
         _: u64,
         _: bool,
     ) -> Result<SyncPage, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn propose(self, _: Context, _: Command) -> Result<(Position, Reply), ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn agent_beat(
         self,
         _: Context,
         _: AgentHeartbeat,
-    ) -> Result<AgentOrders, ControlRefusal> {
-        Err(self.elsewhere())
+    ) -> Result<AgentHeartbeatReply, ControlRefusal> {
+        Err(self.not_leader())
     }
 
     async fn entry_beat(
         self,
         _: Context,
         _: EntryHeartbeat,
-    ) -> Result<EntryOrders, ControlRefusal> {
-        Err(self.elsewhere())
+    ) -> Result<EntryHeartbeatReply, ControlRefusal> {
+        Err(self.not_leader())
     }
 
     async fn table(self, _: Context) -> Result<TableStatus, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn claim(self, _: Context, _: ClaimKey) -> Result<Option<ClaimRecord>, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn notice(
@@ -364,11 +378,11 @@
         _: Context,
         cursor: Position,
         wait_ms: u64,
-    ) -> Result<Notice, ControlRefusal> {
+    ) -> Result<PositionUpdate, ControlRefusal> {
         let wait = Duration::from_millis(wait_ms);
-        // Whoever follows the log has nothing to learn here.
+        // A caller that follows the log learns nothing from a relay.
         let pause = match cursor {
-            Position(0) => NOTICE_PAUSE.min(wait),
+            Position(0) => EMPTY_UPDATE_DELAY.min(wait),
             _ => wait,
         };
         tokio::time::sleep(pause).await;
@@ -379,35 +393,35 @@
         self,
         _: Context,
     ) -> Result<Option<ConfigurationRecord>, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn confirm(self, _: Context) -> Result<u64, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn quota(self, _: Context, _: QuotaRequest) -> Result<QuotaGrants, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn accounts(self, _: Context) -> Result<Vec<AccountStatus>, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn heard(self, _: Context, _: Vec<ReplicaId>) -> Result<(), ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn report(self, _: Context, _: EntryReport) -> Result<ReportReply, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn crowd(self, _: Context, _: QueueReport) -> Result<QueuedTokens, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn wish(self, _: Context, _: AdapterPlacement) -> Result<bool, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn turn(
@@ -415,23 +429,23 @@
         _: Context,
         _: SuspectLeaseRequest,
     ) -> Result<SuspectLeaseReply, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn end_turn(self, _: Context, _: SuspectLeaseRelease) -> Result<(), ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn permit(self, _: Context, _: PermitRequest) -> Result<PermitReply, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn limits(self, _: Context, _: LimitReport) -> Result<LimitPage, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn contents(self, _: Context) -> Result<CrashStore, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn compare(
@@ -439,7 +453,7 @@
         _: Context,
         _: ReplicaRecord,
     ) -> Result<HeartbeatStatus, ControlRefusal> {
-        Err(self.elsewhere())
+        Err(self.not_leader())
     }
 
     async fn keeps_log(self, _: Context) -> bool {
@@ -452,24 +466,24 @@
 
     async fn appoint(self, _: Context, host: HostName) -> Result<HostName, ControlRefusal> {
         let link = &self.hosts.link;
-        let mut named = self.naming.founder.lock().await;
+        let mut named = self.agreement.founder.lock().await;
         if let Some(founder) = &*named {
             return Ok(founder.clone());
         }
-        let Some(founder) = self.naming.agree(link, &host).await else {
-            let founded = founding::founded_host(link).await.map(Some);
+        let Some(founder) = self.agreement.run_round(link, &host).await else {
+            let founded = bootstrap::find_bootstrapped_host(link).await.map(Some);
             return Err(founded.map_or(ControlRefusal::NoQuorum, ControlRefusal::NotLeader));
         };
         self.hosts.watch(founder.as_str());
-        tracing::info!(%founder, "the founder of the site is named");
+        tracing::info!(%founder, "bootstrap host of the site is chosen");
         *named = Some(founder.clone());
         Ok(founder)
     }
 
-    async fn naming(self, _: Context, ask: PaxosRequest) -> PaxosReply {
-        let book = self.naming.book.as_ref();
-        book.map_or(PaxosReply::Abstained, |book| {
-            peers::lock(book).respond(&ask)
+    async fn naming(self, _: Context, request: PaxosRequest) -> PaxosReply {
+        let acceptor = self.agreement.acceptor.as_ref();
+        acceptor.map_or(PaxosReply::Abstained, |acceptor| {
+            peers::lock(acceptor).respond(&request)
         })
     }
 
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -1,4 +1,4 @@
-//! The control daemon's shell: sockets and tasks around the voter's thread.
+//! I/O of the control daemon: sockets and tasks around the voter's thread.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,58 +19,57 @@
 use crate::consensus::paxos::{PaxosReply, PaxosRequest};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
+use crate::control::bootstrap::{self, InitialRole};
 use crate::control::event::{ControlEvent, ControlHandle};
-use crate::control::founding::{self, FoundingPart};
 use crate::control::journal;
 use crate::control::outbox::{OpenPeer, PeerOutbox};
 use crate::control::voter::ControlLoop;
 use crate::ids::{HostName, NodeId, Position, ReplicaId};
 use crate::placement::congestion::{QueueReport, QueuedTokens};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::placement::named_limits::{LimitPage, LimitReport};
 use crate::placement::order::{AdapterPlacement, EngineOrder};
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::suspect_leases::{
-    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
-};
-use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
+use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeaseRelease};
 use crate::process::daemon::{self, DaemonError};
-use crate::process::metrics::{MetricBook, MetricKey};
+use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{self, ControlLink, PeerPool, SiteSecret};
 use crate::process::settings::{ControlSettings, VoterSettings};
 use crate::process::wire::{
-    AccountStatus, AgentOrders, ControlRefusal, ControlStatus, ControlWire, ControlWireClient,
-    EntryOrders, Notice, TableStatus,
+    AccountStatus, AgentHeartbeatReply, ControlRefusal, ControlStatus, ControlWire,
+    ControlWireClient, EntryHeartbeatReply, PositionUpdate, TableStatus,
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
-use crate::table::quota::{QuotaGrants, QuotaRequest};
-
-/// Messages that wait for one peer.
-const OUTBOX: usize = 64;
-/// Time for one message to a peer.
-const MESSAGE_TIME: Duration = Duration::from_millis(500);
-/// Time between two questions to the leader for the newest configuration: its age at
-/// members grows by this.
-const CONFIRM_EVERY: Duration = Duration::from_millis(250);
-/// Time between two looks at the platform's list, and two enrolments.
-const POLL: Duration = Duration::from_millis(500);
-
-/// Pages of everything that leave at a time, and how long each counts: after a loss of
-/// power all members ask at once, and each page is a megabyte at thousands of replicas.
-const WHOLE_PAGES: usize = 24;
-/// See [`WHOLE_PAGES`].
-const WHOLE_PAGE_HOLD: Duration = Duration::from_millis(200);
-/// Longest wait for a turn; then another host may have room.
-const WHOLE_PAGE_WAIT: Duration = Duration::from_millis(300);
-/// Calls that one peer may have under way.
-const CALLS_A_PEER: usize = 4096;
+use crate::table::quota::{QuotaRequest, QuotaGrants};
+
+/// Maximum number of messages queued for one peer.
+const OUTBOX_CAPACITY: usize = 64;
+/// Timeout of one message to a peer.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval of queries to the leader for the newest configuration; it adds to the age of the
+/// configuration at members.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of reads of the platform's list, of enrolments and of announcements.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Maximum number of full snapshots in transit. After a power loss all members request one at
+/// once, and each is a megabyte with thousands of replicas.
+const MAX_FULL_SNAPSHOTS: usize = 24;
+/// Time for which a full snapshot counts as in transit.
+const FULL_SNAPSHOT_HOLD: Duration = Duration::from_millis(200);
+/// Longest wait for one of the [`MAX_FULL_SNAPSHOTS`] slots; afterwards the caller is refused,
+/// as another host may have a free one.
+const FULL_SNAPSHOT_WAIT: Duration = Duration::from_millis(300);
+/// Maximum number of concurrent calls on one connection.
+const MAX_CALLS_PER_PEER: usize = 4096;
 
 /// A running control daemon.
 pub struct ControlDaemon {
-    /// Where peers reach it.
+    /// Address for peers.
     pub address: SocketAddr,
-    /// Where metrics and health are served.
+    /// Address that serves metrics and health.
     pub watch: SocketAddr,
     handle: ControlHandle,
     orders: Option<mpsc::UnboundedReceiver<EngineOrder>>,
@@ -84,8 +83,8 @@
         Self::start_on(listener, settings, secret).await
     }
 
-    /// Starts where the whole site starts for the first time: the named hosts that
-    /// have a disk found it, each with [`ControlDaemon::start_first`].
+    /// Starts at the first start of the whole site: the named hosts that have a disk bootstrap
+    /// it, each through [`ControlDaemon::start_first`].
     pub async fn start_first(
         settings: ControlSettings,
         secret: SiteSecret,
@@ -94,21 +93,21 @@
         Self::start_first_on(listener, settings, secret).await
     }
 
-    /// [`ControlDaemon::start_first`] on a listener that is bound already.
+    /// [`ControlDaemon::start_first`] on a listener that is already bound.
     pub async fn start_first_on(
         listener: TcpListener,
         settings: ControlSettings,
         secret: SiteSecret,
     ) -> Result<Self, DaemonError> {
         let blank = journal::is_blank(&settings.data_folder);
-        let begun = founding::unfinished_first_start(&settings)?;
+        let begun = bootstrap::unfinished_first_start(&settings)?;
         if blank && begun.is_none() {
             journal::begin_first_start(&settings.data_folder, &settings.common.control)?;
         }
         Self::start_on(listener, settings, secret).await
     }
 
-    /// Starts on a listener that is bound already.
+    /// Starts on a listener that is already bound.
     pub async fn start_on(
         listener: TcpListener,
         mut settings: ControlSettings,
@@ -118,12 +117,13 @@
         let pool = Arc::new(PeerPool::new(secret.clone(), peers::dial_control));
         let (events, inbox) = std::sync::mpsc::channel();
         let handle = ControlHandle(events);
-        // Founders ask each other before any of them has a log.
+        // The bootstrap hosts query each other before any of them has a log.
         serve(listener, secret.clone(), handle.clone());
-        // Also where a first start was broken off: only this disk still knows of it.
-        if let Some(named) = founding::unfinished_first_start(&settings)? {
-            found_site(secret, &settings, &named).await?;
-            // Founders know each other from nowhere else until they have a leader.
+        // Also resumes an interrupted first start, which only this disk still records.
+        if let Some(named) = bootstrap::unfinished_first_start(&settings)? {
+            bootstrap_site(secret, &settings, &named).await?;
+            // Until there is a leader, the bootstrap hosts know each other only from these
+            // names.
             let control = &mut settings.common.control;
             let others = named.into_iter().filter(|voter| !control.contains(voter));
             let others: Vec<VoterSettings> = others.collect();
@@ -139,7 +139,7 @@
         let spawned = thread::Builder::new()
             .name("voter".to_owned())
             .spawn(move || {
-                daemon::enter_logs();
+                daemon::enter_log_span();
                 let result = control.run(inbox).map_err(DaemonError::from);
                 let _ = end.send(result);
             });
@@ -151,7 +151,7 @@
             daemon::spawn_local(watch_platform(url, handle.clone()));
         }
         tokio::spawn(confirm(pool.clone(), handle.clone()));
-        let watch = serve_watch(&settings, handle.clone()).await?;
+        let watch = serve_health(&settings, handle.clone()).await?;
         tracing::info!(%address, %watch, %node, learner, "control started");
         Ok(Self {
             address,
@@ -162,46 +162,47 @@
         })
     }
 
-    /// The way to the voter's thread.
+    /// Returns the handle of the voter's thread.
     pub fn handle(&self) -> ControlHandle {
         self.handle.clone()
     }
 
-    /// The orders to engines that this host gives while it leads; once.
+    /// Takes the channel of the orders that this host issues to engines while it leads; `None`
+    /// after the first call.
     pub fn take_orders(&mut self) -> Option<mpsc::UnboundedReceiver<EngineOrder>> {
         self.orders.take()
     }
 
-    /// Asks this voter for its account of itself.
+    /// Returns the status of this voter.
     pub async fn status(&self) -> Option<ControlStatus> {
         status(&self.handle).await
     }
 
-    /// Waits until the voter ends by itself: its disk failed.
+    /// Waits until the voter's thread ends by itself because its disk failed.
     pub async fn ended(&mut self) -> Result<(), DaemonError> {
         (&mut self.ended).await.unwrap_or(Ok(()))
     }
 
-    /// Hands over and stops.
+    /// Hands over the leadership and stops.
     pub async fn stop(&self) {
         let (answer, done) = oneshot::channel();
-        self.handle.tell(ControlEvent::Stop(answer));
+        self.handle.notify(ControlEvent::Stop(answer));
         let _ = done.await;
     }
 }
 
-/// Takes part in the site's first start, among the hosts that were named then.
-async fn found_site(
+/// Takes part in the site's first start, with the hosts that were named then.
+async fn bootstrap_site(
     secret: SiteSecret,
     settings: &ControlSettings,
     named: &[VoterSettings],
 ) -> Result<(), DaemonError> {
     let link = ControlLink::new(secret, Vec::new());
-    let part = founding::agree(&link, &settings.common.host, named).await;
+    let part = bootstrap::determine_role(&link, &settings.common.host, named).await;
     tracing::info!(?part, "the site starts for the first time");
     match part {
-        FoundingPart::Founds(founders) => Ok(founding::found_by(settings, founders.iter())?),
-        FoundingPart::Joins => Ok(()),
+        InitialRole::Founds(founders) => Ok(bootstrap::init_voter(settings, founders.iter())?),
+        InitialRole::Joins => Ok(()),
     }
 }
 
@@ -215,8 +216,8 @@
     let runtime = tokio::runtime::Handle::current();
     let pool = pool.clone();
     let open = move |peer: String| {
-        let (sender, receiver) = mpsc::channel(OUTBOX);
-        tracing::debug!(%peer, "sends to a voter");
+        let (sender, receiver) = mpsc::channel(OUTBOX_CAPACITY);
+        tracing::debug!(%peer, "channel to a voter opened");
         runtime.spawn(send_messages(pool.clone(), from.clone(), peer, receiver));
         sender
     };
@@ -231,7 +232,8 @@
     }
 }
 
-/// Sends one peer's messages in order; a lost one is made good by the next heartbeat.
+/// Sends the messages for one peer in order. A lost message is made up for by the next
+/// heartbeat.
 async fn send_messages(
     pool: Arc<PeerPool<ControlWireClient>>,
     from: (NodeId, HostName),
@@ -240,20 +242,20 @@
 ) {
     while let Some(message) = messages.recv().await {
         let (node, host) = from.clone();
-        let context = peers::within(MESSAGE_TIME);
+        let context = peers::within(MESSAGE_TIMEOUT);
         let sent = pool
             .call(&peer, "raft", |client| async move {
                 client.raft(context, node, host, message).await
             })
             .await;
         if let Err(error) = sent {
-            tracing::debug!(%error, "lost a message");
+            tracing::debug!(%error, "Raft message lost");
         }
     }
 }
 
-/// Tells the control hosts that the settings named, again and again, where this host is:
-/// after a restart of all, those without a disk know nobody else.
+/// Announces this host periodically to the control hosts of `link`: after a restart of all
+/// hosts, those without a disk know no host that keeps the log.
 pub async fn announce(own: HostName, link: Arc<ControlLink>) {
     loop {
         for address in link.addresses() {
@@ -262,20 +264,20 @@
             }
             let (link, own) = (link.clone(), own.clone());
             tokio::spawn(async move {
-                let context = peers::within(MESSAGE_TIME);
+                let context = peers::within(MESSAGE_TIMEOUT);
                 let call =
                     |client: ControlWireClient| async move { client.announce(context, own).await };
                 if let Err(error) = link.call_at(&address, "announce", call).await {
-                    tracing::debug!(%error, "a control host was not told");
+                    tracing::debug!(%error, "announcement to a control host failed");
                 }
             });
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A disk that does not vote asks all control hosts that it hears of, again and
-/// again; only the leader acts on it.
+/// Enrols a disk that does not vote, periodically and at all known control hosts; only the
+/// leader acts on it.
 async fn enroll(
     pool: Arc<PeerPool<ControlWireClient>>,
     settings: ControlSettings,
@@ -287,11 +289,11 @@
     let known: Arc<Mutex<BTreeSet<String>>> = Arc::new(Mutex::new(named.collect()));
     let own = settings.common.host.clone();
     loop {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let status = status(&handle).await;
-        let settled =
+        let is_settled =
             |status: &ControlStatus| status.voters.contains(&node) && status.leader.is_some();
-        if status.as_ref().is_some_and(settled) {
+        if status.as_ref().is_some_and(is_settled) {
             continue;
         }
         let peers = peers::lock(&known).clone();
@@ -299,7 +301,7 @@
             let (pool, known, own) = (pool.clone(), known.clone(), own.clone());
             let open = settings.open_membership;
             tokio::spawn(async move {
-                let context = peers::within(MESSAGE_TIME);
+                let context = peers::within(MESSAGE_TIMEOUT);
                 let call = |client: ControlWireClient| async move {
                     client.enroll(context, node, own).await
                 };
@@ -313,22 +315,23 @@
     }
 }
 
-/// Asks the leader again and again which configuration is the newest, so that members
-/// who ask here are told how old this host's word is.
+/// Queries the leader periodically for the newest configuration, so that this host can report
+/// to members how old its copy is.
 async fn confirm(pool: Arc<PeerPool<ControlWireClient>>, handle: ControlHandle) {
     loop {
-        tokio::time::sleep(CONFIRM_EVERY).await;
-        let Err(ControlRefusal::NotLeader(Some(leader))) = handle.ask(ControlEvent::Confirm).await
+        tokio::time::sleep(CONFIRM_INTERVAL).await;
+        let Err(ControlRefusal::NotLeader(Some(leader))) =
+            handle.request(ControlEvent::Confirm).await
         else {
             continue;
         };
         let asked_ms = clock::monotonic_ms();
-        let context = peers::within(MESSAGE_TIME);
+        let context = peers::within(MESSAGE_TIMEOUT);
         let call = |client: ControlWireClient| async move { client.confirm(context).await };
         match pool.call(&leader, "confirm", call).await {
-            Ok(Ok(version)) => handle.tell(ControlEvent::Confirmed { version, asked_ms }),
-            Ok(Err(refusal)) => tracing::debug!(?refusal, peer = %leader, "not confirmed"),
-            Err(error) => tracing::debug!(%error, "not confirmed"),
+            Ok(Ok(version)) => handle.notify(ControlEvent::Confirmed { version, asked_ms }),
+            Ok(Err(refusal)) => tracing::debug!(?refusal, peer = %leader, "version not confirmed"),
+            Err(error) => tracing::debug!(%error, "version not confirmed"),
         }
     }
 }
@@ -336,14 +339,14 @@
 async fn watch_platform(url: String, handle: ControlHandle) {
     loop {
         match daemon::get_json::<PlatformHosts>(&url).await {
-            Ok(list) => handle.tell(ControlEvent::Platform(list.leaving)),
-            Err(error) => tracing::debug!(%error, "cannot read the platform's list"),
+            Ok(list) => handle.notify(ControlEvent::LeavingHosts(list.leaving)),
+            Err(error) => tracing::debug!(%error, "cannot read the platform's list of hosts"),
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The platform's list of hosts. It lags.
+/// The platform's list of hosts, which lags behind.
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
 pub struct PlatformHosts {
     /// Hosts that are leaving.
@@ -353,19 +356,19 @@
 #[derive(Clone)]
 struct ControlServer {
     handle: ControlHandle,
-    /// Pages from nothing that may be under way.
-    whole_pages: Arc<Semaphore>,
+    /// Slots for full snapshots in transit.
+    full_snapshots: Arc<Semaphore>,
 }
 
 impl ControlServer {
-    /// Waits for its turn with a page that holds everything.
-    async fn await_turn(&self) -> Result<(), ControlRefusal> {
-        let turn = self.whole_pages.clone().acquire_owned();
-        let Ok(Ok(permit)) = tokio::time::timeout(WHOLE_PAGE_WAIT, turn).await else {
+    /// Waits for a slot to send a full snapshot.
+    async fn acquire_snapshot_slot(&self) -> Result<(), ControlRefusal> {
+        let slot = self.full_snapshots.clone().acquire_owned();
+        let Ok(Ok(permit)) = tokio::time::timeout(FULL_SNAPSHOT_WAIT, slot).await else {
             return Err(ControlRefusal::Busy);
         };
         tokio::spawn(async move {
-            tokio::time::sleep(WHOLE_PAGE_HOLD).await;
+            tokio::time::sleep(FULL_SNAPSHOT_HOLD).await;
             drop(permit);
         });
         Ok(())
@@ -374,7 +377,7 @@
 
 impl ControlWire for ControlServer {
     async fn raft(self, _: Context, from: NodeId, host: HostName, message: RaftMessage) {
-        self.handle.tell(ControlEvent::Raft(from, host, message));
+        self.handle.notify(ControlEvent::Raft(from, host, message));
     }
 
     async fn enroll(
@@ -382,9 +385,9 @@
         _: Context,
         node: NodeId,
         host: HostName,
-    ) -> Result<Notice, ControlRefusal> {
+    ) -> Result<PositionUpdate, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Enroll(node, host, answer))
+            .request(|answer| ControlEvent::Enroll(node, host, answer))
             .await
     }
 
@@ -396,7 +399,7 @@
         fresh: bool,
     ) -> Result<SyncPage, ControlRefusal> {
         if cursor == Position(0) {
-            self.await_turn().await?;
+            self.acquire_snapshot_slot().await?;
         }
         let event = |answer| ControlEvent::Sync {
             cursor,
@@ -404,7 +407,7 @@
             fresh,
             answer,
         };
-        self.handle.ask(event).await
+        self.handle.request(event).await
     }
 
     async fn propose(
@@ -413,7 +416,7 @@
         command: Command,
     ) -> Result<(Position, Reply), ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Propose(command, answer))
+            .request(|answer| ControlEvent::Propose(command, answer))
             .await
     }
 
@@ -421,9 +424,9 @@
         self,
         _: Context,
         beat: AgentHeartbeat,
-    ) -> Result<AgentOrders, ControlRefusal> {
+    ) -> Result<AgentHeartbeatReply, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Agent(beat, answer))
+            .request(|answer| ControlEvent::AgentHeartbeat(beat, answer))
             .await
     }
 
@@ -431,19 +434,19 @@
         self,
         _: Context,
         beat: EntryHeartbeat,
-    ) -> Result<EntryOrders, ControlRefusal> {
+    ) -> Result<EntryHeartbeatReply, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Entry(beat, answer))
+            .request(|answer| ControlEvent::EntryHeartbeat(beat, answer))
             .await
     }
 
     async fn table(self, _: Context) -> Result<TableStatus, ControlRefusal> {
-        self.handle.ask(ControlEvent::Table).await
+        self.handle.request(ControlEvent::Table).await
     }
 
     async fn claim(self, _: Context, key: ClaimKey) -> Result<Option<ClaimRecord>, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Claim(key, answer))
+            .request(|answer| ControlEvent::Claim(key, answer))
             .await
     }
 
@@ -452,73 +455,73 @@
         _: Context,
         cursor: Position,
         wait_ms: u64,
-    ) -> Result<Notice, ControlRefusal> {
-        let event = |answer| ControlEvent::Notice {
+    ) -> Result<PositionUpdate, ControlRefusal> {
+        let event = |answer| ControlEvent::PositionUpdate {
             cursor,
             wait_ms,
             answer,
         };
-        self.handle.ask(event).await
+        self.handle.request(event).await
     }
 
     async fn configuration(
         self,
         _: Context,
     ) -> Result<Option<ConfigurationRecord>, ControlRefusal> {
-        self.handle.ask(ControlEvent::Configuration).await
+        self.handle.request(ControlEvent::Configuration).await
     }
 
     async fn confirm(self, _: Context) -> Result<u64, ControlRefusal> {
-        self.handle.ask(ControlEvent::Confirm).await
+        self.handle.request(ControlEvent::Confirm).await
     }
 
-    async fn quota(self, _: Context, ask: QuotaRequest) -> Result<QuotaGrants, ControlRefusal> {
+    async fn quota(self, _: Context, request: QuotaRequest) -> Result<QuotaGrants, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Quota(ask, answer))
+            .request(|answer| ControlEvent::Quota(request, answer))
             .await
     }
 
     async fn accounts(self, _: Context) -> Result<Vec<AccountStatus>, ControlRefusal> {
-        self.handle.ask(ControlEvent::Accounts).await
+        self.handle.request(ControlEvent::Accounts).await
     }
 
     async fn heard(self, _: Context, ids: Vec<ReplicaId>) -> Result<(), ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Heard(ids, answer))
+            .request(|answer| ControlEvent::ReplicasSeen(ids, answer))
             .await
     }
 
     async fn report(self, _: Context, report: EntryReport) -> Result<ReportReply, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Report(report, answer))
+            .request(|answer| ControlEvent::Report(report, answer))
             .await
     }
 
     async fn crowd(self, _: Context, report: QueueReport) -> Result<QueuedTokens, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Crowd(report, answer))
+            .request(|answer| ControlEvent::QueuedTokens(report, answer))
             .await
     }
 
-    async fn wish(self, _: Context, wish: AdapterPlacement) -> Result<bool, ControlRefusal> {
+    async fn wish(self, _: Context, request: AdapterPlacement) -> Result<bool, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Wish(wish, answer))
+            .request(|answer| ControlEvent::AdapterRequest(request, answer))
             .await
     }
 
     async fn turn(
         self,
         _: Context,
-        ask: SuspectLeaseRequest,
+        request: SuspectLeaseRequest,
     ) -> Result<SuspectLeaseReply, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Turn(ask, answer))
+            .request(|answer| ControlEvent::SuspectLease(request, answer))
             .await
     }
 
     async fn end_turn(self, _: Context, end: SuspectLeaseRelease) -> Result<(), ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::TurnEnded(end, answer))
+            .request(|answer| ControlEvent::SuspectLeaseEnd(end, answer))
             .await
     }
 
@@ -528,18 +531,18 @@
         request: PermitRequest,
     ) -> Result<PermitReply, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Permit(request, answer))
+            .request(|answer| ControlEvent::Permit(request, answer))
             .await
     }
 
     async fn limits(self, _: Context, report: LimitReport) -> Result<LimitPage, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Limits(report, answer))
+            .request(|answer| ControlEvent::Limits(report, answer))
             .await
     }
 
     async fn contents(self, _: Context) -> Result<CrashStore, ControlRefusal> {
-        self.handle.ask(ControlEvent::Contents).await
+        self.handle.request(ControlEvent::Contents).await
     }
 
     async fn compare(
@@ -548,7 +551,7 @@
         record: ReplicaRecord,
     ) -> Result<HeartbeatStatus, ControlRefusal> {
         self.handle
-            .ask(|answer| ControlEvent::Compare(Box::new(record), answer))
+            .request(|answer| ControlEvent::Compare(Box::new(record), answer))
             .await
     }
 
@@ -557,12 +560,12 @@
     }
 
     async fn announce(self, _: Context, host: HostName) {
-        // Whoever keeps the log knows the others from it.
-        tracing::trace!(%host, "another host told where it is");
+        // A host that keeps the log knows the others from it.
+        tracing::trace!(%host, "announcement ignored: this host keeps the log");
     }
 
     async fn appoint(self, _: Context, _: HostName) -> Result<HostName, ControlRefusal> {
-        // A host with a disk founds the site itself.
+        // A host with a disk takes part in the bootstrap itself.
         Err(ControlRefusal::NotLeader(None))
     }
 
@@ -571,19 +574,20 @@
     }
 
     async fn status(self, _: Context) -> ControlStatus {
-        let told = status(&self.handle).await;
-        told.unwrap_or_else(|| ControlStatus::without_log(HostName(String::new())))
+        let status = status(&self.handle).await;
+        status.unwrap_or_else(|| ControlStatus::without_log(HostName(String::new())))
     }
 }
 
 fn serve(listener: TcpListener, secret: SiteSecret, handle: ControlHandle) {
     let server = ControlServer {
         handle,
-        whole_pages: Arc::new(Semaphore::new(WHOLE_PAGES)),
+        full_snapshots: Arc::new(Semaphore::new(MAX_FULL_SNAPSHOTS)),
     };
     let serve = move |transport| {
         let server = server.clone();
-        let channel = BaseChannel::with_defaults(transport).max_concurrent_requests(CALLS_A_PEER);
+        let channel =
+            BaseChannel::with_defaults(transport).max_concurrent_requests(MAX_CALLS_PER_PEER);
         tokio::spawn(channel.execute(server.serve()).for_each(|call| async {
             tokio::spawn(call);
         }));
@@ -593,11 +597,11 @@
 
 async fn status(handle: &ControlHandle) -> Option<ControlStatus> {
     let (answer, wait) = oneshot::channel();
-    handle.tell(ControlEvent::Status(answer));
+    handle.notify(ControlEvent::Status(answer));
     wait.await.ok()
 }
 
-async fn serve_watch(
+async fn serve_health(
     settings: &ControlSettings,
     handle: ControlHandle,
 ) -> Result<SocketAddr, DaemonError> {
@@ -607,14 +611,14 @@
             let status = status(&handle).await;
             let ready = status.as_ref().is_some_and(|s| s.leader.is_some());
             let metrics = status.map(|status| render(&status)).unwrap_or_default();
-            daemon::WatchPage { ready, metrics }
-        }) as daemon::WatchRead
+            daemon::HealthPage { ready, metrics }
+        }) as daemon::HealthFuture
     };
-    daemon::serve_watch(settings.common.watch, Arc::new(read)).await
+    daemon::serve_health(settings.common.watch, Arc::new(read)).await
 }
 
 fn render(status: &ControlStatus) -> String {
-    let mut book = MetricBook::default();
+    let mut metrics = MetricRegistry::default();
     let gauges = [
         ("dunlinspring_log_position", status.position.0),
         ("dunlinspring_term", status.term.0),
@@ -629,7 +633,7 @@
         ("dunlinspring_claims", status.claims as u64),
     ];
     for (name, value) in gauges {
-        book.gauge(MetricKey::new(name, &[]), value);
+        metrics.gauge(MetricKey::new(name, &[]), value);
     }
-    book.render()
+    metrics.render()
 }
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -1,5 +1,5 @@
-//! The control daemon: one thread owns the voter and its disk; calls and
-//! messages reach it as events, so that one sync serves all that wait for it.
+//! The voter's event loop: one thread owns the voter and its disk. Calls and messages reach it
+//! as events, so that one sync serves all events of a batch.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
@@ -12,69 +12,69 @@
 use crate::consensus::raft::DiskRecord;
 use crate::consensus::replica::LogReplica;
 use crate::consensus::state::{Command, Reply, SiteState};
-use crate::control::event::{Answer, ControlEvent, SendPermit};
-use crate::control::founding;
+use crate::control::bootstrap;
+use crate::control::event::{ControlEvent, ReplySender, SendPermit};
 use crate::control::journal::{DiskJournal, JournalError, WriteCheck};
 use crate::control::outbox::PeerOutbox;
 use crate::ids::{HostName, NodeId, Position, ReplicaIncarnation, TargetName, Term};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat, TargetController};
 use crate::placement::fleet::FleetController;
 use crate::placement::named_limits::{IncarnationState, LimitPage, LimitReport};
 use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
 use crate::placement::replica_rates::{PermitReply, PermitRequest, ReplicaRateLimits};
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeases};
-use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat, TargetController};
 use crate::process::settings::ControlSettings;
 use crate::process::wire::{
-    self, AccountStatus, AgentOrders, ControlRefusal, ControlStatus, EntryOrders, LimitStatus,
-    Notice, TableStatus,
+    self, AccountStatus, AgentHeartbeatReply, ControlRefusal, ControlStatus, EntryHeartbeatReply,
+    LimitStatus, PositionUpdate, TableStatus,
 };
 use crate::routing::authority::FreshnessProof;
 use crate::routing::view::{self, SyncPage};
 use crate::table::accounts::{AccountList, AccountSpec};
 use crate::table::quota::QuotaGrantor;
 
-/// Longest pause between two looks at the clock.
-const TICK: Duration = Duration::from_millis(10);
-/// Most events that share one sync.
-const MAX_BATCH: usize = 1024;
-/// Longest wait of a [`ControlEvent::Sync`].
+/// Longest interval between two checks of the clock.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of events, after the first one, that share a sync.
+const MAX_BATCH_EVENTS: usize = 1024;
+/// Longest wait of a [`ControlEvent::Sync`], in milliseconds.
 const MAX_SYNC_WAIT_MS: u64 = 2_000;
-/// Least time between two tellings of changes to members, in milliseconds. A change that
-/// comes alone is told at once; where replicas change hundreds of times a second, a member
-/// asks and pulls ten times a second rather than each time.
-const NEWS_GAP_MS: u64 = 100;
-/// Silence after which an even set of voters sheds one, in milliseconds.
-const SHED_MS: u64 = 3_000;
-/// Whoever leads in it has no predecessor.
+/// Minimum interval between two notifications of members, in milliseconds. A single change is
+/// reported at once; where replicas change hundreds of times a second, a member queries and
+/// pulls ten times a second rather than for each change.
+const NOTIFY_INTERVAL_MS: u64 = 100;
+/// Silence after which an even set of voters drops a voter, in milliseconds.
+const SHED_VOTER_MS: u64 = 3_000;
+/// The first term, whose leader has no predecessor.
 const FIRST_TERM: Term = Term(1);
-/// Pause before a full disk is tried again.
-const FULL_PAUSE: Duration = Duration::from_millis(100);
-/// Time that a stopping leader waits for its heir.
-const HANDOVER_MS: u64 = 2_000;
-
-enum WaiterAnswer {
-    Page(Answer<SyncPage>),
-    Notice(Answer<Notice>),
+/// Delay before a write to a full disk is retried.
+const DISK_FULL_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time for which a stopping leader waits for its successor, in milliseconds.
+const HANDOVER_TIMEOUT_MS: u64 = 2_000;
+
+enum WaiterReply {
+    Page(ReplySender<SyncPage>),
+    PositionUpdate(ReplySender<PositionUpdate>),
 }
 
 struct SyncWaiter {
     cursor: Position,
     until_ms: u64,
-    answer: WaiterAnswer,
+    answer: WaiterReply,
 }
 
-/// Whether the voter goes on.
+/// Whether the voter continues to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RunState {
     Runs,
     Stopped,
 }
 
-/// Drops what comes for a while, as a network would: askers are refused and go
-/// elsewhere. A stop is obeyed.
-fn pass_over(events: &Receiver<ControlEvent>) -> RunState {
-    let until_ms = clock::monotonic_ms() + FULL_PAUSE.as_millis() as u64;
+/// Discards events for a while, as a network would: callers are refused and turn to another
+/// host. A stop is still obeyed.
+fn discard_events(events: &Receiver<ControlEvent>) -> RunState {
+    let until_ms = clock::monotonic_ms() + DISK_FULL_RETRY_DELAY.as_millis() as u64;
     loop {
         let left_ms = until_ms.saturating_sub(clock::monotonic_ms());
         match events.recv_timeout(Duration::from_millis(left_ms)) {
@@ -89,40 +89,41 @@
     }
 }
 
-/// The voter's thread.
+/// State of the voter's thread.
 pub struct ControlLoop {
     settings: ControlSettings,
     replica: LogReplica,
     journal: DiskJournal,
-    duties: Option<TargetController>,
+    targets: Option<TargetController>,
     fleet: Option<FleetController>,
     quotas: Option<QuotaGrantor>,
-    turns: Option<SuspectLeases>,
+    suspect_leases: Option<SuspectLeases>,
     rates: Option<ReplicaRateLimits>,
-    /// The newest configuration that a leader confirmed, and when this host asked.
+    /// Version of the newest configuration that a leader confirmed, and when this host queried
+    /// it.
     confirmed: Option<(u64, u64)>,
     orders: Option<mpsc::UnboundedSender<EngineOrder>>,
-    awaiting: BTreeMap<Position, (Term, Answer<(Position, Reply)>)>,
+    pending_proposals: BTreeMap<Position, (Term, ReplySender<(Position, Reply)>)>,
     waiters: Vec<SyncWaiter>,
-    /// When members were last told of a change.
-    told_ms: u64,
+    /// When members were last notified of a change.
+    notified_ms: u64,
     hosts: BTreeMap<NodeId, HostName>,
-    /// Hosts that this leader has proposed to note.
-    noted: BTreeSet<(NodeId, HostName)>,
+    /// Hosts of disks that this leader has proposed to record.
+    proposed_hosts: BTreeSet<(NodeId, HostName)>,
     outbox: PeerOutbox,
-    /// Reads that wait for the end of this batch of events.
+    /// Linearizable reads that wait for the end of this batch of events.
     deferred: Vec<ControlEvent>,
-    stopping: Option<VoterStop>,
-    /// The latest end of a [`SendPermit`] that was given.
-    permitted_ms: u64,
+    stopping: Option<StopRequest>,
+    /// Latest expiry of all send permits that were given.
+    permitted_until_ms: u64,
 }
 
-/// A stop that was asked for.
-struct VoterStop {
+/// A requested stop.
+struct StopRequest {
     since_ms: u64,
     answer: oneshot::Sender<()>,
-    /// An heir has been asked to stand. Until then it is tried again: this voter may win an
-    /// election that was under way, or its followers may be heard again.
+    /// A successor has been asked to stand for election. Until then the handover is retried:
+    /// this voter may win an election in progress, or hear from its followers again.
     handed_over: bool,
 }
 
@@ -140,74 +141,74 @@
             settings.compact_after,
         );
         let voters = settings.common.control.iter();
-        let hosts = voters.map(|voter| (founding::founder_id(&voter.host), voter.host.clone()));
+        let hosts = voters.map(|voter| (bootstrap::voter_id(&voter.host), voter.host.clone()));
         let mut hosts: BTreeMap<NodeId, HostName> = hosts.collect();
-        // The newest hosts may stand in entries that are not known to be committed.
+        // The latest hosts may be in entries that are not yet known to be committed.
         hosts.extend(replica.logged_hosts());
         hosts.insert(node, settings.common.host.clone());
         Ok(Self {
             settings,
             replica,
             journal,
-            duties: None,
+            targets: None,
             fleet: None,
             quotas: None,
-            turns: None,
+            suspect_leases: None,
             rates: None,
             confirmed: None,
             orders: None,
-            awaiting: BTreeMap::new(),
+            pending_proposals: BTreeMap::new(),
             waiters: Vec::new(),
-            told_ms: 0,
+            notified_ms: 0,
             hosts,
-            noted: BTreeSet::new(),
+            proposed_hosts: BTreeSet::new(),
             outbox: PeerOutbox::default(),
             deferred: Vec::new(),
             stopping: None,
-            permitted_ms: 0,
+            permitted_until_ms: 0,
         })
     }
 
-    /// The ways to the other voters.
+    /// Sets the channels to the other voters.
     pub fn send_messages(&mut self, outbox: PeerOutbox) {
         self.outbox = outbox;
     }
 
-    /// Has the orders of this leader sent by whoever holds the other end.
+    /// Sets the channel for the orders of this leader.
     pub fn send_orders(&mut self, orders: mpsc::UnboundedSender<EngineOrder>) {
         self.orders = Some(orders);
     }
 
-    /// Has each write to the disk checked first, for tests of disks that fail.
+    /// Installs a check before each write to the disk, for tests of failing disks.
     pub fn check_writes(&mut self, check: WriteCheck) {
         self.journal.check_writes(check);
     }
 
-    /// This voter's disk.
+    /// Returns the identity of this voter's disk.
     pub fn node(&self) -> NodeId {
         self.journal.identity().node
     }
 
-    /// Whether this disk is no voter, as far as it knows.
+    /// Returns whether this disk does not vote, as far as it knows.
     pub fn is_learner(&self) -> bool {
         !self.replica.raft().voters().contains(&self.node())
     }
 
-    /// Runs until it is stopped, or the disk fails: then the voter says
-    /// nothing more, as it cannot know what it has kept.
+    /// Runs until it is stopped or its disk fails. After a failure the voter sends nothing
+    /// more, as it cannot know what was saved.
     pub fn run(mut self, events: Receiver<ControlEvent>) -> Result<(), JournalError> {
         loop {
-            match events.recv_timeout(TICK) {
+            match events.recv_timeout(TICK_INTERVAL) {
                 Ok(event) => {
                     self.handle(event);
-                    for event in events.try_iter().take(MAX_BATCH) {
+                    for event in events.try_iter().take(MAX_BATCH_EVENTS) {
                         self.handle(event);
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
-            self.on_time();
+            self.on_tick();
             if self.finish(&events)? == RunState::Stopped || self.is_stopped() {
                 return Ok(());
             }
@@ -220,14 +221,14 @@
     fn handle(&mut self, event: ControlEvent) {
         let now_ms = clock::monotonic_ms();
         match event {
-            event if event.reads_newest() && self.replica.is_behind() => self.deferred.push(event),
+            event if event.is_linearizable() && self.replica.is_behind() => self.deferred.push(event),
             ControlEvent::Raft(from, host, message) => {
                 self.hosts.insert(from, host);
                 self.replica.receive(now_ms, from, message);
             }
             ControlEvent::Enroll(node, host, answer) => {
                 self.enroll(node, host);
-                let _ = answer.send(Ok(self.notice(now_ms)));
+                let _ = answer.send(Ok(self.position_update(now_ms)));
             }
             ControlEvent::Propose(command, answer) => self.propose(command, Some(answer)),
             ControlEvent::Sync {
@@ -236,8 +237,8 @@
                 fresh,
                 answer,
             } => self.on_sync(now_ms, cursor, wait_ms, fresh, answer),
-            ControlEvent::Agent(beat, answer) => self.on_agent(now_ms, &beat, answer),
-            ControlEvent::Entry(beat, answer) => self.on_entry(now_ms, &beat, answer),
+            ControlEvent::AgentHeartbeat(beat, answer) => self.on_agent(now_ms, &beat, answer),
+            ControlEvent::EntryHeartbeat(beat, answer) => self.on_entry(now_ms, &beat, answer),
             ControlEvent::Table(answer) => {
                 let _ = answer.send(self.read_table(now_ms));
             }
@@ -249,19 +250,19 @@
             ControlEvent::Status(answer) => {
                 let _ = answer.send(self.status(now_ms));
             }
-            ControlEvent::Platform(leaving) => {
-                if let Some(duties) = &mut self.duties {
-                    duties.on_leaving_hosts(leaving);
+            ControlEvent::LeavingHosts(leaving) => {
+                if let Some(targets) = &mut self.targets {
+                    targets.on_leaving_hosts(leaving);
                 }
             }
-            ControlEvent::Notice {
+            ControlEvent::PositionUpdate {
                 cursor,
                 wait_ms,
                 answer,
             } => self.waiters.push(SyncWaiter {
                 cursor,
                 until_ms: now_ms + wait_ms.min(MAX_SYNC_WAIT_MS),
-                answer: WaiterAnswer::Notice(answer),
+                answer: WaiterReply::PositionUpdate(answer),
             }),
             ControlEvent::Configuration(answer) => {
                 let newest = self.replica.newest(now_ms);
@@ -279,27 +280,27 @@
             ControlEvent::Accounts(answer) => {
                 let _ = answer.send(self.account_statuses(now_ms));
             }
-            ControlEvent::Quota(ask, answer) => {
-                let granted = self.use_quotas(now_ms, |quotas, _| quotas.grant(now_ms, &ask));
+            ControlEvent::Quota(request, answer) => {
+                let granted = self.with_quotas(now_ms, |quotas, _| quotas.grant(now_ms, &request));
                 let _ = answer.send(granted);
             }
-            ControlEvent::Heard(ids, answer) => {
-                self.tell_fleet(answer, |fleet| fleet.on_heartbeats(now_ms, &ids));
+            ControlEvent::ReplicasSeen(ids, answer) => {
+                self.with_fleet(answer, |fleet| fleet.on_heartbeats(now_ms, &ids));
             }
             ControlEvent::Report(report, answer) => {
                 let _ = answer.send(self.on_report(now_ms, report));
             }
-            ControlEvent::Crowd(report, answer) => {
-                self.tell_fleet(answer, |fleet| fleet.on_queue_report(now_ms, report));
+            ControlEvent::QueuedTokens(report, answer) => {
+                self.with_fleet(answer, |fleet| fleet.on_queue_report(now_ms, report));
             }
-            ControlEvent::Wish(wish, answer) => {
-                let _ = answer.send(self.on_wish(now_ms, &wish));
+            ControlEvent::AdapterRequest(request, answer) => {
+                let _ = answer.send(self.on_adapter_request(now_ms, &request));
             }
-            ControlEvent::Turn(ask, answer) => {
-                let _ = answer.send(self.on_turn(now_ms, &ask));
+            ControlEvent::SuspectLease(request, answer) => {
+                let _ = answer.send(self.on_suspect_lease(now_ms, &request));
             }
-            ControlEvent::TurnEnded(end, answer) => {
-                let ended = self.turns.as_mut().map(|turns| turns.release(end));
+            ControlEvent::SuspectLeaseEnd(end, answer) => {
+                let ended = self.suspect_leases.as_mut().map(|leases| leases.release(end));
                 let _ = answer.send(ended.ok_or_else(|| self.not_leader()));
             }
             ControlEvent::Permit(request, answer) => {
@@ -310,18 +311,18 @@
             }
             ControlEvent::Contents(answer) => {
                 let newest = self.replica.newest(now_ms);
-                let book = newest.map(|state| state.crashes.clone());
-                let _ = answer.send(book.ok_or_else(|| self.not_leader()));
+                let crashes = newest.map(|state| state.crashes.clone());
+                let _ = answer.send(crashes.ok_or_else(|| self.not_leader()));
             }
-            ControlEvent::MayOrder(term, answer) => {
+            ControlEvent::OrderPermit(term, answer) => {
                 let _ = answer.send(self.permit_order(now_ms, term));
             }
-            ControlEvent::Ordered(order, outcome) => self.on_ordered(now_ms, &order, outcome),
+            ControlEvent::OrderDone(order, outcome) => self.on_order_done(now_ms, &order, outcome),
             ControlEvent::Compare(record, answer) => {
                 let _ = answer.send(Ok(self.replica.state().compare_heartbeat(&record)));
             }
             ControlEvent::Stop(answer) => {
-                self.stopping = Some(VoterStop {
+                self.stopping = Some(StopRequest {
                     since_ms: now_ms,
                     answer,
                     handed_over: false,
@@ -330,7 +331,7 @@
         }
     }
 
-    fn propose(&mut self, command: Command, answer: Option<Answer<(Position, Reply)>>) {
+    fn propose(&mut self, command: Command, answer: Option<ReplySender<(Position, Reply)>>) {
         let refusal = match self.stopping {
             Some(_) => Err(ControlRefusal::Stopping),
             None => {
@@ -340,7 +341,8 @@
         };
         match (refusal, answer) {
             (Ok(mark), Some(answer)) => {
-                self.awaiting.insert(mark.index, (mark.term, answer));
+                self.pending_proposals
+                    .insert(mark.index, (mark.term, answer));
             }
             (Err(refusal), Some(answer)) => {
                 let _ = answer.send(Err(refusal));
@@ -357,8 +359,8 @@
             self.propose(command, None);
         }
         let last = self.replica.raft().last().index;
-        if let Some(duties) = &mut self.duties {
-            duties.await_position(last);
+        if let Some(targets) = &mut self.targets {
+            targets.await_position(last);
         }
     }
 
@@ -368,7 +370,7 @@
         cursor: Position,
         wait_ms: u64,
         fresh: bool,
-        answer: Answer<SyncPage>,
+        answer: ReplySender<SyncPage>,
     ) {
         let newest = self.replica.newest(now_ms).is_some();
         let state = self.replica.state();
@@ -382,40 +384,47 @@
             false => self.waiters.push(SyncWaiter {
                 cursor,
                 until_ms: now_ms + wait_ms.min(MAX_SYNC_WAIT_MS),
-                answer: WaiterAnswer::Page(answer),
+                answer: WaiterReply::Page(answer),
             }),
         }
     }
 
-    /// Only the leader acts on it, and only where it can reach the host's disk.
+    /// Makes a disk a learner and records its host, if this voter leads.
     fn enroll(&mut self, node: NodeId, host: HostName) {
         self.hosts.insert(node, host.clone());
         if !self.replica.raft().is_leader() {
             return;
         }
         self.replica.raft_mut().add_learner(node);
-        self.note_host(node, host);
+        self.record_host(node, host);
     }
 
-    /// Keeps in the log where a disk is reached, for a restart of all voters.
-    fn note_host(&mut self, node: NodeId, host: HostName) {
+    /// Records in the log on which host a disk is reached, for a restart of all voters.
+    fn record_host(&mut self, node: NodeId, host: HostName) {
         let known = self.replica.state().voter_hosts.get(&node) == Some(&host);
-        if self.settings.open_membership && !known && self.noted.insert((node, host.clone())) {
+        if self.settings.open_membership
+            && !known
+            && self.proposed_hosts.insert((node, host.clone()))
+        {
             self.propose(Command::VoterHost(node, host), None);
         }
     }
 
-    fn tell_fleet<T>(&mut self, answer: Answer<T>, tell: impl FnOnce(&mut FleetController) -> T) {
-        let told = match &mut self.fleet {
-            Some(fleet) => Ok(tell(fleet)),
+    fn with_fleet<T>(
+        &mut self,
+        answer: ReplySender<T>,
+        update: impl FnOnce(&mut FleetController) -> T,
+    ) {
+        let updated = match &mut self.fleet {
+            Some(fleet) => Ok(update(fleet)),
             None => Err(self.not_leader()),
         };
-        let _ = answer.send(told);
+        let _ = answer.send(updated);
     }
 
     fn account_statuses(&mut self, now_ms: u64) -> Result<Vec<AccountStatus>, ControlRefusal> {
-        self.use_quotas(now_ms, |quotas, book| {
-            let accounts = book.map_or(&[][..], |book| &book.accounts);
+        self.with_quotas(now_ms, |quotas, table| {
+            let accounts = table.map_or(&[][..], |table| &table.accounts);
             let status = |account: &AccountSpec| AccountStatus {
                 name: account.name.clone(),
                 priority: account.priority,
@@ -429,8 +438,9 @@
         })
     }
 
-    /// What a leader makes of its quotas, by the accounts of the newest configuration.
-    fn use_quotas<T>(
+    /// Calls `make` with the leader's quotas, updated to the accounts of the newest
+    /// configuration.
+    fn with_quotas<T>(
         &mut self,
         now_ms: u64,
         make: impl FnOnce(&mut QuotaGrantor, Option<&AccountList>) -> T,
@@ -439,34 +449,39 @@
             return Err(self.not_leader());
         };
         let record = state.configuration.as_ref();
-        let book = record.and_then(|record| record.configuration.accounts.as_ref());
-        quotas.set_limits(configured_version(state), book);
-        Ok(make(quotas, book))
+        let accounts = record.and_then(|record| record.configuration.accounts.as_ref());
+        quotas.set_limits(configured_version(state), accounts);
+        Ok(make(quotas, accounts))
     }
 
-    fn on_wish(&mut self, now_ms: u64, wish: &AdapterPlacement) -> Result<bool, ControlRefusal> {
+    fn on_adapter_request(
+        &mut self,
+        now_ms: u64,
+        request: &AdapterPlacement,
+    ) -> Result<bool, ControlRefusal> {
         let (Some(state), Some(fleet)) = (self.replica.newest(now_ms), &mut self.fleet) else {
             return Err(self.not_leader());
         };
-        let (soon, order) = fleet.on_adapter_request(state, now_ms, wish);
+        let (soon, order) = fleet.on_adapter_request(state, now_ms, request);
         if let Some(order) = order {
             self.send_order(now_ms, order);
         }
         Ok(soon)
     }
 
-    fn on_turn(
+    fn on_suspect_lease(
         &mut self,
         now_ms: u64,
-        ask: &SuspectLeaseRequest,
+        request: &SuspectLeaseRequest,
     ) -> Result<SuspectLeaseReply, ControlRefusal> {
-        let (Some(state), Some(turns)) = (self.replica.newest(now_ms), &mut self.turns) else {
+        let (Some(state), Some(leases)) = (self.replica.newest(now_ms), &mut self.suspect_leases)
+        else {
             return Err(self.not_leader());
         };
-        let standing = ContentStanding::of(state.crashes.count(&ask.content));
-        let answer = turns.request(now_ms, standing, ask);
-        let (content, replica) = (ask.content, &ask.replica);
-        tracing::debug!(%content, %replica, ?standing, ?answer, "turn of a suspect content");
+        let standing = ContentStanding::of(state.crashes.count(&request.content));
+        let answer = leases.request(now_ms, standing, request);
+        let (content, replica) = (request.content, &request.replica);
+        tracing::debug!(%content, %replica, ?standing, ?answer, "suspect lease requested");
         Ok(answer)
     }
 
@@ -475,7 +490,7 @@
         now_ms: u64,
         request: &PermitRequest,
     ) -> Result<PermitReply, ControlRefusal> {
-        self.use_rates(now_ms, |rates, state| {
+        self.with_rates(now_ms, |rates, state| {
             rates.permit(now_ms, request, state.warm_up(&request.service))
         })
     }
@@ -485,10 +500,10 @@
         now_ms: u64,
         report: &LimitReport,
     ) -> Result<LimitPage, ControlRefusal> {
-        self.use_rates(now_ms, |rates, _| rates.report(now_ms, report))
+        self.with_rates(now_ms, |rates, _| rates.report(now_ms, report))
     }
 
-    fn use_rates<T>(
+    fn with_rates<T>(
         &mut self,
         now_ms: u64,
         make: impl FnOnce(&mut ReplicaRateLimits, &SiteState) -> T,
@@ -508,7 +523,7 @@
         let (true, Some(fleet), Some(rates)) = (leads, &mut self.fleet, &self.rates) else {
             return Err(self.not_leader());
         };
-        let report = believe(report);
+        let report = drop_invalid_figures(report);
         let limits = rates.page(now_ms, report.limits);
         Ok(ReportReply {
             entries: fleet.on_report(now_ms, report),
@@ -522,15 +537,16 @@
             return Err(self.not_leader());
         }
         let until_ms = self.replica.raft().lease_until_ms(now_ms);
-        self.permitted_ms = self.permitted_ms.max(until_ms);
+        self.permitted_until_ms = self.permitted_until_ms.max(until_ms);
         Ok(SendPermit { until_ms })
     }
 
-    /// Hands over once asked to stop. A permit promises that no other decides until its end:
-    /// an heir, which is elected within milliseconds, would order beside what was permitted.
-    fn hand_over_when_free(&mut self, now_ms: u64) {
+    /// Hands over the leadership after a stop was requested and all send permits have expired.
+    /// A permit promises that no other leader decides before its expiry; a successor, elected
+    /// within milliseconds, would send its orders in parallel with a permitted one.
+    fn hand_over_after_permits(&mut self, now_ms: u64) {
         match &mut self.stopping {
-            Some(stop) if !stop.handed_over && now_ms >= self.permitted_ms => {
+            Some(stop) if !stop.handed_over && now_ms >= self.permitted_until_ms => {
                 stop.handed_over = self.replica.raft_mut().hand_over(now_ms);
             }
             _ => {}
@@ -552,7 +568,7 @@
         }
     }
 
-    fn on_ordered(&mut self, now_ms: u64, order: &EngineOrder, outcome: OrderOutcome) {
+    fn on_order_done(&mut self, now_ms: u64, order: &EngineOrder, outcome: OrderOutcome) {
         let Some(fleet) = &mut self.fleet else {
             return;
         };
@@ -581,17 +597,22 @@
         }
     }
 
-    fn on_agent(&mut self, now_ms: u64, beat: &AgentHeartbeat, answer: Answer<AgentOrders>) {
-        let (Some(state), Some(duties)) = (self.replica.newest(now_ms), &mut self.duties) else {
+    fn on_agent(
+        &mut self,
+        now_ms: u64,
+        beat: &AgentHeartbeat,
+        answer: ReplySender<AgentHeartbeatReply>,
+    ) {
+        let (Some(state), Some(targets)) = (self.replica.newest(now_ms), &mut self.targets) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let commands = duties.on_agent_heartbeat(state, now_ms, beat);
+        let commands = targets.on_agent_heartbeat(state, now_ms, beat);
         let target = TargetName(beat.host.0.clone());
         let member = state.members.get(&beat.host);
         let current = member.is_some_and(|member| member.incarnation == beat.incarnation);
-        let orders = AgentOrders {
-            plan: current.then(|| duties.target_plan(state, &target, beat)),
+        let orders = AgentHeartbeatReply {
+            plan: current.then(|| targets.target_plan(state, &target, beat)),
             position: state.changed(),
         };
         let _ = answer.send(Ok(orders));
@@ -600,14 +621,19 @@
         }
     }
 
-    fn on_entry(&mut self, now_ms: u64, beat: &EntryHeartbeat, answer: Answer<EntryOrders>) {
-        let (Some(state), Some(duties)) = (self.replica.newest(now_ms), &mut self.duties) else {
+    fn on_entry(
+        &mut self,
+        now_ms: u64,
+        beat: &EntryHeartbeat,
+        answer: ReplySender<EntryHeartbeatReply>,
+    ) {
+        let (Some(state), Some(targets)) = (self.replica.newest(now_ms), &mut self.targets) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let (grants, commands) = duties.on_entry_heartbeat(state, now_ms, beat);
+        let (grants, commands) = targets.on_entry_heartbeat(state, now_ms, beat);
         let member = state.members.get(&beat.host);
-        let orders = EntryOrders {
+        let orders = EntryHeartbeatReply {
             grants,
             rejoin: member.is_none_or(|member| member.incarnation != beat.incarnation),
             position: state.changed(),
@@ -619,9 +645,9 @@
     }
 
     fn read_table(&self, now_ms: u64) -> Result<TableStatus, ControlRefusal> {
-        match (self.replica.newest(now_ms), &self.duties) {
-            (Some(state), Some(duties)) => Ok(wire::table_status(state, |version| {
-                duties.in_force(state, version)
+        match (self.replica.newest(now_ms), &self.targets) {
+            (Some(state), Some(targets)) => Ok(wire::table_status(state, |version| {
+                targets.in_force(state, version)
             })),
             _ => Err(self.not_leader()),
         }
@@ -659,46 +685,46 @@
         ControlRefusal::NotLeader(voter.map(|voter| voter.address.to_string()))
     }
 
-    fn on_time(&mut self) {
+    fn on_tick(&mut self) {
         let now_ms = clock::monotonic_ms();
-        self.hand_over_when_free(now_ms);
+        self.hand_over_after_permits(now_ms);
         self.replica.tick(now_ms);
-        self.follow_leadership(now_ms);
-        let commands = match (self.replica.newest(now_ms), &mut self.duties) {
-            (Some(state), Some(duties)) => duties.round(state, now_ms, clock::stamp_ms()),
+        self.update_leadership(now_ms);
+        let commands = match (self.replica.newest(now_ms), &mut self.targets) {
+            (Some(state), Some(targets)) => targets.round(state, now_ms, clock::stamp_ms()),
             _ => Vec::new(),
         };
         self.propose_all(commands);
         self.fleet_round(now_ms);
-        let _ = self.use_rates(now_ms, |rates, state| {
-            rates.prune(now_ms, |life| life_state(state, life));
+        let _ = self.with_rates(now_ms, |rates, state| {
+            rates.prune(now_ms, |life| incarnation_state(state, life));
         });
         let hosts = &self.hosts;
         let host_of = |node: NodeId| hosts.get(&node).cloned();
         let changed = match self.settings.open_membership {
-            true => self.replica.adjust_voters(now_ms, SHED_MS, host_of),
+            true => self.replica.adjust_voters(now_ms, SHED_VOTER_MS, host_of),
             false => self.replica.replace_voter(now_ms, host_of),
         };
         if changed {
             let voters = self.replica.raft().voters();
-            tracing::info!(?voters, "changes the voters");
+            tracing::info!(?voters, "change of the voters proposed");
         }
     }
 
-    fn follow_leadership(&mut self, now_ms: u64) {
+    fn update_leadership(&mut self, now_ms: u64) {
         let leads = self.replica.raft().is_leader();
         let term = self.replica.raft().term();
-        let known = self.duties.as_ref().map(|duties| duties.term());
+        let known = self.targets.as_ref().map(|targets| targets.term());
         match leads {
             true if known == Some(term) => {}
             true => {
                 let policy = self.settings.duties.policy();
                 let state = self.replica.state();
-                self.duties = Some(TargetController::new(policy, state, term, now_ms));
+                self.targets = Some(TargetController::new(policy, state, term, now_ms));
                 let holder = self.settings.common.host.clone();
                 let fleet = FleetController::new(self.settings.fleet, holder, term, now_ms);
                 self.fleet = Some(fleet);
-                self.turns = Some(SuspectLeases::default());
+                self.suspect_leases = Some(SuspectLeases::default());
                 self.rates = Some(ReplicaRateLimits::new(term, now_ms));
                 self.quotas = Some(match term {
                     FIRST_TERM => QuotaGrantor::of_first_leader(now_ms),
@@ -706,10 +732,10 @@
                 });
                 tracing::info!(%term, "leads");
                 self.propose(Command::Site(self.settings.site.clone()), None);
-                self.noted.clear();
+                self.proposed_hosts.clear();
                 for voter in self.replica.raft().voters().clone() {
                     if let Some(host) = self.hosts.get(&voter).cloned() {
-                        self.note_host(voter, host);
+                        self.record_host(voter, host);
                     }
                 }
             }
@@ -718,18 +744,18 @@
                     let leader = self.replica.raft().leader();
                     tracing::info!(term = %fleet.term(), ?leader, "leads no more");
                 }
-                self.duties = None;
+                self.targets = None;
                 self.quotas = None;
-                self.turns = None;
+                self.suspect_leases = None;
                 self.rates = None;
-                self.abandon();
+                self.fail_pending();
             }
         }
     }
 
-    /// What was proposed by a leader that leads no more may still be committed.
-    fn abandon(&mut self) {
-        for (_, (_, answer)) in std::mem::take(&mut self.awaiting) {
+    /// Refuses all pending proposals of a former leader; they may still be committed.
+    fn fail_pending(&mut self) {
+        for (_, (_, answer)) in std::mem::take(&mut self.pending_proposals) {
             let _ = answer.send(Err(ControlRefusal::NoQuorum));
         }
     }
@@ -747,21 +773,21 @@
             }
         }
         for (mark, reply) in output.replies {
-            if let Some((term, answer)) = self.awaiting.remove(&mark.index) {
-                let same = term == mark.term;
+            if let Some((term, answer)) = self.pending_proposals.remove(&mark.index) {
+                let same_term = term == mark.term;
                 let reply = Ok((mark.index, reply));
-                let _ = answer.send(reply.and_then(|reply| match same {
+                let _ = answer.send(reply.and_then(|reply| match same_term {
                     true => Ok(reply),
                     false => Err(ControlRefusal::NoQuorum),
                 }));
             }
         }
-        self.answer_waiters(now_ms);
+        self.reply_to_waiters(now_ms);
         Ok(RunState::Runs)
     }
 
-    /// Saves all records, and waits where the disk is full: until they are on it,
-    /// nothing that follows from them may leave.
+    /// Saves all records, and waits while the disk is full: nothing that depends on them may be
+    /// sent before they are saved.
     fn save(
         &mut self,
         records: &[DiskRecord],
@@ -770,14 +796,14 @@
         let mut left = records;
         let mut full_since_ms = None;
         while !left.is_empty() {
-            match self.journal.save_part(left) {
+            match self.journal.save_prefix(left) {
                 Ok(saved) => left = &left[saved..],
                 Err(error) if error.is_full() => {
                     if full_since_ms.is_none() {
-                        tracing::warn!(%error, "the disk is full: this voter waits for room");
+                        tracing::warn!(%error, "disk is full; the voter waits for free space");
                         full_since_ms = Some(clock::monotonic_ms());
                     }
-                    if pass_over(events) == RunState::Stopped {
+                    if discard_events(events) == RunState::Stopped {
                         return Ok(RunState::Stopped);
                     }
                 }
@@ -786,41 +812,41 @@
         }
         if let Some(since_ms) = full_since_ms {
             let waited_ms = clock::monotonic_ms() - since_ms;
-            tracing::info!(waited_ms, "the disk has room again");
+            tracing::info!(waited_ms, "disk has free space again");
         }
         Ok(RunState::Runs)
     }
 
-    fn answer_waiters(&mut self, now_ms: u64) {
+    fn reply_to_waiters(&mut self, now_ms: u64) {
         let changed = self.replica.state().changed();
-        let tells = now_ms >= self.told_ms + NEWS_GAP_MS;
-        let has_news = |waiter: &SyncWaiter| changed > waiter.cursor;
+        let may_send = now_ms >= self.notified_ms + NOTIFY_INTERVAL_MS;
+        let is_behind = |waiter: &SyncWaiter| changed > waiter.cursor;
         let due =
-            |waiter: &mut SyncWaiter| waiter.until_ms <= now_ms || (tells && has_news(waiter));
+            |waiter: &mut SyncWaiter| waiter.until_ms <= now_ms || (may_send && is_behind(waiter));
         let due: Vec<SyncWaiter> = self.waiters.extract_if(.., due).collect();
-        if due.iter().any(has_news) {
-            self.told_ms = now_ms;
+        if due.iter().any(is_behind) {
+            self.notified_ms = now_ms;
         }
         for waiter in due {
             match waiter.answer {
-                WaiterAnswer::Page(answer) => {
+                WaiterReply::Page(answer) => {
                     let page = view::page_after(self.replica.state(), waiter.cursor);
                     let _ = answer.send(Ok(page));
                 }
-                WaiterAnswer::Notice(answer) => {
-                    let _ = answer.send(Ok(self.notice(now_ms)));
+                WaiterReply::PositionUpdate(answer) => {
+                    let _ = answer.send(Ok(self.position_update(now_ms)));
                 }
             }
         }
     }
 
-    fn notice(&self, now_ms: u64) -> Notice {
+    fn position_update(&self, now_ms: u64) -> PositionUpdate {
         let state = self.replica.state();
         let mut hosts: BTreeSet<HostName> = state.voter_hosts.values().cloned().collect();
         hosts.insert(self.settings.common.host.clone());
         let leader = self.replica.raft().leader();
         hosts.extend(leader.and_then(|node| self.hosts.get(&node)).cloned());
-        Notice {
+        PositionUpdate {
             hall: self.settings.common.hall.clone(),
             position: state.changed(),
             leaderless_ms: self.replica.raft().leaderless_ms(now_ms),
@@ -829,7 +855,7 @@
         }
     }
 
-    /// Which configuration surely was the newest, and how long ago.
+    /// Returns a proof of which configuration was the newest, and how long ago.
     fn proof(&self, now_ms: u64) -> Option<FreshnessProof> {
         match (self.replica.newest(now_ms), self.confirmed) {
             (Some(state), _) if !self.replica.is_behind() => Some(FreshnessProof {
@@ -847,8 +873,9 @@
     fn is_stopped(&mut self) -> bool {
         let now_ms = clock::monotonic_ms();
         let raft = self.replica.raft();
-        let heir = raft.leader().is_some_and(|leader| leader != raft.id());
-        let done = |stop: &mut VoterStop| heir || stop.since_ms + HANDOVER_MS < now_ms;
+        let has_successor = raft.leader().is_some_and(|leader| leader != raft.id());
+        let done =
+            |stop: &mut StopRequest| has_successor || stop.since_ms + HANDOVER_TIMEOUT_MS < now_ms;
         match self.stopping.take_if(done) {
             Some(stop) => {
                 let _ = stop.answer.send(());
@@ -864,9 +891,8 @@
     record.map_or(0, |record| record.configuration.version)
 }
 
-/// An entry's report, without figures where one cannot be true: the entry still counts
-/// among those that report.
-fn life_state(state: &SiteState, life: &ReplicaIncarnation) -> IncarnationState {
+/// Compares an incarnation of a replica with the state; it is over once a later one is known.
+fn incarnation_state(state: &SiteState, life: &ReplicaIncarnation) -> IncarnationState {
     match state.replicas.records().get(&life.id) {
         Some(record) if record.started_ms > life.started_ms => IncarnationState::Replaced,
         Some(_) => IncarnationState::Current,
@@ -874,12 +900,13 @@
     }
 }
 
-/// A report whose figures cannot be true tells of nothing but its entry.
-fn believe(report: EntryReport) -> EntryReport {
+/// Drops the figures of an implausible report. The entry still counts among those that report,
+/// and keeps its limits.
+fn drop_invalid_figures(report: EntryReport) -> EntryReport {
     match report.check() {
         Ok(()) => report,
         Err(error) => {
-            tracing::warn!(host = report.host, %error, "a report cannot be true");
+            tracing::warn!(host = report.host, %error, "implausible report, figures ignored");
             EntryReport {
                 host: report.host,
                 limits: report.limits,
--- a/src/process/member.rs
+++ b/src/process/member.rs
@@ -1,4 +1,4 @@
-//! What entries and agents share: joining the site and following its log.
+//! Code that entries and agents share: joining the site and following its log.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -13,71 +13,72 @@
 use crate::process::settings::CommonSettings;
 use crate::routing::view::SiteView;
 
-/// Longest wait for one change.
+/// Longest time for which a control host may hold back its reply, in milliseconds.
 const SYNC_WAIT_MS: u64 = 1_000;
-/// Time for a call that waits [`SYNC_WAIT_MS`].
-const SYNC_TIME: Duration = Duration::from_millis(2_500);
-/// Pause after a control host that did not answer.
-const SYNC_PAUSE: Duration = Duration::from_millis(100);
-/// Time to join before a process gives up its start.
-const JOIN_TIME: Duration = Duration::from_secs(30);
-
-/// A member's copy of the site, shared by its tasks.
+/// Timeout of a call that may be held for [`SYNC_WAIT_MS`].
+const SYNC_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Delay after a control host did not reply.
+const SYNC_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Timeout of joining, after which the start of a process fails.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// A member's copy of the site's state, shared by its tasks.
 pub struct SiteFollower {
     link: Arc<ControlLink>,
     view: Mutex<SiteView>,
-    /// The highest position that a peer told.
-    heard: AtomicU64,
+    /// Highest position that a peer reported.
+    observed: AtomicU64,
     behind: Notify,
 }
 
 impl SiteFollower {
-    /// A copy of nothing.
+    /// Creates an empty copy.
     pub fn new(link: Arc<ControlLink>) -> Self {
         Self {
             link,
             view: Mutex::new(SiteView::default()),
-            heard: AtomicU64::new(0),
+            observed: AtomicU64::new(0),
             behind: Notify::new(),
         }
     }
 
-    /// The copy.
+    /// Locks the copy.
     pub fn view(&self) -> MutexGuard<'_, SiteView> {
         self.view
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// How far the copy follows the log.
+    /// Returns the log position of the copy.
     pub fn position(&self) -> Position {
         self.view().position
     }
 
-    /// A peer told its position: where it stays ahead, another control host is asked.
-    pub fn heard(&self, position: Position) {
-        let known = self.heard.fetch_max(position.0, Ordering::SeqCst);
+    /// Records the position that a peer reported. If the copy stays behind it, another control
+    /// host is queried.
+    pub fn observe_position(&self, position: Position) {
+        let known = self.observed.fetch_max(position.0, Ordering::SeqCst);
         if position.0 > known {
             self.behind.notify_one();
         }
     }
 
-    /// Returns once the asked control host has kept a change back for too long.
-    async fn overdue(&self) {
+    /// Returns once the copy is still behind a reported position after [`SYNC_RETRY_DELAY`].
+    async fn sync_overdue(&self) {
         loop {
             self.behind.notified().await;
-            tokio::time::sleep(SYNC_PAUSE).await;
-            if self.position().0 < self.heard.load(Ordering::SeqCst) {
+            tokio::time::sleep(SYNC_RETRY_DELAY).await;
+            if self.position().0 < self.observed.load(Ordering::SeqCst) {
                 return;
             }
         }
     }
 
-    /// Fills the copy from a state that nothing newer existed besides.
+    /// Fills the copy with a linearizable read.
     pub async fn start(&self) -> Result<(), PeerError> {
         let page = self
             .link
-            .decide("sync", JOIN_TIME, |client, context| async move {
+            .call_leader("sync", JOIN_TIMEOUT, |client, context| async move {
                 client.sync(context, Position(0), 0, true).await
             })
             .await?;
@@ -85,19 +86,19 @@
         Ok(())
     }
 
-    /// Follows for ever. `seed` spreads members over the control hosts;
-    /// `changed` is called after each page that was followed.
+    /// Follows the log forever. `seed` spreads members over the control hosts; `changed` is
+    /// called after each page that was applied.
     pub async fn run(&self, seed: usize, mut changed: impl FnMut(&SiteView)) {
         let mut number = seed;
         loop {
             let cursor = self.position();
             let asked = self.link.call_any(number, "sync", |client| async move {
-                let context = peers::within(SYNC_TIME);
+                let context = peers::within(SYNC_TIMEOUT);
                 client.sync(context, cursor, SYNC_WAIT_MS, false).await
             });
             let answer = tokio::select! {
                 answer = asked => Some(answer),
-                () = self.overdue() => None,
+                () = self.sync_overdue() => None,
             };
             match answer {
                 Some(Ok(Ok(page))) => {
@@ -109,14 +110,14 @@
                 None => number += 1,
                 Some(_) => {
                     number += 1;
-                    tokio::time::sleep(SYNC_PAUSE).await;
+                    tokio::time::sleep(SYNC_RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-/// Starts a life.
+/// Joins the site and returns the new incarnation.
 pub async fn join(
     link: &ControlLink,
     common: &CommonSettings,
@@ -125,53 +126,59 @@
 ) -> Result<Incarnation, DaemonError> {
     let (host, hall) = (&common.host, &common.hall);
     let command = Command::Join(host.clone(), role, address.to_owned(), hall.clone());
-    match propose(link, "join", JOIN_TIME, command).await? {
-        Reply::Joined(life) => Ok(life),
-        reply => unreachable!("a join was answered with {reply:?}"),
+    match propose(link, "join", JOIN_TIMEOUT, command).await? {
+        Reply::Joined(incarnation) => Ok(incarnation),
+        reply => unreachable!("unexpected reply to a join: {reply:?}"),
     }
 }
 
-/// Goes on with a life that was taken for lost. Returns false where another
-/// process has taken the name.
+/// Resumes an incarnation that was considered lost. Returns false if another process has taken
+/// the host name.
 pub async fn rejoin(
     link: &ControlLink,
     common: &CommonSettings,
     role: MemberRole,
     address: &str,
-    life: Incarnation,
+    incarnation: Incarnation,
 ) -> Result<bool, PeerError> {
     let (host, hall) = (&common.host, &common.hall);
-    let command = Command::Rejoin(host.clone(), role, address.to_owned(), hall.clone(), life);
-    let reply = propose(link, "rejoin", SYNC_TIME, command).await?;
-    Ok(reply == Reply::Joined(life))
+    let command = Command::Rejoin(
+        host.clone(),
+        role,
+        address.to_owned(),
+        hall.clone(),
+        incarnation,
+    );
+    let reply = propose(link, "rejoin", SYNC_TIMEOUT, command).await?;
+    Ok(reply == Reply::Joined(incarnation))
 }
 
 /// Commits a command.
 pub async fn propose(
     link: &ControlLink,
     step: &'static str,
-    patience: Duration,
+    timeout: Duration,
     command: Command,
 ) -> Result<Reply, PeerError> {
-    let answer = propose_at(link, step, patience, command).await;
+    let answer = propose_at(link, step, timeout, command).await;
     answer.map(|(_, reply)| reply)
 }
 
-/// The same, with where in the log it stands.
+/// Commits a command and returns its position in the log as well.
 pub async fn propose_at(
     link: &ControlLink,
     step: &'static str,
-    patience: Duration,
+    timeout: Duration,
     command: Command,
 ) -> Result<(Position, Reply), PeerError> {
-    link.decide(step, patience, |client, context| {
+    link.call_leader(step, timeout, |client, context| {
         let command = command.clone();
         async move { client.propose(context, command).await }
     })
     .await
 }
 
-/// A number for a host, to spread members over control hosts.
+/// Returns a number derived from the host name, to spread members over control hosts.
 pub fn spread_seed(host: &HostName) -> usize {
     crc32fast::hash(host.as_str().as_bytes()) as usize
 }
--- a/src/process/peers.rs
+++ b/src/process/peers.rs
@@ -1,5 +1,5 @@
-//! Connections between the system's own processes: framing, the handshake by
-//! which both sides prove the shared secret, and clients that reconnect.
+//! Connections between the system's own processes: framing, the handshake by which both sides
+//! prove that they know the shared secret, and clients that reconnect.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -24,89 +24,91 @@
 
 use crate::process::wire::{AgentWireClient, ControlRefusal, ControlWireClient, PROTOCOL};
 
-/// Longest frame of a handshake, in bytes.
-const HELLO_FRAME: usize = 4096;
-/// Longest frame afterwards: a snapshot of the largest site fits.
-const MAX_FRAME: usize = 64 << 20;
-/// Longest handshake.
-const HELLO_TIME: Duration = Duration::from_millis(1_000);
-/// Longest time for a connection to come up. A host without power says nothing,
-/// and a lost first packet is sent again only after a second.
-const CONNECT_TIME: Duration = Duration::from_millis(250);
-/// Time without an answer after which a further connection is begun: far above a
-/// round trip within a region, and a fifth of the whole time.
-const CONNECT_AGAIN: Duration = Duration::from_millis(50);
-/// Least time between two tries to reach the same peer.
-const REDIAL_TIME: Duration = Duration::from_millis(100);
-/// Connections that may be in their handshake at once.
-const MAX_GREETING: usize = 256;
+/// Maximum length of a frame during the handshake.
+const MAX_HANDSHAKE_FRAME_BYTES: usize = 4096;
+/// Maximum length of a frame after the handshake: a snapshot of the largest site fits.
+const MAX_FRAME_BYTES: usize = 64 << 20;
+/// Timeout of the handshake, with the connection setup on the client's side.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of the connection setup. A host without power does not respond, and a lost first
+/// packet is sent again only after a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time without a response after which another connection is started: far above a round trip
+/// within a region, and a fifth of [`CONNECT_TIMEOUT`].
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Minimum interval between two attempts to reach the same peer.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Maximum number of connections in their handshake.
+const MAX_HANDSHAKES: usize = 256;
 
 type Frames = Framed<TcpStream, LengthDelimitedCodec>;
-/// A framed, authenticated connection that carries calls.
+/// Framed, authenticated connection that carries calls.
 pub type PeerTransport<In, Out> =
     tarpc::serde_transport::Transport<TcpStream, In, Out, Bincode<In, Out>>;
 
-/// Why a peer could not be reached or believed.
+/// Reason why a peer could not be reached or authenticated, or did not do what it was called
+/// for.
 #[derive(Debug, Snafu)]
 pub enum PeerError {
     /// The connection failed.
     #[snafu(display("cannot {step} peer {peer}: {source}"))]
     Io {
-        /// What was tried.
+        /// The operation.
         step: &'static str,
-        /// The peer's address.
+        /// Address of the peer.
         peer: String,
-        /// The system's answer.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The peer is of another version.
+    /// The peer has another protocol version.
     #[snafu(display("peer {peer} speaks protocol {theirs}, this process {PROTOCOL}"))]
     Version {
-        /// The peer's address.
+        /// Address of the peer.
         peer: String,
-        /// Its version.
+        /// Protocol version of the peer.
         theirs: u32,
     },
     /// The peer does not know the secret.
     #[snafu(display("peer {peer} failed the proof of the shared secret"))]
     Proof {
-        /// The peer's address.
+        /// Address of the peer.
         peer: String,
     },
-    /// The peer closed or was silent in the handshake.
+    /// The peer closed the connection or did not respond during the handshake, or was
+    /// unreachable a moment ago.
     #[snafu(display("peer {peer} did not finish the handshake"))]
     Handshake {
-        /// The peer's address.
+        /// Address of the peer.
         peer: String,
     },
     /// A call failed.
     #[snafu(display("call {step} to peer {peer} failed: {source}"))]
     Call {
-        /// Which call.
+        /// Name of the call.
         step: &'static str,
-        /// The peer's address.
+        /// Address of the peer.
         peer: String,
-        /// Why.
+        /// The cause.
         source: RpcError,
     },
-    /// No control host did what was asked.
+    /// No control host accepted a call.
     #[snafu(display("call {step} to control failed at {peer}: {refusal:?}"))]
     Refused {
-        /// Which call.
+        /// Name of the call.
         step: &'static str,
-        /// The last host asked.
+        /// Address of the last host that was called.
         peer: String,
         /// Its refusal.
         refusal: ControlRefusal,
     },
 }
 
-/// The secret that all processes of a site share. Its text is never shown.
+/// Secret that all processes of a site share. Its text is never shown.
 #[derive(Clone)]
 pub struct SiteSecret(Arc<[u8]>);
 
 impl SiteSecret {
-    /// Takes the secret from settings.
+    /// Creates the secret from its text in the settings.
     pub fn new(text: &str) -> Self {
         Self(text.as_bytes().into())
     }
@@ -124,7 +126,7 @@
         mac
     }
 
-    /// Compares in constant time.
+    /// Verifies a proof in constant time.
     fn check(&self, side: &str, nonces: [&[u8; 32]; 2], proof: &[u8; 32]) -> bool {
         self.mac(side, nonces).verify_slice(proof).is_ok()
     }
@@ -161,7 +163,7 @@
 }
 
 async fn send<T: Serialize>(frames: &mut Frames, peer: &str, value: &T) -> Result<(), PeerError> {
-    let bytes = bincode::serialize(value).expect("greetings encode into memory");
+    let bytes = bincode::serialize(value).expect("handshake messages encode into memory");
     frames
         .send(Bytes::from(bytes))
         .await
@@ -190,12 +192,12 @@
     }
 }
 
-async fn greet_as_server(
+async fn server_handshake(
     stream: TcpStream,
     peer: &str,
     secret: &SiteSecret,
 ) -> Result<Frames, PeerError> {
-    let mut frames = Framed::new(stream, codec(HELLO_FRAME));
+    let mut frames = Framed::new(stream, codec(MAX_HANDSHAKE_FRAME_BYTES));
     let nonce: [u8; 32] = rand::rng().random();
     let challenge = Challenge {
         protocol: PROTOCOL,
@@ -214,12 +216,12 @@
     Ok(frames)
 }
 
-async fn greet_as_client(
+async fn client_handshake(
     stream: TcpStream,
     peer: &str,
     secret: &SiteSecret,
 ) -> Result<Frames, PeerError> {
-    let mut frames = Framed::new(stream, codec(HELLO_FRAME));
+    let mut frames = Framed::new(stream, codec(MAX_HANDSHAKE_FRAME_BYTES));
     let challenge: Challenge = receive(&mut frames, peer).await?;
     check_version(peer, challenge.protocol)?;
     let nonce: [u8; 32] = rand::rng().random();
@@ -238,14 +240,14 @@
     }
 }
 
-async fn in_time<T>(
+async fn with_handshake_timeout<T>(
     peer: &str,
-    greeting: impl Future<Output = Result<T, PeerError>>,
+    handshake: impl Future<Output = Result<T, PeerError>>,
 ) -> Result<T, PeerError> {
     let late = |_| PeerError::Handshake {
         peer: peer.to_owned(),
     };
-    tokio::time::timeout(HELLO_TIME, greeting)
+    tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake)
         .await
         .map_err(late)?
 }
@@ -255,12 +257,12 @@
     In: DeserializeOwned,
     Out: Serialize,
 {
-    // Nothing may be buffered: the peer speaks again only after the greeting.
-    let framed = Framed::new(frames.into_inner(), codec(MAX_FRAME));
+    // Nothing can be buffered here: the peer sends more only after the handshake.
+    let framed = Framed::new(frames.into_inner(), codec(MAX_FRAME_BYTES));
     tarpc::serde_transport::new(framed, Bincode::default())
 }
 
-/// Connects to a peer.
+/// Connects to a peer and authenticates it.
 pub async fn dial<In, Out>(
     address: &str,
     secret: &SiteSecret,
@@ -280,30 +282,31 @@
             peer: address.to_owned(),
             source,
         })?;
-        greet_as_client(stream, address, secret).await
+        client_handshake(stream, address, secret).await
     };
-    Ok(transport(in_time(address, connect).await?))
+    Ok(transport(with_handshake_timeout(address, connect).await?))
 }
 
-/// Opens a connection. While nothing answers, further ones are begun: the first packet
-/// to a host that is just coming back is lost, and is sent again only after a second.
+/// Opens a connection. While there is no response, further attempts are started: the first
+/// packet to a host that is just coming back is lost, and is sent again only after a second.
 async fn connect(address: &str) -> io::Result<TcpStream> {
-    let mut begun = FuturesUnordered::new();
+    let mut pending = FuturesUnordered::new();
     let tries = async {
-        begun.push(TcpStream::connect(address));
+        pending.push(TcpStream::connect(address));
         loop {
-            match tokio::time::timeout(CONNECT_AGAIN, begun.next()).await {
+            match tokio::time::timeout(CONNECT_RETRY_DELAY, pending.next()).await {
                 Ok(Some(connected)) => return connected,
-                Ok(None) | Err(_) => begun.push(TcpStream::connect(address)),
+                Ok(None) | Err(_) => pending.push(TcpStream::connect(address)),
             }
         }
     };
     let late = |_| io::Error::from(io::ErrorKind::TimedOut);
-    let connected = tokio::time::timeout(CONNECT_TIME, tries).await;
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, tries).await;
     connected.map_err(late).and_then(|connected| connected)
 }
 
-/// Accepts peers until the listener fails; `serve` gets each that proved the secret.
+/// Accepts peers in an endless loop; `serve` gets the connection of each peer that proved the
+/// secret.
 pub async fn listen<In, Out>(
     listener: TcpListener,
     secret: SiteSecret,
@@ -312,41 +315,43 @@
     In: DeserializeOwned + Send + 'static,
     Out: Serialize + Send + 'static,
 {
-    let greeting = Arc::new(tokio::sync::Semaphore::new(MAX_GREETING));
+    let handshake = Arc::new(tokio::sync::Semaphore::new(MAX_HANDSHAKES));
     loop {
-        let Ok(permit) = greeting.clone().acquire_owned().await else {
+        let Ok(permit) = handshake.clone().acquire_owned().await else {
             return;
         };
         let Ok((stream, address)) = listener.accept().await else {
-            // Out of file handles, most likely: let some close.
-            tokio::time::sleep(REDIAL_TIME).await;
+            // Most likely there are no free file descriptors: wait until some connections
+            // close.
+            tokio::time::sleep(RECONNECT_DELAY).await;
             continue;
         };
         let (secret, serve) = (secret.clone(), serve.clone());
         tokio::spawn(async move {
             let peer = address.to_string();
             let _ = stream.set_nodelay(true);
-            let greeted = in_time(&peer, greet_as_server(stream, &peer, &secret)).await;
+            let authenticated =
+                with_handshake_timeout(&peer, server_handshake(stream, &peer, &secret)).await;
             drop(permit);
-            match greeted {
+            match authenticated {
                 Ok(frames) => serve(transport(frames)),
-                Err(error) => tracing::warn!(%peer, %error, "refused a peer"),
+                Err(error) => tracing::warn!(%peer, %error, "peer rejected in the handshake"),
             }
         });
     }
 }
 
-/// The context of a call that must be answered within `time`.
+/// Returns the context of a call that must be answered within `time`.
 pub fn within(time: Duration) -> tarpc::context::Context {
     let mut context = tarpc::context::current();
     context.deadline = Instant::now() + time;
     context
 }
 
-/// Connects a client of one kind.
+/// Function that connects a client of one kind.
 pub type DialClient<C> = fn(String, SiteSecret) -> BoxFuture<'static, Result<C, PeerError>>;
 
-/// Connects a client of control.
+/// Connects a client of a control host.
 pub fn dial_control(
     address: String,
     secret: SiteSecret,
@@ -357,7 +362,8 @@
     })
 }
 
-/// Locks what a holder that panicked may have left: each change here is one step.
+/// Locks a value even if an earlier holder panicked: every change of these values is a single
+/// step.
 pub(crate) fn lock<T>(shared: &Mutex<T>) -> MutexGuard<'_, T> {
     shared.lock().unwrap_or_else(|broken| broken.into_inner())
 }
@@ -378,8 +384,8 @@
     Broken(Instant),
 }
 
-/// Clients of one kind by address; each connects when first used, and again
-/// after it broke.
+/// Clients of one kind by address. Each connects at its first use, and again after its
+/// connection failed.
 pub struct PeerPool<C> {
     secret: SiteSecret,
     dial: DialClient<C>,
@@ -387,7 +393,7 @@
 }
 
 impl<C: Clone> PeerPool<C> {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(secret: SiteSecret, dial: DialClient<C>) -> Self {
         Self {
             secret,
@@ -410,7 +416,7 @@
         let answer = make(client).await;
         if matches!(
             answer,
-            // A peer behind a cut says nothing: the next call starts anew.
+            // A partitioned peer does not respond: the next call opens a new connection.
             Err(RpcError::Shutdown
                 | RpcError::Channel(_)
                 | RpcError::Send(_)
@@ -425,7 +431,7 @@
         })
     }
 
-    /// Drops the connections to addresses that `keep` no longer names.
+    /// Drops the connections to all addresses for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         self.lock().retain(|address, _| keep(address));
     }
@@ -433,7 +439,7 @@
     async fn client(&self, address: &str) -> Result<C, PeerError> {
         let broken = match self.lock().get(address) {
             Some(PeerSlot::Open(client)) => return Ok(client.clone()),
-            Some(PeerSlot::Broken(at)) => at.elapsed() < REDIAL_TIME,
+            Some(PeerSlot::Broken(at)) => at.elapsed() < RECONNECT_DELAY,
             None => false,
         };
         if broken {
@@ -460,22 +466,23 @@
     }
 }
 
-/// Finds the control host that can answer: the leader for decisions, any for the rest.
+/// Sends calls to the control hosts: to the leader for decisions, to any of them for other
+/// calls.
 pub struct ControlLink {
     pool: PeerPool<ControlWireClient>,
     addresses: Mutex<Vec<String>>,
     leader: Mutex<usize>,
-    /// The host that answered last as one that keeps the log.
+    /// Host that last replied as one that keeps the log.
     confirmed: Mutex<Option<String>>,
 }
 
-/// Time for one call to one control host.
-const CONTROL_CALL: Duration = Duration::from_millis(1500);
+/// Timeout of one call to one control host.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause between rounds over all control hosts.
-const CONTROL_PAUSE: Duration = Duration::from_millis(50);
+const ROUND_PAUSE: Duration = Duration::from_millis(50);
 
 impl ControlLink {
-    /// A link to the control hosts of a site.
+    /// Creates a link to the control hosts of a site.
     pub fn new(secret: SiteSecret, addresses: Vec<String>) -> Self {
         Self {
             pool: PeerPool::new(secret, dial_control),
@@ -485,23 +492,23 @@
         }
     }
 
-    /// The number of control hosts.
+    /// Returns the number of known control hosts.
     pub fn len(&self) -> usize {
         self.known().len()
     }
 
-    /// Whether no control host is known.
+    /// Returns whether no control host is known.
     pub fn is_empty(&self) -> bool {
         self.known().is_empty()
     }
 
-    /// The control hosts that are known.
+    /// Returns the addresses of the known control hosts.
     pub fn addresses(&self) -> Vec<String> {
         self.known().clone()
     }
 
-    /// Adds a control host. Returns whether it was not known.
-    pub fn learn(&self, address: &str) -> bool {
+    /// Adds a control host. Returns whether it was not known before.
+    pub fn add_host(&self, address: &str) -> bool {
         let mut known = self.known();
         let new = !known.iter().any(|other| other == address);
         if new {
@@ -510,13 +517,14 @@
         new
     }
 
-    /// The control host that answered last as one that keeps the log, while it does.
-    /// Others may be sent there; a guess would send relays to each other.
+    /// Returns the control host that last replied as one that keeps the log, until it fails to
+    /// do so. Callers may be redirected there; with a guess, relays would redirect to each
+    /// other.
     pub fn confirmed(&self) -> Option<String> {
         lock(&self.confirmed).clone()
     }
 
-    fn note_confirmed(&self, address: &str, answered: bool) {
+    fn record_confirmed(&self, address: &str, answered: bool) {
         let mut confirmed = lock(&self.confirmed);
         match answered {
             true => *confirmed = Some(address.to_owned()),
@@ -525,7 +533,7 @@
         }
     }
 
-    /// The control host that decided last, or is to be asked next.
+    /// Returns the control host that last decided, or else the next one to try.
     pub fn presumed_leader(&self) -> Option<String> {
         let number = *self.lock();
         (!self.is_empty()).then(|| self.address(number))
@@ -555,7 +563,7 @@
         known[number % known.len()].clone()
     }
 
-    /// Calls the control host of that number, for what any of them can answer.
+    /// Calls the control host with that index, for calls that any of them can answer.
     pub async fn call_any<T, F>(
         &self,
         number: usize,
@@ -569,35 +577,35 @@
         self.pool.call(&address, step, make).await
     }
 
-    /// Calls the leader, following refusals and going round the hosts until
-    /// one decides or `patience` is over.
+    /// Calls the leader: follows the redirections of refusals, and tries all hosts in turn
+    /// until one decides or `timeout` has passed.
     ///
     /// A call may be made more than once, so it must be safe to repeat.
-    pub async fn decide<T, F>(
+    pub async fn call_leader<T, F>(
         &self,
         step: &'static str,
-        patience: Duration,
+        timeout: Duration,
         make: impl Fn(ControlWireClient, tarpc::context::Context) -> F,
     ) -> Result<T, PeerError>
     where
         F: Future<Output = Result<Result<T, ControlRefusal>, RpcError>>,
     {
-        let give_up = Instant::now() + patience;
-        let mut tried = 0;
+        let deadline = Instant::now() + timeout;
+        let mut attempts = 0;
         loop {
             let number = *self.lock();
             let address = &self.address(number);
-            let left = give_up.saturating_duration_since(Instant::now());
-            let context = within(left.min(CONTROL_CALL));
+            let left = deadline.saturating_duration_since(Instant::now());
+            let context = within(left.min(CALL_TIMEOUT));
             let answer = self
                 .pool
                 .call(address, step, |client| make(client, context))
                 .await;
-            self.note_confirmed(address, matches!(answer, Ok(Ok(_))));
+            self.record_confirmed(address, matches!(answer, Ok(Ok(_))));
             let error = match answer {
                 Ok(Ok(value)) => return Ok(value),
                 Ok(Err(refusal)) => {
-                    self.turn_to(number, &refusal);
+                    self.follow_refusal(number, &refusal);
                     PeerError::Refused {
                         step,
                         peer: address.clone(),
@@ -609,37 +617,37 @@
                     error
                 }
             };
-            tried += 1;
-            if Instant::now() + CONTROL_PAUSE >= give_up {
+            attempts += 1;
+            if Instant::now() + ROUND_PAUSE >= deadline {
                 return Err(error);
             }
-            if tried % self.len() == 0 {
-                tokio::time::sleep(CONTROL_PAUSE).await;
+            if attempts % self.len() == 0 {
+                tokio::time::sleep(ROUND_PAUSE).await;
             }
         }
     }
 
-    /// Notes what a host that was taken for the leader answered: after a refusal,
-    /// another one is presumed to lead.
-    pub fn note_answer<T>(
+    /// Records the reply of the presumed leader: after a refusal, another host is presumed to
+    /// lead.
+    pub fn record_reply<T>(
         &self,
         address: &str,
         answer: Result<T, ControlRefusal>,
     ) -> Result<T, ControlRefusal> {
-        self.note_confirmed(address, answer.is_ok());
+        self.record_confirmed(address, answer.is_ok());
         let number = self.known().iter().position(|known| known == address);
         match (&answer, number) {
             (Ok(_), Some(number)) => *self.lock() = number,
-            (Err(refusal), Some(number)) => self.turn_to(number, refusal),
+            (Err(refusal), Some(number)) => self.follow_refusal(number, refusal),
             (_, None) => {}
         }
         answer
     }
 
-    fn turn_to(&self, number: usize, refusal: &ControlRefusal) {
+    fn follow_refusal(&self, number: usize, refusal: &ControlRefusal) {
         let named = match refusal {
             ControlRefusal::NotLeader(Some(address)) => {
-                self.learn(address);
+                self.add_host(address);
                 self.known().iter().position(|known| known == address)
             }
             _ => None,
--- a/tests/orderer.rs
+++ b/tests/orderer.rs
@@ -9,7 +9,7 @@
 
 use dunlinspring::clock;
 use dunlinspring::control::event::{ControlEvent, ControlHandle, SendPermit};
-use dunlinspring::control::orderer::{self, EngineCall, EngineDialect, EngineReport};
+use dunlinspring::control::order_dispatcher::{self, EngineCall, EngineDialect, EngineReport};
 use dunlinspring::ids::{HostName, ModelName, ReplicaId, Term};
 use dunlinspring::placement::order::{EngineOrder, OrderKind, OrderOutcome};
 use dunlinspring::process::wire::ControlRefusal;
@@ -65,12 +65,12 @@
         let mut asked = 0;
         for event in inbox {
             match event {
-                ControlEvent::MayOrder(Term(7), answer) => {
+                ControlEvent::OrderPermit(Term(7), answer) => {
                     // An asker that gave up has dropped its end.
                     let _ = answer.send(permit(asked));
                     asked += 1;
                 }
-                ControlEvent::Ordered(_, outcome) => {
+                ControlEvent::OrderDone(_, outcome) => {
                     ended.send(outcome).unwrap();
                     return;
                 }
@@ -99,7 +99,7 @@
 /// Has one order of term 7 carried to `address`.
 fn start_order(handle: ControlHandle, address: SocketAddr, dialect: EngineDialect) {
     let (orders, ordered) = unbounded_channel();
-    ntex::rt::spawn(orderer::run(ordered, handle, dialect));
+    ntex::rt::spawn(order_dispatcher::run(ordered, handle, dialect));
     let order = order_of(1, address);
     orders.send(order).unwrap();
 }
@@ -392,8 +392,8 @@
     std::thread::spawn(move || {
         for event in inbox {
             match event {
-                ControlEvent::MayOrder(_, answer) => drop(answer.send(lease())),
-                ControlEvent::Ordered(order, outcome) => {
+                ControlEvent::OrderPermit(_, answer) => drop(answer.send(lease())),
+                ControlEvent::OrderDone(order, outcome) => {
                     told.send((order.started_ms, outcome)).unwrap()
                 }
                 _ => panic!("nothing else is asked"),
@@ -401,7 +401,11 @@
         }
     });
     let (orders, ordered) = unbounded_channel();
-    ntex::rt::spawn(orderer::run(ordered, ControlHandle(events), counting()));
+    ntex::rt::spawn(order_dispatcher::run(
+        ordered,
+        ControlHandle(events),
+        counting(),
+    ));
     let mut seen = Vec::new();
     for (started_ms, report) in [(1, "4"), (2, "0")] {
         orders.send(order_of(started_ms, address)).unwrap();
