--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -26,10 +26,10 @@
 use crate::process::crash_report;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::member::{self, SiteFollower};
-use crate::process::metrics::{MetricRegistry, MetricKey};
+use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{self, ControlLink, SiteSecret};
 use crate::process::settings::AgentSettings;
-use crate::process::wire::{AgentHeartbeatReply, AgentWire, AgentReply};
+use crate::process::wire::{AgentHeartbeatReply, AgentReply, AgentWire};
 use crate::routing::view::SiteView;
 
 /// Time between two beats.
--- a/src/control/bootstrap.rs
+++ b/src/control/bootstrap.rs
@@ -7,7 +7,7 @@
 //! Whether a host has a disk never changes, so that all bootstrap hosts come to the same
 //! set, in whatever order they start. Where none of the named hosts has one, these
 //! agree on a single bootstrap host among the hosts that request it, and the others join that
-//! one: see [`crate::consensus::naming`].
+//! one: see [`crate::consensus::paxos`].
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -12,19 +12,21 @@
 use crate::consensus::state::{Command, Reply};
 use crate::ids::{HostName, NodeId, Position, ReplicaId, Term};
 use crate::placement::congestion::{QueueReport, QueuedTokens};
-use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::placement::named_limits::{LimitPage, LimitReport};
 use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeaseRelease};
+use crate::placement::suspect_leases::{
+    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
+};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::process::wire::{
     AccountStatus, AgentHeartbeatReply, ControlRefusal, ControlStatus, EntryHeartbeatReply,
     PositionUpdate, TableStatus,
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
-use crate::table::quota::{QuotaRequest, QuotaGrants};
+use crate::table::quota::{QuotaGrants, QuotaRequest};
 
 /// Channel for the reply to an event.
 pub type ReplySender<T> = oneshot::Sender<Result<T, ControlRefusal>>;
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -18,18 +18,20 @@
 use crate::consensus::claims::{ClaimKey, ClaimRecord};
 use crate::consensus::crashes::CrashStore;
 use crate::consensus::directory::{HeartbeatStatus, ReplicaRecord};
-use crate::consensus::paxos::{self, PaxosReply, PaxosRequest, PaxosAcceptor};
+use crate::consensus::paxos::{self, PaxosAcceptor, PaxosReply, PaxosRequest};
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
 use crate::control::bootstrap;
 use crate::ids::{HallName, HostName, Incarnation, NodeId, Position, ReplicaId};
 use crate::placement::congestion::{QueueReport, QueuedTokens};
-use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::placement::named_limits::{LimitPage, LimitReport};
 use crate::placement::order::AdapterPlacement;
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeaseRelease};
+use crate::placement::suspect_leases::{
+    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
+};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::process::daemon::{self, DaemonError};
 use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{self, ControlLink, PeerError, SiteSecret};
@@ -40,7 +42,7 @@
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
-use crate::table::quota::{QuotaRequest, QuotaGrants};
+use crate::table::quota::{QuotaGrants, QuotaRequest};
 
 /// Delay of the reply to a caller that knows nothing yet: such a caller calls again at once.
 const EMPTY_UPDATE_DELAY: Duration = Duration::from_millis(100);
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -26,12 +26,14 @@
 use crate::control::voter::ControlLoop;
 use crate::ids::{HostName, NodeId, Position, ReplicaId};
 use crate::placement::congestion::{QueueReport, QueuedTokens};
-use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::placement::named_limits::{LimitPage, LimitReport};
 use crate::placement::order::{AdapterPlacement, EngineOrder};
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
-use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeaseRelease};
+use crate::placement::suspect_leases::{
+    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
+};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
 use crate::process::daemon::{self, DaemonError};
 use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{self, ControlLink, PeerPool, SiteSecret};
@@ -42,7 +44,7 @@
 };
 use crate::routing::view::SyncPage;
 use crate::table::configuration::ConfigurationRecord;
-use crate::table::quota::{QuotaRequest, QuotaGrants};
+use crate::table::quota::{QuotaGrants, QuotaRequest};
 
 /// Maximum number of messages queued for one peer.
 const OUTBOX_CAPACITY: usize = 64;
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -17,13 +17,13 @@
 use crate::control::journal::{DiskJournal, JournalError, WriteCheck};
 use crate::control::outbox::PeerOutbox;
 use crate::ids::{HostName, NodeId, Position, ReplicaIncarnation, TargetName, Term};
-use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat, TargetController};
 use crate::placement::fleet::FleetController;
 use crate::placement::named_limits::{IncarnationState, LimitPage, LimitReport};
 use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
 use crate::placement::replica_rates::{PermitReply, PermitRequest, ReplicaRateLimits};
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeases};
+use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat, TargetController};
 use crate::process::settings::ControlSettings;
 use crate::process::wire::{
     self, AccountStatus, AgentHeartbeatReply, ControlRefusal, ControlStatus, EntryHeartbeatReply,
@@ -221,7 +221,9 @@
     fn handle(&mut self, event: ControlEvent) {
         let now_ms = clock::monotonic_ms();
         match event {
-            event if event.is_linearizable() && self.replica.is_behind() => self.deferred.push(event),
+            event if event.is_linearizable() && self.replica.is_behind() => {
+                self.deferred.push(event)
+            }
             ControlEvent::Raft(from, host, message) => {
                 self.hosts.insert(from, host);
                 self.replica.receive(now_ms, from, message);
@@ -300,7 +302,10 @@
                 let _ = answer.send(self.on_suspect_lease(now_ms, &request));
             }
             ControlEvent::SuspectLeaseEnd(end, answer) => {
-                let ended = self.suspect_leases.as_mut().map(|leases| leases.release(end));
+                let ended = self
+                    .suspect_leases
+                    .as_mut()
+                    .map(|leases| leases.release(end));
                 let _ = answer.send(ended.ok_or_else(|| self.not_leader()));
             }
             ControlEvent::Permit(request, answer) => {
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -18,7 +18,7 @@
 use crate::placement::target_controller::EntryHeartbeat;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::member::{self, SiteFollower};
-use crate::process::metrics::{MetricRegistry, MetricKey};
+use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{self, ControlLink, PeerPool, SiteSecret};
 use crate::process::settings::EntrySettings;
 use crate::process::wire::{AgentWireClient, EntryHeartbeatReply};
--- a/tests/full_disk.rs
+++ b/tests/full_disk.rs
@@ -9,8 +9,8 @@
 
 use dunlinspring::consensus::raft::RaftTiming;
 use dunlinspring::consensus::state::{Command, ConfigureResult, Reply};
-use dunlinspring::control::event::{ControlEvent, ControlHandle};
 use dunlinspring::control::bootstrap;
+use dunlinspring::control::event::{ControlEvent, ControlHandle};
 use dunlinspring::control::journal::JournalError;
 use dunlinspring::control::voter::ControlLoop;
 use dunlinspring::ids::{HallName, HostName};
