--- a/src/clock.rs
+++ b/src/clock.rs
@@ -19,7 +19,7 @@
 
 /// Reads `CLOCK_BOOTTIME`, which counts suspended time, unlike `std::time::Instant`.
 fn since_boot() -> Duration {
-    let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the system has a clock since boot");
+    let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("CLOCK_BOOTTIME is readable");
     Duration::from(now) + Duration::from_millis(SUSPENDED_MS.load(Ordering::SeqCst))
 }
 
@@ -43,11 +43,11 @@
 pub async fn wait_until<T>(until_ms: u64, future: impl Future<Output = T>) -> Option<T> {
     let mut future = pin!(future);
     loop {
-        let left = Duration::from_millis(until_ms.saturating_sub(monotonic_ms()));
-        let waited = tokio::time::timeout(left.min(MAX_WAIT_STEP), &mut future).await;
+        let remaining = Duration::from_millis(until_ms.saturating_sub(monotonic_ms()));
+        let waited = tokio::time::timeout(remaining.min(MAX_WAIT_STEP), &mut future).await;
         match waited {
             Ok(value) => return Some(value),
-            Err(_) if left <= MAX_WAIT_STEP => return None,
+            Err(_) if remaining <= MAX_WAIT_STEP => return None,
             Err(_) => {}
         }
     }
--- a/src/consensus/crashes.rs
+++ b/src/consensus/crashes.rs
@@ -153,10 +153,10 @@
     pub fn prune(&mut self, before_ms: u64) -> CrashCounts {
         let old =
             |record: &ContentRecord| record.count() < MAX_CRASHES && record.last_ms < before_ms;
-        let gone = self.records.iter().filter(|(_, record)| old(record));
-        let gone: CrashCounts = gone.map(|(content, _)| (*content, 0)).collect();
+        let removed = self.records.iter().filter(|(_, record)| old(record));
+        let removed: CrashCounts = removed.map(|(content, _)| (*content, 0)).collect();
         self.records
-            .retain(|content, _| !gone.contains_key(content));
-        gone
+            .retain(|content, _| !removed.contains_key(content));
+        removed
     }
 }
--- a/src/table/accounts.rs
+++ b/src/table/accounts.rs
@@ -1,7 +1,6 @@
-//! Client accounts of a whole configuration: who may call, by which keys, how urgently,
-//! and how much.
+//! Client accounts of a configuration: their keys, priorities, quotas and regions.
 //!
-//! Of a key only its digest is kept. What a caller shows is digested at the border and
+//! Only digests of keys are kept. A key that a caller presents is digested on receipt and
 //! compared with these.
 
 use std::collections::{BTreeSet, HashMap};
@@ -14,15 +13,15 @@
 
 use crate::ids::{AccountName, RegionName};
 
-/// Longest name of an account, in bytes: it travels in a header.
+/// Maximum length of an account name, in bytes: the name is sent in a header.
 const MAX_NAME_BYTES: usize = 256;
 
-/// The SHA-256 digest of a key. Its text is never shown.
+/// SHA-256 digest of a key. Never shown in debug output.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Digests a key as a caller shows it.
+    /// Computes the digest of a key as presented by a caller.
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
@@ -34,34 +33,34 @@
     }
 }
 
-/// What a quota counts.
+/// Unit that a quota counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaUnit {
     /// Requests.
     #[default]
     Requests,
-    /// Tokens of prompts, and the most that answers may have.
+    /// Prompt tokens plus the maximum number of response tokens.
     Tokens,
 }
 
-/// How much an account may have run, over all entries together.
+/// Rate limit of an account, over all entries together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaSpec {
-    /// What is counted.
+    /// Unit that is counted.
     pub unit: QuotaUnit,
-    /// Units a second; above 0.
+    /// Rate in units per second; above 0, as a configured rate of 0 means no limit.
     pub per_s: f64,
-    /// Units on top, at once.
+    /// Burst: units that may be used at once.
     pub burst: f64,
-    /// Tokens that a request without a count stands for.
+    /// Tokens charged for a request that does not state a token count.
     pub plain_tokens: u64,
 }
 
-/// Limits are finite: see [`AccountList::check`].
+/// Limits are finite, as ensured by [`AccountList::check`], so equality is total.
 impl Eq for QuotaSpec {}
 
 impl QuotaSpec {
-    /// What one request counts; `tokens` as it tells them.
+    /// Returns the cost of a request in units; `tokens` is the count stated by the request.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             QuotaUnit::Requests => 1,
@@ -70,69 +69,69 @@
     }
 }
 
-/// One client account.
+/// Settings of one client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountSpec {
-    /// Its name, which replicas are told.
+    /// Account name, which replicas receive.
     pub name: AccountName,
-    /// Digests of its keys.
+    /// Digests of the account's keys.
     pub keys: Vec<KeyDigest>,
-    /// Rank in place of the route's; 0 is the most urgent.
+    /// Priority that overrides the route's; 0 is the most urgent.
     pub priority: Option<u32>,
-    /// None for no limit.
+    /// Quota; `None` for no limit.
     pub quota: Option<QuotaSpec>,
-    /// Regions in which its requests may be served; empty for all.
+    /// Regions in which the account's requests may be served; empty for all.
     pub regions: BTreeSet<RegionName>,
 }
 
 /// All client accounts of a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountList {
-    /// In the order in which they were given.
+    /// Accounts in the order of the configuration.
     pub accounts: Vec<AccountSpec>,
 }
 
-/// Why accounts are not valid.
+/// Reason why the accounts are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum AccountError {
-    /// A name is empty, too long or cannot stand in a header.
+    /// A name is empty, too long or not allowed in a header.
     #[snafu(display(
-        "field accounts[{index}].name: not a name of 1 to {MAX_NAME_BYTES} printable bytes"
+        "field accounts[{index}].name: must have 1 to {MAX_NAME_BYTES} printable ASCII bytes"
     ))]
     Name {
-        /// The account's number.
+        /// Index of the account.
         index: usize,
     },
-    /// A name stands twice.
-    #[snafu(display("field accounts[{index}].name: {name} stands twice"))]
+    /// Two accounts have the same name.
+    #[snafu(display("field accounts[{index}].name: {name} is a duplicate"))]
     DuplicateName {
-        /// The later account's number.
+        /// Index of the later account.
         index: usize,
-        /// The name.
+        /// Duplicate name.
         name: AccountName,
     },
-    /// A key stands twice.
+    /// Two accounts have the same key.
     #[snafu(display("field accounts[{index}].keys[{key}]: also a key of accounts[{earlier}]"))]
     DuplicateKey {
-        /// The later account's number.
+        /// Index of the later account.
         index: usize,
-        /// The key's number there.
+        /// Index of the key within that account.
         key: usize,
-        /// The earlier account's number.
+        /// Index of the earlier account.
         earlier: usize,
     },
     /// A limit is negative or not finite.
     #[snafu(display("field accounts[{index}].quota.{field}: must be finite and 0 or more"))]
     Limit {
-        /// The account's number.
+        /// Index of the account.
         index: usize,
-        /// Which limit.
+        /// Name of the limit.
         field: &'static str,
     },
 }
 
 impl AccountList {
-    /// Checks what the form alone does not ensure.
+    /// Checks constraints that the types do not express.
     pub fn check(&self) -> Result<(), AccountError> {
         let mut names = BTreeSet::new();
         let mut owners = HashMap::new();
@@ -181,20 +180,20 @@
     Ok(())
 }
 
-/// Bytes of a digest that choose the group in which it is looked up. Nobody can aim at
-/// a group without having the key's digest, so that the time of a look-up tells nothing.
+/// Number of digest bytes that select the bucket of a look-up. Only the holder of a key knows
+/// its digest and thus the bucket, so the time of a look-up leaks nothing.
 const BUCKET_BYTES: usize = 4;
 
 type KeyBucket = [u8; BUCKET_BYTES];
 
-/// Finds the account that holds a key, at a cost that does not grow with their number.
+/// Index from key to account. The cost of a look-up does not grow with the number of accounts.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
     buckets: HashMap<KeyBucket, Vec<(KeyDigest, usize)>>,
 }
 
 impl KeyIndex {
-    /// Indexes all keys.
+    /// Builds the index of all keys.
     pub fn new(list: &AccountList) -> Self {
         let mut buckets: HashMap<KeyBucket, Vec<(KeyDigest, usize)>> = HashMap::new();
         for (number, account) in list.accounts.iter().enumerate() {
@@ -206,7 +205,8 @@
         Self { buckets }
     }
 
-    /// The number of the account that holds the key; digests are compared in constant time.
+    /// Returns the index of the account that holds the key. Digests are compared in constant
+    /// time.
     pub fn find(&self, key: &KeyDigest) -> Option<usize> {
         let mut found = None;
         for (known, number) in self.buckets.get(&bucket_of(key))? {
--- a/src/table/configuration.rs
+++ b/src/table/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration that operators hand over whole: routes, services and the
-//! limits on what clients may send, under one rising version.
+//! Configuration that operators replace as a unit: routes, services, client limits and
+//! accounts, under one increasing version.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
@@ -10,50 +10,50 @@
 use crate::ids::{ModelName, RegionName, ServiceName};
 use crate::table::accounts::{AccountError, AccountList};
 
-/// What may be repeated of a route's requests, and how they are answered.
+/// Whether requests of a route may be repeated, and whether responses are streamed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// May run more than once.
     Safe,
-    /// At most once for each attempt of a client.
+    /// Runs at most once per attempt of a client.
     Unsafe,
-    /// Answered by a stream of events.
+    /// Response is a stream of events.
     Streaming,
 }
 
-/// One route.
+/// Settings of one route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteSpec {
-    /// Its name.
+    /// Route name.
     pub name: String,
-    /// The `Host` it belongs to.
+    /// Value of the `Host` header that the route matches.
     pub host: String,
-    /// The start of the paths it covers; begins and ends with a slash.
+    /// Path prefix that the route matches; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated or are streamed.
     pub kind: RouteKind,
-    /// Longest time that a request is held, in milliseconds.
+    /// Maximum time that a request is held, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer earns its full worth, in milliseconds.
+    /// Time within which a response has its full value, in milliseconds.
     pub latency_goal_ms: u64,
-    /// Longest pause between two events that is still in time, in milliseconds.
+    /// Maximum gap between two events for a stream to be on time, in milliseconds.
     pub max_event_gap_ms: u64,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Most replicas that one request is sent to.
+    /// Maximum number of replicas that one request is sent to.
     pub attempts: u32,
-    /// A broken stream may go on at another replica.
+    /// Whether a broken stream may be resumed at another replica.
     pub resumable: bool,
-    /// Callers need no key, also where there are accounts.
+    /// Whether callers need no key even if there are accounts.
     pub public: bool,
-    /// Regions in which its requests may be served; empty for all.
+    /// Regions in which the route's requests may be served; empty for all.
     pub regions: BTreeSet<RegionName>,
-    /// Services and their weights.
+    /// Services with their weights.
     pub split: Vec<(ServiceName, u32)>,
 }
 
 impl RouteSpec {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
@@ -62,87 +62,87 @@
         }
     }
 
-    /// The service for a request, by a number drawn for it.
+    /// Selects the service of a request by weight, given a random number.
     pub fn pick(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self.split.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut remaining = draw.checked_rem(total)?;
         for (service, weight) in &self.split {
-            match left.checked_sub(u64::from(*weight)) {
+            match remaining.checked_sub(u64::from(*weight)) {
                 None => return Some(service),
-                Some(rest) => left = rest,
+                Some(rest) => remaining = rest,
             }
         }
         None
     }
 }
 
-/// A model that an engine service offers.
+/// Model offered by an engine service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineModel {
-    /// Size of its weights, in MB.
+    /// Size of the weights, in MB.
     pub weights_mb: u64,
-    /// Time of a load from the weight store, in milliseconds.
+    /// Duration of a load from the weight store, in milliseconds.
     pub load_ms: u64,
-    /// Time of a load from a copy in the replica's host memory, in milliseconds.
+    /// Duration of a load from a copy in the replica's host memory, in milliseconds.
     pub warm_ms: Option<u64>,
-    /// Time of a load from a copy on the replica's disk, in milliseconds.
+    /// Duration of a load from a copy on the replica's disk, in milliseconds.
     pub disk_ms: Option<u64>,
-    /// Number of its adapters, named `a1`, `a2` and so forth.
+    /// Number of adapters, named `a1`, `a2` and so forth.
     pub adapters: u32,
     /// Size of each adapter, in MB.
     pub adapter_mb: u64,
 }
 
-/// The engines of a service.
+/// Properties of a service's model engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests that a replica runs at once.
+    /// Number of requests that a replica runs concurrently.
     pub slots: u32,
-    /// Tokens that a replica's memory holds.
+    /// Number of tokens that fit in a replica's KV memory.
     pub kv_tokens: u64,
-    /// Room for weights and adapters, in MB.
+    /// Capacity for weights and adapters, in MB.
     pub weights_mb: u64,
-    /// Most adapters on a replica.
+    /// Maximum number of adapters on a replica.
     pub adapter_slots: u32,
-    /// Tokens that one event of a stream holds.
+    /// Number of tokens per stream event.
     pub event_tokens: u32,
-    /// Least time between two loads from the weight store, in milliseconds.
+    /// Minimum interval between two loads from the weight store, in milliseconds.
     pub load_gap_ms: u64,
-    /// The models.
+    /// Models by name.
     pub models: BTreeMap<ModelName, EngineModel>,
 }
 
-/// How replicas of a service warm up.
+/// Warm-up of a service's replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WarmupSpec {
-    /// Least time between two requests to one that warms up, in milliseconds, from all
-    /// callers together.
+    /// Minimum interval between two requests to a replica that warms up, from all callers
+    /// together, in milliseconds.
     pub request_gap_ms: u64,
-    /// How long it takes at the longest, in milliseconds.
+    /// Maximum duration of the warm-up, in milliseconds.
     pub lasts_ms: u64,
 }
 
-/// A service that replicas register for.
+/// Settings of a service that replicas register for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Connections that a replica takes from all callers together.
+    /// Number of connections that a replica accepts from all callers together.
     pub max_connections: u32,
-    /// Present where replicas that warm up bear fewer requests.
+    /// Warm-up, if replicas take fewer requests while they warm up.
     pub warm_up: Option<WarmupSpec>,
-    /// Present where the replicas are model engines.
+    /// Engine properties, if the replicas are model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// What a client may send, and how long it may take.
+/// Size and time limits on client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to arrive, in milliseconds.
+    /// Maximum time for a request head to arrive, in milliseconds.
     pub header_ms: u64,
-    /// Longest rest of a connection, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -157,72 +157,72 @@
     }
 }
 
-/// A whole configuration.
+/// Complete configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Rises with each change.
+    /// Version; increases with each change.
     pub version: u64,
-    /// The routes.
+    /// Routes of the site.
     pub routes: Vec<RouteSpec>,
-    /// The services.
+    /// Services by name.
     pub services: BTreeMap<ServiceName, ServiceSpec>,
     /// Limits on clients.
     pub limits: ClientLimits,
-    /// Client accounts; where there are none, nobody needs a key.
+    /// Client accounts; if absent, no key is needed.
     pub accounts: Option<AccountList>,
 }
 
-/// Why a configuration is not valid.
+/// Reason why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ConfigurationError {
-    /// A route names a service that is not there.
+    /// A route names an unknown service.
     #[snafu(display("route {route}: unknown service {service}"))]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service.
+        /// Unknown service.
         service: ServiceName,
     },
     /// Two routes have the same host and prefix.
     #[snafu(display("route {route}: {host}{prefix} is taken by another route"))]
     DuplicatePrefix {
-        /// The later route.
+        /// Name of the later route.
         route: String,
-        /// The host.
+        /// Host of both routes.
         host: String,
-        /// The prefix.
+        /// Prefix of both routes.
         prefix: String,
     },
-    /// No service of a route has a weight.
+    /// All service weights of a route are 0.
     #[snafu(display("route {route}: the weights sum to 0"))]
     NoWeight {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
     /// A route's timeout is 0.
     #[snafu(display("route {route}: the timeout is 0"))]
     NoTimeout {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
     /// A prefix does not begin and end with a slash.
     #[snafu(display("route {route}: prefix {prefix:?} must begin and end with a slash"))]
     Prefix {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The prefix.
+        /// Invalid prefix.
         prefix: String,
     },
-    /// The accounts are not valid.
+    /// The accounts are invalid.
     #[snafu(display("{source}"), context(false))]
     Accounts {
-        /// What is wrong.
+        /// Cause.
         source: AccountError,
     },
 }
 
 impl Configuration {
-    /// Checks what the form alone does not ensure.
+    /// Checks constraints that the types do not express.
     pub fn check(&self) -> Result<(), ConfigurationError> {
         if let Some(accounts) = &self.accounts {
             accounts.check()?;
@@ -265,13 +265,13 @@
     }
 }
 
-/// A configuration with the text that the operator sent, for reading it back. The text
-/// names keys: only hosts that keep the log hold it, and it is not shown.
+/// Configuration together with the text that the operator sent, which can be read back. The
+/// text contains keys: only hosts that store the log hold it, and debug output omits it.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationRecord {
-    /// As decided by.
+    /// Parsed configuration.
     pub configuration: Configuration,
-    /// As sent.
+    /// Text as sent.
     pub source: Vec<u8>,
 }
 
@@ -284,11 +284,11 @@
     }
 }
 
-/// Classes of slack that [`slack_ranks`] tells apart.
+/// Number of ranks that [`slack_ranks`] distinguishes.
 pub const SLACK_RANKS: u32 = 3;
 
-/// How well each route can wait beside the others of its service, by its aim: 0 where it
-/// is less than twice the shortest one, 1 where less than four times, else 2.
+/// Returns the slack rank of each route relative to the other routes of its service, by its
+/// latency goal: 0 below twice the shortest goal, 1 below four times, else 2.
 pub fn slack_ranks(routes: &[RouteSpec]) -> Vec<u32> {
     let service = |route: &RouteSpec| route.split.first().map(|(service, _)| service.clone());
     let mut shortest_ms: HashMap<Option<ServiceName>, u64> = HashMap::new();
@@ -307,14 +307,14 @@
     routes.iter().map(rank).collect()
 }
 
-/// Finds the route of a request: by host, then by the longest prefix.
+/// Index of routes by host, then by longest prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RouteIndex {
     by_host: HashMap<String, Vec<usize>>,
 }
 
 impl RouteIndex {
-    /// Indexes the routes of a configuration.
+    /// Builds the index of a configuration's routes.
     pub fn new(routes: &[RouteSpec]) -> Self {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (number, route) in routes.iter().enumerate() {
@@ -327,7 +327,7 @@
         Self { by_host }
     }
 
-    /// The number of the route for `host` (without a port) and `path`.
+    /// Returns the index of the route for `host` (without a port) and `path`.
     pub fn find(&self, routes: &[RouteSpec], host: &str, path: &str) -> Option<usize> {
         let numbers = self.by_host.get(&host.to_ascii_lowercase())?;
         let mut numbers = numbers.iter().copied();
--- a/src/table/limits.rs
+++ b/src/table/limits.rs
@@ -1,7 +1,7 @@
-//! Row limits shared by many entries: a fixed floor for each, and leases on the rest.
+//! Row limits shared by the entries: a fixed floor for each entry, and leases on the remainder.
 //!
-//! The sum over all entries never exceeds the limit: the leader counts for each
-//! entry the most that it may still hold, and an entry says what it holds.
+//! The sum over all entries never exceeds the limit: the leader counts for each entry the
+//! maximum that it may still hold, and each entry reports what it holds.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +9,24 @@
 
 use crate::ids::{Incarnation, RowId};
 
-/// How limits are shared.
+/// Policy for sharing row limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitPolicy {
-    /// Most entries of the site: each owns this part of a limit without a lease.
+    /// Maximum number of entries of the site: each owns an equal part of every limit without a
+    /// lease.
     pub entries: u32,
-    /// How long a share is leased, in milliseconds.
+    /// Lease time of a share, in milliseconds.
     pub lease_ms: u64,
 }
 
 impl LimitPolicy {
-    /// What each entry may always run.
+    /// Returns the number of requests that each entry may always run.
     pub fn floor(&self, limit: u32) -> u32 {
         limit / self.entries.max(1)
     }
 
-    /// What is given out by lease.
+    /// Returns the part of the limit that is leased out.
     pub fn pool(&self, limit: u32) -> u32 {
         limit - self.floor(limit) * self.entries.max(1)
     }
@@ -44,12 +45,12 @@
     }
 }
 
-/// What an entry says of one row.
+/// Report of an entry about one row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitClaim {
-    /// The most above the floor that it may be using now.
+    /// Maximum number of requests above the floor that the entry may be running.
     pub held: u32,
-    /// What it would use above the floor.
+    /// Number of requests above the floor that the entry would run.
     pub wanted: u32,
 }
 
@@ -61,7 +62,7 @@
     refused: u32,
 }
 
-/// One entry's shares.
+/// Shares of one entry.
 #[derive(Debug)]
 pub struct ShareHolder {
     policy: LimitPolicy,
@@ -70,7 +71,7 @@
 }
 
 impl ShareHolder {
-    /// No leases yet: only the floors.
+    /// Creates a holder without leases: only the floors apply.
     pub fn new(policy: LimitPolicy) -> Self {
         Self {
             policy,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Takes one place under the row's limit.
+    /// Takes one slot under the row's limit; returns whether one was free.
     pub fn acquire(&mut self, row: &RowId, limit: u32, now_ms: u64) -> bool {
         let floor = self.policy.floor(limit);
         let held = self.rows.entry(row.clone()).or_default();
@@ -97,19 +98,19 @@
         }
     }
 
-    /// Gives a place back.
+    /// Returns a slot.
     pub fn release(&mut self, row: &RowId) {
         if let Some(held) = self.rows.get_mut(row) {
             held.running = held.running.saturating_sub(1);
         }
     }
 
-    /// Requests of the row that run.
+    /// Returns the number of the row's running requests.
     pub fn running(&self, row: &RowId) -> u32 {
         self.rows.get(row).map_or(0, |held| held.running)
     }
 
-    /// Makes the next ask: its number, and a claim for each row in use.
+    /// Creates the next request to the leader: its number, and a claim for each row in use.
     pub fn next_request(
         &mut self,
         now_ms: u64,
@@ -140,8 +141,8 @@
         (self.request_number, claims)
     }
 
-    /// Takes the grants for the ask of that number; late ones are dropped, as
-    /// the leader counts on what the newest ask said.
+    /// Applies the grants for the request `request_number`. Late grants are dropped, as the
+    /// leader relies on the claims of the newest request.
     pub fn apply_grants(
         &mut self,
         request_number: u64,
@@ -166,18 +167,18 @@
     expires_ms: u64,
 }
 
-/// The leader's account of all shares.
+/// Leader's record of all shares.
 #[derive(Debug)]
 pub struct ShareGrantor {
     policy: LimitPolicy,
     rows: BTreeMap<RowId, BTreeMap<Incarnation, GrantedShare>>,
-    /// The newest ask of each entry.
+    /// Number of the newest request of each entry.
     request_number: BTreeMap<Incarnation, u64>,
     since_ms: u64,
 }
 
 impl ShareGrantor {
-    /// A new leader's account.
+    /// Creates the record of a new leader.
     pub fn new(policy: LimitPolicy, now_ms: u64) -> Self {
         Self {
             policy,
@@ -187,8 +188,8 @@
         }
     }
 
-    /// Whether this ask is newer than all before it. An older or doubled one
-    /// is not granted again: it says less than the entry holds by now.
+    /// Returns whether this request is newer than all earlier ones of the entry. Older and
+    /// duplicate requests get no grant: they may claim less than the entry holds by now.
     pub fn is_new(&mut self, entry: Incarnation, request_number: u64) -> bool {
         let newest = self.request_number.entry(entry).or_default();
         let new = request_number > *newest;
@@ -196,15 +197,15 @@
         new
     }
 
-    /// Forgets entries that `keep` no longer names.
+    /// Removes entries that `keep` rejects.
     pub fn retain(&mut self, keep: impl Fn(Incarnation) -> bool) {
         self.request_number.retain(|entry, _| keep(*entry));
     }
 
     /// Grants one entry its share of one row above the floor.
     ///
-    /// `patience_ms` is the row's: requests that run when a lease ends count
-    /// until their patience ends.
+    /// `patience_ms` is the row's wait limit: requests that are running when a lease ends count
+    /// until this time has passed.
     pub fn grant(
         &mut self,
         now_ms: u64,
@@ -227,8 +228,8 @@
             0 => 0,
             all => (u64::from(pool) * u64::from(claim.wanted) / all) as u32,
         };
-        // What runs under an earlier leader's leases is not known yet: until it
-        // has ended, entries keep what they hold and get no more.
+        // Requests running under an earlier leader's leases are unknown. Until they have ended,
+        // entries keep what they hold and get no more.
         let freeze_until_ms = self.since_ms + self.policy.lease_ms + patience_ms;
         let share = match now_ms < freeze_until_ms {
             true => claim.held.min(free),
--- a/src/table/mod.rs
+++ b/src/table/mod.rs
@@ -1,9 +1,9 @@
-//! What operators and the platform have set: rows, the site, whole configurations, the
-//! limits on rows, client accounts and their quotas, and whether all of it fits in memory.
+//! Data set by operators and the platform: rows, the site, configurations, row limits, client
+//! accounts and their quotas, and the check that everything fits in memory.
 //!
 //! Pure: no sockets, files, threads or clocks; the caller passes in the time. Uses only
-//! [`crate::ids`]. Edits and configurations enter; checked values or an error that names
-//! the field come out.
+//! [`crate::ids`]. The inputs are edits and configurations; the outputs are validated values or
+//! an error that names the field.
 
 pub mod accounts;
 pub mod configuration;
--- a/src/table/packing.rs
+++ b/src/table/packing.rs
@@ -1,19 +1,19 @@
-//! Packs models into targets: the feasibility check at acceptance, and the
-//! layout of the static baseline.
+//! Packing of models into targets: feasibility check for edits, and layout of the static
+//! baseline.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{ModelName, TargetName};
 use crate::table::site::{ModelKind, SiteSpec, TargetSpec};
 
-/// One home for each model.
+/// Assignment of one home to each model.
 pub type Layout = BTreeMap<ModelName, TargetName>;
 
-/// Gives each wanted model, and the base of each wanted adapter, one home.
+/// Assigns one home to each wanted model, and to the base of each wanted adapter.
 ///
-/// First fit decreasing over whole families (a base model with its adapters),
-/// with the site's largest targets left out as spares. Returns the first model
-/// that found no room. Costs models × targets at worst.
+/// First-fit decreasing over families (a base model with its adapters), leaving out the site's
+/// largest targets as spares. Returns the first model that did not fit. The worst-case cost is
+/// models × targets.
 pub fn pack<'a>(
     site: &'a SiteSpec,
     wanted: impl Iterator<Item = &'a ModelName>,
@@ -24,7 +24,7 @@
     pack_into(site, bins, wanted)
 }
 
-/// Packs as [`pack`] does, into the named targets and without spares.
+/// Like [`pack`], but only into the given targets and without spares.
 pub fn pack_live<'a>(
     site: &'a SiteSpec,
     live: impl Iterator<Item = &'a TargetName>,
@@ -57,7 +57,7 @@
     Ok(layout)
 }
 
-/// The models that must be resident: those wanted, and the bases of wanted adapters.
+/// Returns the models that must be resident: the wanted ones, and the bases of wanted adapters.
 pub fn resident_set<'a>(
     site: &'a SiteSpec,
     wanted: impl Iterator<Item = &'a ModelName>,
@@ -114,7 +114,7 @@
     Ok(families.into_values().collect())
 }
 
-/// Bins in order of their room, the largest first.
+/// Returns the bins by free memory, largest first.
 fn bins<'a>(targets: impl Iterator<Item = (&'a TargetName, &'a TargetSpec)>) -> Vec<Bin<'a>> {
     let mut bins: Vec<Bin<'_>> = targets
         .map(|(target, spec)| Bin {
--- a/src/table/quota.rs
+++ b/src/table/quota.rs
@@ -1,17 +1,17 @@
-//! Quotas of client accounts, kept over all entries together: the leader holds one token
-//! bucket for each account, and entries draw from it.
+//! Quotas of client accounts, enforced over all entries together: the leader keeps one token
+//! bucket per account, and entries draw from it.
 //!
-//! An entry with much demand for an account draws ahead; otherwise, and wherever little is
-//! left, it draws what its waiting requests cost and gives the rest back: what lies
-//! unspent at many entries would be lost to all. What is drawn is a part of the bucket
-//! until it is spent, given back, or its lease is over. So, under one leader, what all
-//! entries spend in any span is at most the burst and what the span adds.
+//! An entry with high demand for an account prefetches. Otherwise, and whenever little is left,
+//! it draws only the cost of its waiting requests and returns the rest, as units that lie
+//! unspent at many entries would be lost to all. Drawn units occupy the bucket until they are
+//! spent, returned, or their lease expires. Under one leader, the units that all entries spend
+//! in any window are thus at most the burst plus what the window adds.
 //!
-//! An entry whose question gets no answer borrows for an account that was not short at
-//! the last word: its part of the limit by demand, as the leader told it, or one request.
-//! What it borrowed is taken from the bucket once the leader hears of it. A new leader does
-//! not know what was drawn before; what was borrowed while nobody led it does not count, as
-//! nothing was drawn then.
+//! An entry whose request gets no reply borrows for an account that was not short as of the
+//! last reply: its share of the limit by demand, as the leader granted it, or one request.
+//! Borrowed units are deducted from the bucket once they are reported to the leader. A new
+//! leader does not know what was drawn before. Units borrowed while there was no leader do not
+//! count, as nothing was drawn in that time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,105 +20,105 @@
 use crate::ids::{AccountName, HostName};
 use crate::table::accounts::{AccountList, QuotaSpec};
 
-/// How long what was drawn may be spent, from before it was asked for, and how long an
-/// entry borrows after the last answer, in milliseconds: an election takes one to two
-/// seconds.
+/// Lease of drawn units, counted from when their request was made, and time for which an entry
+/// borrows after the last reply, in milliseconds: an election takes one to two seconds.
 pub const LEASE_MS: u64 = 4_000;
-/// Part of the burst that a new leader holds at most while earlier leases may last: what
-/// all entries together may spend beyond the limit, once a change of leader. Where no entry
-/// has drawn from a leader before, as after a loss of all power, it holds all of it.
+/// Maximum fill of a new leader's bucket, as a fraction of its depth, while earlier leases may
+/// last: what all entries together may spend beyond the limit per change of leader. The bucket
+/// starts full if no entry has drawn from a leader before, as after a power loss of the site.
 const INITIAL_FRACTION: f64 = 0.5;
-/// Part of the bucket below which an account is short: entries draw nothing ahead.
+/// Fraction of the bucket below which an account is short: entries do not prefetch then.
 const LOW_FRACTION: f64 = 0.2;
-/// Least depth of a bucket, as seconds of its rate: with less, tokens that come between
-/// two asks of the entries would be lost.
+/// Minimum depth of a bucket, in seconds of its rate: with less, tokens added between two
+/// requests of the entries would be lost.
 const MIN_DEPTH_S: f64 = 0.25;
-/// How far ahead an entry draws, in seconds of its demand. An account that uses half of its
-/// limit leaves half of the bucket to bursts.
+/// Prefetch of an entry, in seconds of its demand. An account that uses half of its limit
+/// leaves half of the bucket to bursts.
 const PREFETCH_S: f64 = 1.0;
-/// Requests that the demand of [`PREFETCH_S`] must hold for drawing ahead to spare questions.
+/// Minimum number of requests within [`PREFETCH_S`] for which prefetching saves calls to the
+/// leader.
 const MIN_PREFETCH_REQUESTS: f64 = 2.0;
-/// Time over which demand is averaged, in seconds.
+/// Time constant of the moving average of demand, in seconds.
 const DEMAND_WINDOW_S: f64 = 2.0;
-/// Demand below which an account is forgotten, in units a second.
+/// Demand below which an account is dropped, in units per second.
 const MIN_DEMAND_PER_S: f64 = 1.0;
-/// Least and most time until a short account is asked for again, in milliseconds: callers
-/// are told it, and each ask costs the leader a call.
+/// Minimum and maximum retry delay for a short account, in milliseconds: callers are told the
+/// delay, and each request costs the leader a call.
 const RETRY_RANGE_MS: (u64, u64) = (50, 1_000);
-/// How far ahead an entry borrows, in seconds of its part of the limit.
+/// Borrowing allowance, in seconds of the entry's share of the limit.
 const BORROW_S: f64 = 1.0;
-/// Least time between two asks that only refill, in milliseconds.
+/// Minimum interval between requests that only refill, in milliseconds.
 const MIN_REFILL_INTERVAL_MS: u64 = 100;
 
-/// One life of an entry.
+/// Identifies one run of an entry process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EntryIncarnation {
-    /// Its host.
+    /// Host of the entry.
     pub host: HostName,
-    /// Drawn at its start.
+    /// Random number drawn at the start of the process.
     pub incarnation: u64,
 }
 
-/// What an entry says of one account.
+/// Report of an entry about one account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaClaim {
-    /// Drawn units spent in this life; less where a request did not run.
+    /// Drawn units spent by this incarnation, minus refunds for requests that did not run.
     pub spent: i64,
     /// Units drawn and not spent.
     pub balance: u64,
-    /// Units spent without having been drawn, not told before.
+    /// Units spent without having been drawn, not reported before.
     pub borrowed: u64,
-    /// What the cheapest waiting request costs.
+    /// Cost of the cheapest waiting request.
     pub cheapest: u64,
-    /// What all waiting requests cost.
+    /// Cost of all waiting requests.
     pub needed: u64,
-    /// Units that it would hold beyond that.
+    /// Units to hold beyond the waiting requests.
     pub prefetch: u64,
-    /// Units asked for a second lately.
+    /// Recent demand, in units per second.
     pub demand: u64,
 }
 
-/// What an entry asks of the leader.
+/// Request of an entry to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// Who asks.
+    /// Requesting entry.
     pub entry: EntryIncarnation,
-    /// Rises with each ask of this life.
+    /// Increases with each request of this incarnation.
     pub number: u64,
-    /// By account; those without demand are left out.
+    /// Claims by account; accounts without demand are left out.
     pub claims: BTreeMap<AccountName, QuotaClaim>,
 }
 
-/// What an entry may draw of one account.
+/// Grant to an entry for one account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaGrant {
-    /// Units on top of the balance that was told.
+    /// Units granted on top of the reported balance.
     pub drawn: u64,
-    /// Time until more may be there, in milliseconds; 0 where all that was needed was drawn.
+    /// Time until more may be available, in milliseconds; 0 if everything needed was granted.
     pub retry_after_ms: u64,
-    /// Units a second that may be borrowed while no leader answers.
+    /// Units per second that may be borrowed while no leader replies.
     pub lent_per_s: u64,
 }
 
-/// The leader's answer.
+/// Reply of the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaGrants {
-    /// By account, for those that were asked for.
+    /// Grants for the requested accounts.
     pub accounts: BTreeMap<AccountName, QuotaGrant>,
     /// All accounts of which little is left.
     pub short: BTreeSet<AccountName>,
 }
 
-/// Whether a request may be sent.
+/// Result of charging a request to an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaCharge {
-    /// It is paid for.
+    /// The request is paid for.
     Paid,
-    /// The leader has to be asked first.
+    /// The balance is too low: a grant must be requested from the leader first.
     Ask,
-    /// The account is at its limit for so many milliseconds.
+    /// The account is at its limit for this many milliseconds.
     Limited(u64),
-    /// The leader is silent, and nothing more may be borrowed.
+    /// The leader does not reply, and nothing more may be borrowed.
     Unknown,
 }
 
@@ -127,17 +127,17 @@
     balance: u64,
     expires_ms: u64,
     spent: i64,
-    /// Units asked for since the last ask, and by how many requests.
+    /// Units requested since the last request to the leader, and the number of requests.
     requested: u64,
     requests: u64,
-    /// Units and requests asked for a second, averaged.
+    /// Moving averages of units and requests per second.
     demand: f64,
     rate: f64,
-    /// Of the requests that wait for the next ask.
+    /// Cheapest and total cost of the requests that wait for the next request to the leader.
     cheapest: u64,
     needed: u64,
     retry_after_ms: u64,
-    /// Spent without having been drawn since the last answer.
+    /// Units spent without having been drawn since the last reply.
     borrowed: u64,
     lent_per_s: u64,
 }
@@ -154,7 +154,7 @@
         self.spent = self.spent.saturating_add_unsigned(cost);
     }
 
-    /// Units to hold beyond what waits.
+    /// Returns the units to hold beyond the waiting requests.
     fn prefetch(&self) -> u64 {
         match self.rate * PREFETCH_S >= MIN_PREFETCH_REQUESTS {
             true => (self.demand * PREFETCH_S) as u64,
@@ -162,7 +162,8 @@
         }
     }
 
-    /// Whether a request may be paid for without a leader's word, so long after the last.
+    /// Returns whether a request may be paid for without the leader, `silent_ms` after the last
+    /// answered request to it.
     fn may_borrow(&self, cost: u64, silent_ms: u64) -> bool {
         let window_s = silent_ms as f64 / 1_000.0 + BORROW_S;
         self.borrowed == 0 || (self.borrowed + cost) as f64 <= self.lent_per_s as f64 * window_s
@@ -198,24 +199,24 @@
     }
 }
 
-/// What one entry holds of all accounts' quotas.
+/// Quota balances of one entry for all accounts.
 #[derive(Debug)]
 pub struct QuotaHolder {
     entry: EntryIncarnation,
     accounts: BTreeMap<AccountName, AccountQuota>,
-    /// Accounts of which little was left at the last word.
+    /// Accounts that were short as of the last reply.
     short: BTreeSet<AccountName>,
     number: u64,
     requested_ms: u64,
-    /// When the last ask that was answered had been made.
-    granted_ms: Option<u64>,
-    /// The last ask got no answer.
+    /// Time at which the last answered request was made.
+    answered_ms: Option<u64>,
+    /// Whether the last request got no reply.
     unanswered: bool,
     unmet_demand: bool,
 }
 
 impl QuotaHolder {
-    /// Holds nothing yet.
+    /// Creates a holder without any balance.
     pub fn new(entry: EntryIncarnation, now_ms: u64) -> Self {
         Self {
             entry,
@@ -223,21 +224,21 @@
             short: BTreeSet::new(),
             number: 0,
             requested_ms: now_ms,
-            granted_ms: None,
+            answered_ms: None,
             unanswered: false,
             unmet_demand: false,
         }
     }
 
-    /// Notes that a request of an account has come.
+    /// Records a caller's request for an account.
     pub fn record_request(&mut self, account: &AccountName, cost: u64) {
         let held = self.accounts.entry(account.clone()).or_default();
         held.requested += cost;
         held.requests += 1;
     }
 
-    /// Pays for a request where there is enough. One that is told to ask waits for the
-    /// next answer, and is charged anew then.
+    /// Pays for a request if the balance suffices. After [`QuotaCharge::Ask`], the request
+    /// waits for the next reply and is charged again.
     pub fn charge(&mut self, now_ms: u64, account: &AccountName, cost: u64) -> QuotaCharge {
         let held = self.accounts.entry(account.clone()).or_default();
         held.expire(now_ms);
@@ -259,8 +260,8 @@
             Some(_) => {
                 self.unmet_demand = true;
                 let silent_ms = self
-                    .granted_ms
-                    .map(|granted_ms| now_ms.saturating_sub(granted_ms));
+                    .answered_ms
+                    .map(|answered_ms| now_ms.saturating_sub(answered_ms));
                 match silent_ms.filter(|ms| *ms < LEASE_MS && !short) {
                     Some(ms) if held.may_borrow(cost, ms) => {
                         held.borrowed += cost;
@@ -272,23 +273,23 @@
         }
     }
 
-    /// Gives back what a request cost that did not run.
+    /// Refunds the cost of a request that did not run.
     pub fn refund(&mut self, now_ms: u64, account: &AccountName, cost: u64) {
         let held = self.accounts.entry(account.clone()).or_default();
         held.expire(now_ms);
-        // What was drawn under a lease that is over cannot be spent again.
+        // Units drawn under an expired lease cannot be spent again.
         if now_ms < held.expires_ms {
             held.balance += cost;
             held.spent = held.spent.saturating_sub_unsigned(cost);
         }
     }
 
-    /// Whether the leader should be asked before the next regular ask.
+    /// Returns whether to request units before the next periodic request.
     pub fn has_unmet_demand(&self) -> bool {
         self.unmet_demand
     }
 
-    /// Makes the next ask; none where no account has demand.
+    /// Creates the next request to the leader; `None` if no account has demand.
     pub fn next_request(&mut self, now_ms: u64) -> Option<QuotaRequest> {
         let window_s = now_ms.saturating_sub(self.requested_ms).max(1) as f64 / 1_000.0;
         self.requested_ms = now_ms;
@@ -303,7 +304,7 @@
                 true => 0,
                 false => held.prefetch(),
             };
-            // What is of no use here is given back.
+            // Return units that are not needed here.
             held.balance = held.balance.min(prefetch * 2);
             let claim = QuotaClaim {
                 spent: held.spent,
@@ -323,8 +324,8 @@
         })
     }
 
-    /// Takes the answer to the ask of that number, made at `requested_ms`. An earlier ask's
-    /// answer is dropped: the leader has counted it as given back.
+    /// Applies the reply to the request `number`, made at `requested_ms`. The reply to an
+    /// earlier request is dropped: the leader has counted its units as returned.
     pub fn apply_grants(
         &mut self,
         number: u64,
@@ -336,7 +337,7 @@
             return;
         }
         self.unanswered = false;
-        self.granted_ms = Some(requested_ms);
+        self.answered_ms = Some(requested_ms);
         self.short = grants.short.clone();
         for (account, held) in &mut self.accounts {
             held.clear_waiting();
@@ -354,7 +355,7 @@
         }
     }
 
-    /// Forgets which accounts were short: limits have changed.
+    /// Clears the short accounts after a change of limits.
     pub fn clear_short(&mut self) {
         self.short.clear();
         for held in self.accounts.values_mut() {
@@ -362,7 +363,7 @@
         }
     }
 
-    /// Notes that the last ask got no answer.
+    /// Records that the last request got no reply.
     pub fn record_missing_reply(&mut self) {
         self.unanswered = true;
         for held in self.accounts.values_mut() {
@@ -371,30 +372,30 @@
     }
 }
 
-/// What an entry may still hold, as far as the leader knows.
+/// Units that an entry may still hold, as far as the leader knows.
 #[derive(Clone, Copy, Debug)]
 struct EntryGrant {
-    /// Spent and held together, as of its newest ask and the grant for it.
+    /// Units spent and held together, as of the newest request and its grant.
     credited: i64,
     outstanding: u64,
-    /// What its waiting requests did not get.
+    /// Units that its waiting requests did not get.
     lacking: u64,
-    /// Units asked for a second.
+    /// Demand in units per second.
     demand: u64,
     expires_ms: u64,
 }
 
-/// Number of an entry's life at one leader, never given twice.
+/// Key of an entry's incarnation at one leader, never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EntryKey(u64);
 
-/// What is drawn of one account, by entry, with the sums over all of them. An ask costs
-/// the logarithm of their number, however many others hold something: 960 entries with
-/// 1,000 accounts ask several times a second each.
+/// Grants of one account by entry, with their totals. A request costs the logarithm of the
+/// number of entries that hold units: 960 entries with 1,000 accounts send several requests per
+/// second each.
 #[derive(Debug, Default)]
 struct GrantTracker {
     entries: BTreeMap<EntryKey, EntryGrant>,
-    /// In the order in which their leases end.
+    /// Entries in the order in which their leases expire.
     by_expiry: BTreeSet<(u64, EntryKey)>,
     outstanding: u64,
     lacking: u64,
@@ -420,7 +421,7 @@
         Some(drawn)
     }
 
-    /// Forgets what can no longer be spent.
+    /// Removes expired grants.
     fn expire(&mut self, now_ms: u64) {
         while let Some((expires_ms, entry)) = self.by_expiry.first().copied() {
             if now_ms < expires_ms {
@@ -431,7 +432,7 @@
     }
 }
 
-/// The leader's bucket of one account.
+/// Leader's token bucket of one account.
 #[derive(Debug)]
 struct QuotaBucket {
     level: f64,
@@ -460,8 +461,9 @@
         self.level < depth(quota) * LOW_FRACTION
     }
 
-    /// All that waiting requests need, or as many of them as there is; ahead only of what
-    /// lies above the part that others need at once.
+    /// Returns the units to grant: the cost of all waiting requests if available, else what is
+    /// available if it covers the cheapest one. Prefetch is granted only above a reserve for
+    /// other entries' immediate needs.
     fn amount_for(&self, claim: &QuotaClaim, quota: &QuotaSpec) -> u64 {
         let level = self.level.max(0.0) as u64;
         let reserved = (depth(quota) * LOW_FRACTION) as u64;
@@ -474,13 +476,14 @@
         }
     }
 
-    /// An entry's part of the limit by demand. All parts together are the limit: what one
-    /// entry leaves over, as requests come unevenly, no other one needs.
+    /// Returns an entry's share of the limit by demand. The shares of all entries add up to the
+    /// limit: what one entry leaves unused, as requests arrive unevenly, is not needed by
+    /// another.
     fn lent_per_s(&self, claim: &QuotaClaim, quota: &QuotaSpec) -> u64 {
         (claim.demand as f64 * quota.per_s / self.drawn.demand.max(1) as f64) as u64
     }
 
-    /// Time until all that waits at entries has come.
+    /// Returns the time until the bucket covers all waiting requests of all entries.
     fn retry_after_ms(&self, lacking: u64, quota: &QuotaSpec) -> u64 {
         if lacking == 0 {
             return 0;
@@ -496,50 +499,50 @@
     quota.burst.max(quota.per_s * MIN_DEPTH_S)
 }
 
-/// What the leader knows of one entry's life.
+/// Leader's record of one entry's incarnation.
 #[derive(Clone, Copy, Debug)]
 struct KnownEntry {
     index: EntryKey,
-    /// Its newest ask.
+    /// Number of its newest request.
     number: u64,
-    /// Until when that is known.
+    /// Time until which the record is kept.
     expires_ms: u64,
 }
 
-/// What is drawn of one account's quota.
+/// Current usage of one account's quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaUsage {
-    /// Units that may be drawn at once.
+    /// Units available for drawing.
     pub level: u64,
     /// Units that entries hold and have not spent.
     pub drawn: u64,
-    /// Units asked for a second.
+    /// Demand in units per second.
     pub demand: u64,
-    /// Entries that draw.
+    /// Number of entries that hold grants.
     pub entries: usize,
-    /// Little is left.
+    /// Whether little is left.
     pub short: bool,
 }
 
-/// The leader's account of all quotas.
+/// Leader's buckets for all quotas.
 #[derive(Debug)]
 pub struct QuotaGrantor {
-    /// The version of the configuration that the limits are from.
+    /// Version of the configuration that the limits come from.
     version: u64,
     limits: BTreeMap<AccountName, QuotaSpec>,
     buckets: BTreeMap<AccountName, QuotaBucket>,
     short: BTreeSet<AccountName>,
     entries: BTreeMap<EntryIncarnation, KnownEntry>,
-    /// When entries were looked through last for those that are gone.
+    /// Time at which expired entry records were last removed.
     pruned_ms: u64,
     next: EntryKey,
     since_ms: u64,
-    /// A leader before may have given grants.
+    /// Whether an earlier leader may have issued grants.
     has_predecessor: bool,
 }
 
 impl QuotaGrantor {
-    /// The account of the site's first leader: nobody has given anything.
+    /// Creates the state of the site's first leader: no grants exist.
     pub fn of_first_leader(now_ms: u64) -> Self {
         Self {
             has_predecessor: false,
@@ -547,7 +550,7 @@
         }
     }
 
-    /// A new leader's account.
+    /// Creates the state of a new leader.
     pub fn new(now_ms: u64) -> Self {
         Self {
             version: 0,
@@ -562,7 +565,7 @@
         }
     }
 
-    /// Takes the limits over from the configuration of that version.
+    /// Applies the limits of the configuration with this version.
     pub fn set_limits(&mut self, version: u64, list: Option<&AccountList>) {
         if version == self.version {
             return;
@@ -579,8 +582,9 @@
         self.short.retain(|account| limits.contains_key(account));
     }
 
-    /// Answers an ask. Accounts without a limit get nothing. One that is not newer than an
-    /// earlier ask of the same life gets nothing: the entry takes grants only for its newest.
+    /// Handles a request. Accounts without a limit get no grant. A request that is not newer
+    /// than all earlier ones of the same incarnation gets none either: the entry applies only
+    /// the reply to its newest request.
     pub fn grant(&mut self, now_ms: u64, request: &QuotaRequest) -> QuotaGrants {
         let Some(entry) = self.admit(now_ms, request) else {
             return QuotaGrants::default();
@@ -598,7 +602,7 @@
         }
     }
 
-    /// What is drawn of an account that has a limit; none without one.
+    /// Returns the usage of an account; `None` if it has no limit.
     pub fn usage(&mut self, now_ms: u64, account: &AccountName) -> Option<QuotaUsage> {
         let quota = self.limits.get(account).copied()?;
         let max_fill = self.max_fill(now_ms);
@@ -619,8 +623,9 @@
         })
     }
 
-    /// Part of the bucket that may be full now. Whoever asks first may not have been told of
-    /// a leader before, which may have given all of it to another entry.
+    /// Returns the maximum fill of a bucket, as a fraction of its depth. The first entry to
+    /// send a request may not know of an earlier leader, which may have granted everything to
+    /// another entry.
     fn max_fill(&self, now_ms: u64) -> f64 {
         match self.has_predecessor && self.overlaps_predecessor(now_ms) {
             true => INITIAL_FRACTION,
@@ -628,12 +633,12 @@
         }
     }
 
-    /// Whether what a leader before gave may still be spent.
+    /// Returns whether grants of an earlier leader may still be spent.
     fn overlaps_predecessor(&self, now_ms: u64) -> bool {
         now_ms < self.since_ms + LEASE_MS
     }
 
-    /// Notes an ask; nothing where it is not the newest of its entry's life.
+    /// Records a request; returns `None` if it is not the newest of its entry's incarnation.
     fn admit(&mut self, now_ms: u64, request: &QuotaRequest) -> Option<EntryKey> {
         if now_ms >= self.pruned_ms + LEASE_MS {
             self.pruned_ms = now_ms;
@@ -673,7 +678,7 @@
         bucket.drawn.expire(now_ms);
         let reported = claim.spent.saturating_add_unsigned(claim.balance);
         if let Some(before) = bucket.drawn.remove(entry) {
-            // What it neither spent nor holds has been given back, or was lost on its way.
+            // What the entry neither spent nor holds was returned, or lost in transit.
             bucket.level += before.credited.saturating_sub(reported).max(0) as f64;
         }
         let mut drawn = EntryGrant {
--- a/src/table/rows.rs
+++ b/src/table/rows.rs
@@ -1,4 +1,4 @@
-//! The shared table: rows, edits and the checks that an edit must pass.
+//! Shared table: rows, edits and the checks that edits must pass.
 
 use std::collections::BTreeMap;
 
@@ -9,24 +9,24 @@
 use crate::table::packing;
 use crate::table::site::SiteSpec;
 
-/// Longest accepted name of a row, in bytes.
+/// Maximum length of row and class names, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Largest accepted weight.
+/// Maximum weight of a row.
 pub const MAX_WEIGHT: u32 = 1000;
-/// Longest accepted patience: one day.
+/// Maximum wait limit of a row, in milliseconds: one day.
 pub const MAX_PATIENCE_MS: u64 = 86_400_000;
-/// Most rows that the table holds.
+/// Maximum number of rows in the table.
 pub const MAX_ROWS: usize = 10_000;
 
-/// How soon a class must be served.
+/// Urgency of a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// Somebody waits at a counter.
+    /// A person waits at a counter.
     Interactive,
-    /// Somebody waits, but not at a counter.
+    /// A person waits, but not at a counter.
     Standard,
-    /// Fills idle capacity and gives way to the others.
+    /// Fills idle capacity and yields to the other classes.
     Batch,
 }
 
@@ -37,37 +37,37 @@
     pub struct ClassFlags: u8 {
         /// The call may run at most once; callers send an idempotency key.
         const AT_MOST_ONCE = 1;
-        /// The answer is delivered only when it is complete.
+        /// The response is delivered only when complete.
         const WHOLE = 1 << 1;
     }
 }
 
-/// The fields of a row that its partner edits.
+/// Fields of a row that its partner edits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RowFields {
-    /// The base model, adapter or plain service.
+    /// Base model, adapter or plain service.
     pub model: ModelName,
-    /// The request class, as callers name it.
+    /// Request class, as named by callers.
     pub class: String,
-    /// How soon the class must be served.
+    /// Urgency of the class.
     pub urgency: Urgency,
-    /// Share against other rows of the same urgency, from 1 to [`MAX_WEIGHT`].
+    /// Weight relative to other rows of the same urgency, from 1 to [`MAX_WEIGHT`].
     pub weight: u32,
-    /// Most requests of this row that run at the same moment, over all entries.
+    /// Maximum number of concurrently running requests of this row, over all entries.
     pub max_running: u32,
-    /// How long a caller waits for the end of the answer, in milliseconds.
+    /// Time that a caller waits for the complete response, in milliseconds.
     pub patience_ms: u64,
     /// Whether a call may run at most once.
     #[serde(default)]
     pub at_most_once: bool,
-    /// Whether the answer is delivered only when complete.
+    /// Whether the response is delivered only when complete.
     #[serde(default)]
     pub whole: bool,
 }
 
 impl RowFields {
-    /// The class's properties as flags.
+    /// Returns the properties of the class as flags.
     pub fn flags(&self) -> ClassFlags {
         let mut flags = ClassFlags::empty();
         flags.set(ClassFlags::AT_MOST_ONCE, self.at_most_once);
@@ -76,75 +76,75 @@
     }
 }
 
-/// A row as accepted.
+/// Accepted row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// The owner: only this partner edits the row.
+    /// Owner: only this partner edits the row.
     pub partner: PartnerName,
-    /// The log position of the last change. Positions never come twice, so a
-    /// deleted and recreated row never has an old version again.
+    /// Log position of the last change. Positions are never reused, so a deleted and recreated
+    /// row does not get an old version again.
     pub version: Position,
-    /// What the partner set.
+    /// Fields as set by the partner.
     pub fields: RowFields,
 }
 
-/// What an edit does to its row.
+/// Change of a row by an edit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RowChange {
     /// Creates or replaces the row.
     Put(RowFields),
-    /// Removes the row.
+    /// Deletes the row.
     Delete,
 }
 
-/// One operator's edit of one row.
+/// Edit of one row by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowEdit {
-    /// Idempotency key, unique to the partner.
+    /// Idempotency key, unique per partner.
     pub id: EditId,
-    /// The partner who edits.
+    /// Partner that edits.
     pub partner: PartnerName,
-    /// The row.
+    /// Row to edit.
     pub row: RowId,
-    /// The version the operator saw; zero where the row did not exist.
+    /// Version that the operator read; 0 if the row did not exist.
     pub expected: Position,
-    /// The change.
+    /// Change to apply.
     pub change: RowChange,
 }
 
-/// Why an edit was not accepted.
+/// Reason why an edit was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EditRefusal {
-    /// The row belongs to the other partner.
+    /// The row belongs to another partner.
     NotOwner {
-        /// The row's owner.
+        /// Owner of the row.
         owner: PartnerName,
     },
-    /// The row changed since the operator read it.
+    /// The row has changed since the operator read it.
     Conflict {
-        /// The row as it stands; none where it does not exist.
+        /// Current row; `None` if it does not exist.
         current: Option<Row>,
     },
-    /// A field has a bad value.
+    /// A field has an invalid value.
     Invalid {
-        /// The field's name.
+        /// Name of the field.
         field: String,
-        /// What is wrong with it.
+        /// Description of the fault.
         reason: String,
     },
-    /// The table would not fit in the accelerators' memory.
+    /// The models of the table would not fit in the accelerators' memory.
     NoRoom {
-        /// The first model without a home.
+        /// First model that could not be placed.
         model: ModelName,
     },
-    /// The edit id was used for another edit.
+    /// The edit id was used for a different edit.
     IdReused,
 }
 
-/// The answer to an edit: the position at which it took effect, or the refusal.
+/// Result of an edit: the position at which it took effect, or the refusal.
 pub type EditResult = Result<Position, EditRefusal>;
 
-/// The answer given to an edit id.
+/// Recorded result of an edit id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EditRecord {
     edit: RowEdit,
@@ -152,7 +152,7 @@
     at_ms: u64,
 }
 
-/// The rows and the memory of answered edits.
+/// Rows, and the results of recent edits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TableStore {
     rows: BTreeMap<RowId, Row>,
@@ -160,17 +160,17 @@
 }
 
 impl TableStore {
-    /// All rows in order of their ids.
+    /// Returns all rows, ordered by id.
     pub fn rows(&self) -> &BTreeMap<RowId, Row> {
         &self.rows
     }
 
-    /// The models named by any row.
+    /// Returns the model of each row.
     pub fn models(&self) -> impl Iterator<Item = &ModelName> {
         self.rows.values().map(|row| &row.fields.model)
     }
 
-    /// Applies an edit at a log position. A resend gets the first answer again.
+    /// Applies an edit at a log position. A repeated edit gets the first result again.
     pub fn apply(
         &mut self,
         site: &SiteSpec,
@@ -197,12 +197,12 @@
         answer
     }
 
-    /// Forgets answers given before `before_ms`.
+    /// Removes results recorded before `before_ms`.
     pub fn prune(&mut self, before_ms: u64) {
         self.answered.retain(|_, record| record.at_ms >= before_ms);
     }
 
-    /// The number of answers still remembered.
+    /// Returns the number of recorded results.
     pub fn answered(&self) -> usize {
         self.answered.len()
     }
@@ -235,7 +235,8 @@
         }
     }
 
-    /// A caller names a partner, class and model, so these must find one row.
+    /// Checks that partner, class and model identify one row, as callers name only these, and
+    /// that the table has space for a new row.
     fn check_class(&self, edit: &RowEdit, fields: &RowFields) -> Result<(), EditRefusal> {
         if !self.rows.contains_key(&edit.row) && self.rows.len() >= MAX_ROWS {
             return Err(invalid("row", "the table is full"));
--- a/src/table/site.rs
+++ b/src/table/site.rs
@@ -1,4 +1,4 @@
-//! The site: models, targets and partners, as the platform provides them.
+//! Site description provided by the platform: models and targets.
 
 use std::collections::BTreeMap;
 
@@ -7,43 +7,43 @@
 use crate::ids::{HallName, ModelName, TargetName};
 use crate::table::limits::LimitPolicy;
 
-/// What a catalogue entry is.
+/// Kind of a catalogue entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ModelKind {
-    /// A base model, loaded from the weight store.
+    /// Base model, loaded from the weight store.
     Base,
-    /// An adapter: lives only where its base model lives.
+    /// Adapter: resides only where its base model does.
     Adapter(ModelName),
-    /// A plain service: fixed on the named targets, never loaded or moved.
+    /// Plain service: fixed on the listed targets, never loaded or moved.
     Service(Vec<TargetName>),
 }
 
-/// A catalogue entry.
+/// Catalogue entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// What it is.
+    /// Kind of the entry.
     pub kind: ModelKind,
-    /// Accelerator memory that the weights take, in MiB.
+    /// Accelerator memory for the weights, in MiB.
     pub weights_mib: u64,
-    /// KV memory that one token of context takes, in KiB.
+    /// KV memory per token of context, in KiB.
     #[serde(default)]
     pub kv_kib_per_token: u64,
 }
 
-/// A target as the platform describes it.
+/// Target as described by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSpec {
-    /// Its failure domain.
+    /// Data hall: the failure domain of the target.
     pub hall: HallName,
-    /// Accelerator memory, in MiB; zero for a plain service.
+    /// Accelerator memory, in MiB; 0 for a plain service.
     pub memory_mib: u64,
-    /// Memory kept free of weights, for KV, in MiB.
+    /// Memory reserved for KV, in MiB.
     #[serde(default)]
     pub kv_floor_mib: u64,
-    /// Accelerators in use on this target.
+    /// Number of accelerators of this target.
     #[serde(default = "default_accelerators")]
     pub accelerators: u32,
 }
@@ -53,30 +53,31 @@
 }
 
 impl TargetSpec {
-    /// The memory that weights may take, in MiB.
+    /// Returns the memory available for weights, in MiB.
     pub fn weights_capacity_mib(&self) -> u64 {
         self.memory_mib.saturating_sub(self.kv_floor_mib)
     }
 }
 
-/// The catalogue and the targets. Replicated, so that each voter checks edits alike.
+/// Catalogue and targets. Replicated, so that all voters check edits alike.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteSpec {
-    /// Raised by the operator of the settings file with each change of this section.
+    /// Generation; increased by the operator of the settings file with each change of this
+    /// section.
     pub generation: u64,
-    /// An edit must leave room for the loss of this many largest targets.
+    /// Number of largest targets whose loss every edit must tolerate.
     #[serde(default)]
     pub spare_targets: usize,
-    /// Least time between the starts of two loads, in milliseconds: the weight
-    /// store's rate (714 for 1.4 loads a second).
+    /// Minimum interval between the starts of two loads, in milliseconds: the weight store's
+    /// rate (714 for 1.4 loads per second).
     pub load_gap_ms: u64,
-    /// Loads that the weight store allows at once.
+    /// Maximum number of concurrent loads from the weight store.
     pub loads_at_once: usize,
-    /// How row limits are shared by the entries.
+    /// Policy for sharing row limits between entries.
     pub limits: LimitPolicy,
-    /// Base models, adapters and plain services.
+    /// Base models, adapters and plain services by name.
     pub models: BTreeMap<ModelName, ModelSpec>,
-    /// Targets.
+    /// Targets by name.
     pub targets: BTreeMap<TargetName, TargetSpec>,
 }
