--- a/src/table/accounts.rs
+++ b/src/table/accounts.rs
@@ -103,7 +103,7 @@
         index: usize,
     },
     /// Two accounts have the same name.
-    #[snafu(display("field accounts[{index}].name: duplicate name {name}"))]
+    #[snafu(display("field accounts[{index}].name: {name} is a duplicate"))]
     DuplicateName {
         /// Index of the later account.
         index: usize,
--- a/src/table/configuration.rs
+++ b/src/table/configuration.rs
@@ -65,11 +65,11 @@
     /// Selects the service of a request by weight, given a random number.
     pub fn pick(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self.split.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut remaining = draw.checked_rem(total)?;
         for (service, weight) in &self.split {
-            match left.checked_sub(u64::from(*weight)) {
+            match remaining.checked_sub(u64::from(*weight)) {
                 None => return Some(service),
-                Some(rest) => left = rest,
+                Some(rest) => remaining = rest,
             }
         }
         None
--- a/src/table/quota.rs
+++ b/src/table/quota.rs
@@ -209,7 +209,7 @@
     number: u64,
     requested_ms: u64,
     /// Time at which the last answered request was made.
-    granted_ms: Option<u64>,
+    answered_ms: Option<u64>,
     /// Whether the last request got no reply.
     unanswered: bool,
     unmet_demand: bool,
@@ -224,7 +224,7 @@
             short: BTreeSet::new(),
             number: 0,
             requested_ms: now_ms,
-            granted_ms: None,
+            answered_ms: None,
             unanswered: false,
             unmet_demand: false,
         }
@@ -260,8 +260,8 @@
             Some(_) => {
                 self.unmet_demand = true;
                 let silent_ms = self
-                    .granted_ms
-                    .map(|granted_ms| now_ms.saturating_sub(granted_ms));
+                    .answered_ms
+                    .map(|answered_ms| now_ms.saturating_sub(answered_ms));
                 match silent_ms.filter(|ms| *ms < LEASE_MS && !short) {
                     Some(ms) if held.may_borrow(cost, ms) => {
                         held.borrowed += cost;
@@ -337,7 +337,7 @@
             return;
         }
         self.unanswered = false;
-        self.granted_ms = Some(requested_ms);
+        self.answered_ms = Some(requested_ms);
         self.short = grants.short.clone();
         for (account, held) in &mut self.accounts {
             held.clear_waiting();
