--- a/src/placement/adapters.rs
+++ b/src/placement/adapters.rs
@@ -16,7 +16,7 @@
     Load,
     /// This adapter must be unloaded first; its unload was started.
     Evict(AdapterPlacement),
-    /// The adapter is not available and no order was started for it.
+    /// The adapter is not available and no load was started.
     Refused,
 }
 
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -142,7 +142,7 @@
     uncommitted: Vec<(u64, Command)>,
 }
 
-/// Waits are extended by the reciprocal of this, as the clock of this host may run 5% fast.
+/// Divisor for the margin that is added to a wait, as the clock of this host may run 5% fast.
 const CLOCK_DRIFT_DIVISOR: u64 = 20;
 /// Time between two samples of demand, in milliseconds.
 const DEMAND_SAMPLE_INTERVAL_MS: u64 = 500;
--- a/src/placement/named_limits.rs
+++ b/src/placement/named_limits.rs
@@ -296,7 +296,7 @@
 /// State of a replica's incarnation in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IncarnationState {
-    /// The incarnation is in the log.
+    /// The log knows the replica and no later incarnation.
     Current,
     /// The replica has started again since.
     Replaced,
--- a/src/placement/replica_rates.rs
+++ b/src/placement/replica_rates.rs
@@ -134,7 +134,7 @@
         self.limits.limited()
     }
 
-    /// Removes state that is no longer needed, at most once per [`PRUNE_INTERVAL_MS`].
+    /// Removes state that is no longer needed, at most once per second.
     pub fn prune(&mut self, now_ms: u64, state_of: impl Fn(&ReplicaLife) -> IncarnationState) {
         if now_ms >= self.prune_due_ms {
             self.prune_due_ms = now_ms + PRUNE_INTERVAL_MS;
--- a/src/placement/target_controller.rs
+++ b/src/placement/target_controller.rs
@@ -86,7 +86,7 @@
     round_due_ms: u64,
     /// Hosts that the platform lists as leaving.
     platform_leaving: BTreeSet<HostName>,
-    /// Time of the last call of [`Self::round`].
+    /// Time of the last call of [`Self::round`], which is made only while this leader can decide.
     decided_ms: u64,
     /// Log position of the last round's proposals; the next round waits for it.
     awaited_position: Position,
