--- a/src/placement/replica_rates.rs
+++ b/src/placement/replica_rates.rs
@@ -134,7 +134,7 @@
         self.limits.limited()
     }
 
-    /// Removes state that is no longer needed, at most once per [`PRUNE_INTERVAL_MS`].
+    /// Removes state that is no longer needed, at most once per second.
     pub fn prune(
         &mut self,
         now_ms: u64,
