--- a/src/control/journal.rs
+++ b/src/control/journal.rs
@@ -126,14 +126,14 @@
 }
 
 /// Returns what [`begin_first_start`] recorded, as long as the folder holds no log and no
-/// identity other than that of `founder`. A log means that the host has bootstrapped the site;
+/// identity other than `bootstrap_id`. A log means that the host has bootstrapped the site;
 /// another identity, that it has asked to join it.
 pub fn unfinished_first_start(
     folder: &Path,
-    founder: NodeId,
+    bootstrap_id: NodeId,
 ) -> Result<Option<Vec<VoterSettings>>> {
     let identity = read_framed::<DiskIdentity>(folder, IDENTITY_FILE)?;
-    let unfinished = is_blank(folder) && identity.is_none_or(|known| known.node == founder);
+    let unfinished = is_blank(folder) && identity.is_none_or(|known| known.node == bootstrap_id);
     match unfinished {
         true => read_framed(folder, FIRST_START_FILE),
         false => Ok(None),
@@ -141,11 +141,11 @@
 }
 
 impl DiskJournal {
-    /// Opens a data folder, or creates it: with `founder` as its identity at the bootstrap of
+    /// Opens a data folder, or creates it: with `bootstrap_id` as its identity at the bootstrap of
     /// the site, otherwise with a random one.
-    pub fn open(folder: &Path, founder: Option<NodeId>) -> Result<(Self, DiskImage)> {
+    pub fn open(folder: &Path, bootstrap_id: Option<NodeId>) -> Result<(Self, DiskImage)> {
         make_folder(folder)?;
-        let identity = load_identity(folder, founder)?;
+        let identity = load_identity(folder, bootstrap_id)?;
         let mut image = DiskImage::default();
         load_snapshot(folder, &mut image)?;
         let path = folder.join(LOG_FILE);
@@ -453,11 +453,11 @@
     }
 }
 
-fn load_identity(folder: &Path, founder: Option<NodeId>) -> Result<DiskIdentity> {
+fn load_identity(folder: &Path, bootstrap_id: Option<NodeId>) -> Result<DiskIdentity> {
     if let Some(identity) = read_framed(folder, IDENTITY_FILE)? {
         return Ok(identity);
     }
-    let node = founder.unwrap_or_else(|| NodeId(rand::rng().random()));
+    let node = bootstrap_id.unwrap_or_else(|| NodeId(rand::rng().random()));
     let identity = DiskIdentity { node };
     let mut frame = Vec::new();
     push_frame(&mut frame, &identity);
--- a/src/control/order_dispatcher.rs
+++ b/src/control/order_dispatcher.rs
@@ -124,9 +124,12 @@
 
 /// Returns the count of one incarnation, and drops that of an earlier one with the same id: the
 /// next incarnation counts from zero.
-fn order_count(counts: &mut BTreeMap<ReplicaLife, OrderCount>, life: ReplicaLife) -> OrderCount {
-    counts.retain(|other, _| other.id != life.id || *other == life);
-    counts.entry(life).or_default().clone()
+fn order_count(
+    counts: &mut BTreeMap<ReplicaLife, OrderCount>,
+    incarnation: ReplicaLife,
+) -> OrderCount {
+    counts.retain(|other, _| other.id != incarnation.id || *other == incarnation);
+    counts.entry(incarnation).or_default().clone()
 }
 
 async fn deliver(
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -130,7 +130,7 @@
             agreement: Arc::new(BootstrapAgreement {
                 others,
                 acceptor: acceptor.map(Mutex::new),
-                founder: tokio::sync::Mutex::default(),
+                chosen: tokio::sync::Mutex::default(),
             }),
         };
         serve(listener, secret, relay);
@@ -210,8 +210,8 @@
         let call = |client: ControlWireClient| async move {
             client.notice(context, cursor, WATCH_WAIT_MS).await
         };
-        let told = self.link.call_at(address, "notice", call).await?;
-        told.map_err(|refusal| PeerError::Refused {
+        let reply = self.link.call_at(address, "notice", call).await?;
+        reply.map_err(|refusal| PeerError::Refused {
             step: "notice",
             peer: address.to_owned(),
             refusal,
@@ -265,7 +265,7 @@
     acceptor: Option<Mutex<NamingBook>>,
     /// The chosen bootstrap host. Locked during the agreement, so that a second caller waits
     /// for the attempt of the first.
-    founder: tokio::sync::Mutex<Option<HostName>>,
+    chosen: tokio::sync::Mutex<Option<HostName>>,
 }
 
 impl BootstrapAgreement {
@@ -458,8 +458,8 @@
 
     async fn appoint(self, _: Context, host: HostName) -> Result<HostName, ControlRefusal> {
         let link = &self.hosts.link;
-        let mut named = self.agreement.founder.lock().await;
-        if let Some(founder) = &*named {
+        let mut chosen = self.agreement.chosen.lock().await;
+        if let Some(founder) = &*chosen {
             return Ok(founder.clone());
         }
         let Some(founder) = self.agreement.run_round(link, &host).await else {
@@ -468,7 +468,7 @@
         };
         self.hosts.watch(founder.as_str());
         tracing::info!(%founder, "bootstrap host of the site is chosen");
-        *named = Some(founder.clone());
+        *chosen = Some(founder.clone());
         Ok(founder)
     }
 
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -201,7 +201,7 @@
     let part = bootstrap::determine_role(&link, &settings.common.host, named).await;
     tracing::info!(?part, "the site starts for the first time");
     match part {
-        InitialRole::Founds(founders) => Ok(bootstrap::init_voter(settings, founders.iter())?),
+        InitialRole::Founds(hosts) => Ok(bootstrap::init_voter(settings, hosts.iter())?),
         InitialRole::Joins => Ok(()),
     }
 }
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -697,7 +697,7 @@
         self.propose_all(commands);
         self.fleet_round(now_ms);
         let _ = self.with_rates(now_ms, |rates, state| {
-            rates.prune(now_ms, |life| incarnation_state(state, life));
+            rates.prune(now_ms, |incarnation| incarnation_state(state, incarnation));
         });
         let hosts = &self.hosts;
         let host_of = |node: NodeId| hosts.get(&node).cloned();
@@ -892,9 +892,9 @@
 }
 
 /// Compares an incarnation of a replica with the state; it is over once a later one is known.
-fn incarnation_state(state: &SiteState, life: &ReplicaLife) -> LifeState {
-    match state.replicas.records().get(&life.id) {
-        Some(record) if record.born_ms > life.born_ms => LifeState::Over,
+fn incarnation_state(state: &SiteState, incarnation: &ReplicaLife) -> LifeState {
+    match state.replicas.records().get(&incarnation.id) {
+        Some(record) if record.born_ms > incarnation.born_ms => LifeState::Over,
         Some(_) => LifeState::Known,
         None => LifeState::Unknown,
     }
