--- a/src/control/order_dispatcher.rs
+++ b/src/control/order_dispatcher.rs
@@ -126,10 +126,10 @@
 /// next incarnation counts from zero.
 fn order_count(
     counts: &mut BTreeMap<ReplicaIncarnation, OrderCount>,
-    life: ReplicaIncarnation,
+    incarnation: ReplicaIncarnation,
 ) -> OrderCount {
-    counts.retain(|other, _| other.id != life.id || *other == life);
-    counts.entry(life).or_default().clone()
+    counts.retain(|other, _| other.id != incarnation.id || *other == incarnation);
+    counts.entry(incarnation).or_default().clone()
 }
 
 async fn deliver(
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -702,7 +702,7 @@
         self.propose_all(commands);
         self.fleet_round(now_ms);
         let _ = self.with_rates(now_ms, |rates, state| {
-            rates.prune(now_ms, |life| incarnation_state(state, life));
+            rates.prune(now_ms, |incarnation| incarnation_state(state, incarnation));
         });
         let hosts = &self.hosts;
         let host_of = |node: NodeId| hosts.get(&node).cloned();
@@ -897,9 +897,9 @@
 }
 
 /// Compares an incarnation of a replica with the state; it is over once a later one is known.
-fn incarnation_state(state: &SiteState, life: &ReplicaIncarnation) -> IncarnationState {
-    match state.replicas.records().get(&life.id) {
-        Some(record) if record.started_ms > life.started_ms => IncarnationState::Replaced,
+fn incarnation_state(state: &SiteState, incarnation: &ReplicaIncarnation) -> IncarnationState {
+    match state.replicas.records().get(&incarnation.id) {
+        Some(record) if record.started_ms > incarnation.started_ms => IncarnationState::Replaced,
         Some(_) => IncarnationState::Current,
         None => IncarnationState::Unknown,
     }
