--- a/benches/core.rs
+++ b/benches/core.rs
@@ -6,7 +6,7 @@
 use std::hint::black_box;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use dunlinspring::admission::gate::*;
+use dunlinspring::admission::controller::*;
 use dunlinspring::admission::ledger::OrderCheck;
 use dunlinspring::admission::queue::QueuePolicy;
 use dunlinspring::consensus::state::*;
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -4,7 +4,7 @@
 //! Pure: reports, starts and wishes enter; what to send to the engine and what an entry
 //! may be told come out. Uses `table` and [`crate::ids`].
 
-pub mod gate;
+pub mod controller;
 pub mod ledger;
 pub mod lost_runs;
 pub mod orders;
--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use crate::admission::gate::{EngineOrder, RunDispatch};
+use crate::admission::controller::{EngineOrder, RunDispatch};
 use crate::admission::ledger::{EngineReport, OrderSeq};
 use crate::ids::{AttemptId, ModelName};
 use crate::table::rows::Urgency;
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-use crate::admission::gate::{
+use crate::admission::controller::{
     AttemptWord, EngineOrder, GatePolicy, RunAsk, RunDispatch, RunEvent, TargetGate,
 };
 use crate::admission::ledger::HoldPhase;
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -29,7 +29,7 @@
     self, AccountStatus, AgentOrders, ControlRefusal, ControlStatus, EntryOrders, LimitStatus,
     Notice, TableStatus,
 };
-use crate::routing::authority::FreshnessProof;
+use crate::routing::freshness::FreshnessProof;
 use crate::routing::view::{self, SyncPage};
 use crate::table::accounts::{AccountBook, AccountSpec};
 use crate::table::quota::QuotaGrantor;
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -11,14 +11,14 @@
 use sha2::{Digest, Sha256};
 use tokio::sync::mpsc;
 
-use crate::admission::gate::EngineCall;
+use crate::admission::controller::EngineCall;
 use crate::entry::flight_steps::{self, CallerRequest, FlightNote};
 use crate::entry::operator;
 use crate::entry::shell::{self, EntryShared, InFlight};
 use crate::ids::{CallKey, ModelName, PartnerName};
 use crate::process::auth;
 use crate::process::daemon::{self, DaemonError};
-use crate::routing::flight::{DEFAULT_RETRY_MS, EndCause, FlightOutcome};
+use crate::routing::lifecycle::{DEFAULT_RETRY_MS, EndCause, FlightOutcome};
 use crate::table::rows::Row;
 use crate::table::site::ModelKind;
 
--- a/src/entry/flight_steps.rs
+++ b/src/entry/flight_steps.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::admission::gate::{AttemptWord, EngineCall, NotRun, RefuseCause, RunAsk, RunEnd};
+use crate::admission::controller::{AttemptWord, EngineCall, NotRun, RefuseCause, RunAsk, RunEnd};
 use crate::clock;
 use crate::consensus::claims::{ClaimAsk, ClaimKey, Settlement};
 use crate::consensus::crashes::ContentStanding;
@@ -17,7 +17,7 @@
 use crate::process::wire::{AgentWireClient, AgentWord};
 use crate::process::{crash_report, member, peers};
 use crate::routing::content::{self, ContentParts};
-use crate::routing::flight::{
+use crate::routing::lifecycle::{
     DEFAULT_RETRY_MS, EndCause, FlightEvent, FlightOutcome, FlightPolicy, FlightStep, FlightTrial,
     RequestFlight,
 };
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,7 +1,7 @@
 //! The entry that reaches targets through agents: callers and operators speak to it.
 //!
 //! HTTP enters; calls to agents and control leave, each a step of
-//! [`crate::routing::flight`]. Uses the pure folders and `process`.
+//! [`crate::routing::lifecycle`]. Uses the pure folders and `process`.
 
 pub mod caller;
 pub mod flight_steps;
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -22,7 +22,7 @@
 use crate::process::peers::{self, ControlLink, PeerPool, SiteSecret};
 use crate::process::settings::EntrySettings;
 use crate::process::wire::{AgentWireClient, EntryOrders};
-use crate::routing::flight::{EndCause, FlightOutcome};
+use crate::routing::lifecycle::{EndCause, FlightOutcome};
 use crate::routing::refusals::RefusalBook;
 use crate::routing::retry::RetryBudget;
 use crate::routing::route::LoadBook;
--- a/src/forward/book.rs
+++ b/src/forward/book.rs
@@ -20,7 +20,7 @@
 use crate::placement::crowd::WaitingTokens;
 use crate::routing::backoff::{BackoffBook, SendBar};
 use crate::routing::limited_peers::LimitedPeers;
-use crate::routing::permit_pace::PermitPace;
+use crate::routing::permit_throttle::PermitPace;
 use crate::routing::warm_up::WarmupBook;
 use crate::table::configuration::WarmupSpec;
 pub use bars::ReplicaBar;
--- a/src/forward/book/bars.rs
+++ b/src/forward/book/bars.rs
@@ -9,7 +9,7 @@
 use crate::ids::{HallName, ReplicaId, ReplicaLife, ServiceName};
 use crate::routing::backoff::{AskedPause, ClaimEnd, SendBar, SendClaim};
 use crate::routing::limited_peers::LimitedPeers;
-use crate::routing::permit_pace::PermitPace;
+use crate::routing::permit_throttle::PermitPace;
 use crate::table::configuration::ServiceSpec;
 
 use super::{Choice, ReplicaBook};
--- a/src/forward/caller.rs
+++ b/src/forward/caller.rs
@@ -2,7 +2,7 @@
 //! the account may act now.
 //!
 //! A key is obeyed only while no newer configuration can have taken it away for longer
-//! than the bound of the settings; see [`crate::routing::authority`].
+//! than the bound of the settings; see [`crate::routing::freshness`].
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -11,7 +11,7 @@
 use crate::placement::rate_limit::PERMIT_MS;
 use crate::placement::replica_rates::{PermitRefusal, PermitReply, PermitRequest};
 use crate::process::peers::PeerError;
-use crate::routing::permit_pace::ASK_MS;
+use crate::routing::permit_throttle::ASK_MS;
 
 /// What stands for an answer that nobody gave: other replicas are sent to
 /// meanwhile.
--- a/src/placement/duties.rs
+++ b/src/placement/duties.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::admission::gate::TargetPlan;
+use crate::admission::controller::TargetPlan;
 use crate::consensus::state::{Command, HomePhase, HomeReport, SiteState};
 use crate::ids::{HostName, Incarnation, ModelName, Position, RowId, TargetName, Term};
 use crate::placement::moves::{self, DemandBook, PlacePolicy};
--- a/src/process/follow.rs
+++ b/src/process/follow.rs
@@ -15,7 +15,7 @@
 use crate::ids::{HallName, Position};
 use crate::process::peers::{self, ControlLink, PeerError};
 use crate::process::wire::{ControlRefusal, Notice};
-use crate::routing::authority::ProofBook;
+use crate::routing::freshness::ProofBook;
 use crate::routing::view::SiteView;
 
 /// Longest wait for one notice.
--- a/src/process/wire.rs
+++ b/src/process/wire.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::admission::gate::{AttemptWord, RunAsk, TargetPlan};
+use crate::admission::controller::{AttemptWord, RunAsk, TargetPlan};
 use crate::consensus::claims::ClaimRecord;
 use crate::consensus::crashes::CrashBook;
 use crate::consensus::directory::{BeatNews, ReplicaRecord};
@@ -22,7 +22,7 @@
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::turns::{TurnAnswer, TurnAsk, TurnEnd};
-use crate::routing::authority::FreshnessProof;
+use crate::routing::freshness::FreshnessProof;
 use crate::routing::view::SyncPage;
 use crate::table::accounts::QuotaSpec;
 use crate::table::configuration::ConfigurationRecord;
--- a/src/routing/flight.rs
+++ b/src/routing/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Follows one request to its one outcome. Pure: the entry's shell performs
 //! each [`FlightStep`] and brings back the [`FlightEvent`].
 
-use crate::admission::gate::{AnswerPage, AttemptWord, NotRun, RefuseCause, RunEnd};
+use crate::admission::controller::{AnswerPage, AttemptWord, NotRun, RefuseCause, RunEnd};
 use crate::consensus::claims::{ClaimAnswer, ClaimRecord, Settlement};
 use crate::ids::{AttemptId, Incarnation, TargetName};
 use crate::routing::suspects::BARRED_RETRY_MS;
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -3,12 +3,12 @@
 //! Pure: events of one request and changes of the log enter; steps to perform come out.
 //! Uses `table`, `consensus`, `admission` and `placement`.
 
-pub mod authority;
 pub mod backoff;
 pub mod content;
-pub mod flight;
+pub mod freshness;
+pub mod lifecycle;
 pub mod limited_peers;
-pub mod permit_pace;
+pub mod permit_throttle;
 pub mod refusals;
 pub mod retry;
 pub mod route;
--- a/src/routing/refusals.rs
+++ b/src/routing/refusals.rs
@@ -3,7 +3,7 @@
 //!
 //! Pure: the caller passes in the time. By the same book as replicas without agents.
 
-use crate::admission::gate::RETRY_SOON_MS;
+use crate::admission::controller::RETRY_SOON_MS;
 use crate::admission::runs::{NotRun, RefuseCause};
 use crate::ids::{Incarnation, ModelName, RowId, TargetName};
 use crate::routing::backoff::{AskedPause, BackoffBook, SendBar};
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use crate::admission::gate::{EngineOrder, OrderAct};
+use crate::admission::controller::{EngineOrder, OrderAct};
 use crate::admission::ledger::{EngineReport, OrderSeq, ResidentInfo, RunningInfo};
 use crate::agent::engine::{DONE, EnginePiece, EngineRun};
 use crate::ids::{AttemptId, ModelName};
--- a/tests/accounts.rs
+++ b/tests/accounts.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use dunlinspring::forward::caller;
-use dunlinspring::routing::authority::{FreshnessProof, ProofBook};
+use dunlinspring::routing::freshness::{FreshnessProof, ProofBook};
 use dunlinspring::table::accounts::{
     AccountBook, AccountError, AccountSpec, KeyDigest, KeyIndex, QuotaSpec, QuotaUnit,
 };
--- a/tests/flight.rs
+++ b/tests/flight.rs
@@ -2,7 +2,7 @@
 
 use dunlinspring::consensus::claims::ClaimAnswer;
 use dunlinspring::ids::{AttemptId, Incarnation, Position, TargetName};
-use dunlinspring::routing::flight::{
+use dunlinspring::routing::lifecycle::{
     EndCause, FlightEvent, FlightOutcome, FlightPolicy, FlightStep, FlightTrial, RequestFlight,
 };
 
--- a/tests/fuzz/gate.rs
+++ b/tests/fuzz/gate.rs
@@ -3,14 +3,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunlinspring::admission::gate::*;
+use dunlinspring::admission::controller::*;
 use dunlinspring::admission::ledger::{
     EngineReport, OrderCheck, OrderSeq, ResidentInfo, RunningInfo,
 };
 use dunlinspring::admission::queue::QueuePolicy;
 use dunlinspring::consensus::claims::{ClaimAsk, ClaimBook, ClaimKey, Settlement};
 use dunlinspring::ids::*;
-use dunlinspring::routing::flight::*;
+use dunlinspring::routing::lifecycle::*;
 use dunlinspring::table::rows::Urgency;
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -53,18 +53,18 @@
 mutant memory-freed-at-order src/admission/ledger.rs 's/hold\.phase = HoldPhase::Unloading;\n            hold\.stamp = stamp;/hold.phase = HoldPhase::Unloading;\n            hold.mib = 0;\n            hold.stamp = stamp;/' fuzz $gate
 mutant unanswered-load-not-counted src/admission/ledger.rs 's/None => !settled,/None => false,/' fuzz $gate
 mutant account-open-at-once src/admission/ledger.rs 's/OrderCheck::Fenced => report\.fence\.life == life,/OrderCheck::Fenced => true,/' fuzz $gate
-mutant no-wait-for-late-orders src/admission/gate.rs 's/let open_after_ms = now_ms \+ policy\.lease_ms \+ late;/let open_after_ms = 0 * (now_ms + policy.lease_ms + late);/' fuzz $gate
-mutant orders-without-lease src/admission/gate.rs 's/if self\.order_open \|\| !self\.has_lease\(now_ms\) \{/if self.order_open {/' fuzz $gate
-mutant runs-without-lease src/admission/gate.rs 's/self\.policy\.capacity_mib > 0 && !self\.has_lease\(now_ms\)/false \&\& now_ms > 0/' fuzz $gate
+mutant no-wait-for-late-orders src/admission/controller.rs 's/let open_after_ms = now_ms \+ policy\.lease_ms \+ late;/let open_after_ms = 0 * (now_ms + policy.lease_ms + late);/' fuzz $gate
+mutant orders-without-lease src/admission/controller.rs 's/if self\.order_open \|\| !self\.has_lease\(now_ms\) \{/if self.order_open {/' fuzz $gate
+mutant runs-without-lease src/admission/controller.rs 's/self\.policy\.capacity_mib > 0 && !self\.has_lease\(now_ms\)/false \&\& now_ms > 0/' fuzz $gate
 mutant predecessors-runs-not-counted src/admission/ledger.rs 's/for run in &report\.running \{/for run in report.running.iter().take(0) {/' fuzz $gate
-mutant seal-forgets src/admission/gate.rs 's/self\.record\(now_ms, attempt, None, Stage::Ended\(end\)\);/return self.refused(attempt, RefuseCause::Sealed, RETRY_SOON_MS);/' fuzz $gate
-mutant lost-start-is-not-run src/routing/flight.rs 's/\(Stage::Starting\(trial\), _\) => self\.stage = Stage::Sealing\(trial\),/(Stage::Starting(_), _) => self.finish_not_run(EndCause::TargetLost),/' fuzz $gate
-mutant not-run-after-maybe src/routing/flight.rs 's/let outcome = match self\.maybe_ran \{/let outcome = match false {/' fuzz $gate
-mutant other-life-may-start src/admission/gate.rs 's/if ask\.life != self\.life \{/if false \&\& ask.life != self.life {/' fuzz $gate
+mutant seal-forgets src/admission/controller.rs 's/self\.record\(now_ms, attempt, None, Stage::Ended\(end\)\);/return self.refused(attempt, RefuseCause::Sealed, RETRY_SOON_MS);/' fuzz $gate
+mutant lost-start-is-not-run src/routing/lifecycle.rs 's/\(Stage::Starting\(trial\), _\) => self\.stage = Stage::Sealing\(trial\),/(Stage::Starting(_), _) => self.finish_not_run(EndCause::TargetLost),/' fuzz $gate
+mutant not-run-after-maybe src/routing/lifecycle.rs 's/let outcome = match self\.maybe_ran \{/let outcome = match false {/' fuzz $gate
+mutant other-life-may-start src/admission/controller.rs 's/if ask\.life != self\.life \{/if false \&\& ask.life != self.life {/' fuzz $gate
 mutant claims-reused src/consensus/claims.rs 's/\(Some\(record\), _\) if record\.settled != Some\(Settlement::NotRun\) =>/(Some(record), _) if record.settled.is_some() \&\& record.settled != Some(Settlement::NotRun) =>/' fuzz $gate
-mutant unclaimed-start src/routing/flight.rs 's/true => Stage::Claiming\(trial\),/true => Stage::Starting(trial),/' fuzz $gate
-mutant refused-resume-is-not-run src/admission/gate.rs 's/RunEvent::Refused if !attempt\.resumed =>/RunEvent::Refused if true || !attempt.resumed =>/' fuzz $gate
-mutant pieces-out-of-order src/admission/gate.rs 's/if index as usize == attempt\.pieces\.len\(\) \{/if index as usize + 1 >= attempt.pieces.len() {/' fuzz $gate
+mutant unclaimed-start src/routing/lifecycle.rs 's/true => Stage::Claiming\(trial\),/true => Stage::Starting(trial),/' fuzz $gate
+mutant refused-resume-is-not-run src/admission/controller.rs 's/RunEvent::Refused if !attempt\.resumed =>/RunEvent::Refused if true || !attempt.resumed =>/' fuzz $gate
+mutant pieces-out-of-order src/admission/controller.rs 's/if index as usize == attempt\.pieces\.len\(\) \{/if index as usize + 1 >= attempt.pieces.len() {/' fuzz $gate
 mutant boot-not-checked tests/fuzz/gate.rs 's/ \|\| order\.boot != self\.boot//; s/ \|\| run\.boot != engine\.boot//' fuzz $gate
 limit=no_limit_is_exceeded_in_sum
 mutant old-ask-granted src/table/limits.rs 's/let new = asked > \*newest;/let new = true || asked > *newest;/' fuzz $limit
@@ -82,12 +82,12 @@
 mutant journal-gap-unseen src/consensus/state.rs 's/if cursor < self\.journal_from \{/if false \&\& cursor < self.journal_from {/' fuzz $view
 mutant agent-stops-without-drain src/agent/shell.rs 's/while !shared\.gate\(\)\.is_idle\(\) \{/while false \&\& !shared.gate().is_idle() {/' failures planned_stops_cut_nothing_off
 mutant entry-never-stale src/entry/shell.rs 's/confirmed \+ self\.settings\.stale_ms < clock::monotonic_ms\(\)/false \&\& confirmed + self.settings.stale_ms < clock::monotonic_ms()/' failures an_entry_that_is_cut_off
-mutant leaving-target-takes-work 'src/admission/gate.rs src/routing/view.rs' 's/_ if self\.leaving => Some\(RefuseCause::Leaving\),/_ if false \&\& self.leaving => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_leaving_target_gets_no_new_work
+mutant leaving-target-takes-work 'src/admission/controller.rs src/routing/view.rs' 's/_ if self\.leaving => Some\(RefuseCause::Leaving\),/_ if false \&\& self.leaving => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_leaving_target_gets_no_new_work
 mutant silence-of-a-freeze-is-loss src/placement/duties.rs 's/self\.decided_ms \+ self\.policy\.loss_ms \/ 2 < now_ms/false \&\& self.decided_ms < now_ms/' duties a_leader_that_was_frozen
 mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.outstanding\(\) as f64\)\.max\(0\.0\)/depth/' quota what_entries_hold_is_a_part_of_the_bucket
 mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.until_ms \{/if now_ms == u64::MAX {/' quota what_is_held_lapses_and_what_did_not_run_is_given_back
 mutant doubled-ask-draws-twice src/table/quota.rs 's/let known = ask\.number <= newest\.0;/let known = false;/' quota a_doubled_ask_draws_once_and_a_late_answer_is_dropped
-mutant proof-without-age src/routing/authority.rs 's/asked_ms\.saturating_sub\(proof\.age_ms\)/asked_ms/' accounts a_proof_counts_for_whoever_holds_its_version
+mutant proof-without-age src/routing/freshness.rs 's/asked_ms\.saturating_sub\(proof\.age_ms\)/asked_ms/' accounts a_proof_counts_for_whoever_holds_its_version
 mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding where_nothing_newer_can_be_heard_no_key_is_obeyed_for_long
 mutant key-passed-on src/forward/request/wire_heads.rs 's/drop\.extend\(\[names\.key, names\.account\]\);//' forwarding a_key_stays_here_and_its_account_goes_on
 mutant order-without-its-leader src/control/orderer.rs 's/\.ok_or\(CallError::Deposed\)\?;/.unwrap_or(SendPermit { until_ms: u64::MAX });/' orderer an_order_leaves_only_while_its_leader_decides
--- a/tests/replica_limits/world.rs
+++ b/tests/replica_limits/world.rs
@@ -10,7 +10,7 @@
     PermitRefusal, PermitReply, PermitRequest, ReplicaRates,
 };
 use dunlinspring::routing::limited_peers::LimitedPeers;
-use dunlinspring::routing::permit_pace::PermitPace;
+use dunlinspring::routing::permit_throttle::PermitPace;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -14,7 +14,7 @@
 use dunlinspring::ids::{HallName, ReplicaId, ReplicaLife, ServiceName};
 use dunlinspring::placement::rate_limit::{PERMIT_MS, RateLimiter};
 use dunlinspring::placement::replica_rates::PermitRefusal;
-use dunlinspring::routing::permit_pace::PermitPace;
+use dunlinspring::routing::permit_throttle::PermitPace;
 use dunlinspring::routing::warm_up::WarmupBook;
 use dunlinspring::table::configuration::{ServiceSpec, WarmupSpec};
 use proptest::prelude::*;
