--- a/benches/core.rs
+++ b/benches/core.rs
@@ -12,7 +12,7 @@
 use dunlinspring::consensus::state::*;
 use dunlinspring::ids::*;
 use dunlinspring::placement::moves::{self, DemandBook, PlacePolicy};
-use dunlinspring::routing::route::{self, LoadBook, RouteAsk, RouteChoice, RoutePolicy};
+use dunlinspring::routing::route::{self, HomeCandidate, LoadTracker, RoutePolicy, RouteRequest};
 use dunlinspring::routing::view;
 use dunlinspring::table::accounts::{AccountBook, AccountSpec, QuotaSpec, QuotaUnit};
 use dunlinspring::table::limits::{LimitClaim, LimitPolicy, ShareGrantor};
@@ -118,19 +118,19 @@
         let names: Vec<TargetName> = (0..homes)
             .map(|number| TargetName(format!("target-{number}")))
             .collect();
-        let choices: Vec<RouteChoice<'_>> = names
+        let choices: Vec<HomeCandidate<'_>> = names
             .iter()
-            .map(|target| RouteChoice {
+            .map(|target| HomeCandidate {
                 target,
                 hall: &hall,
             })
             .collect();
-        let ask = RouteAsk {
+        let ask = RouteRequest {
             entry: 1,
             hall: &hall,
             prefix: "the beginning of a prompt",
         };
-        let book = LoadBook::default();
+        let book = LoadTracker::default();
         let mut rng = SmallRng::seed_from_u64(1);
         group.bench_with_input(BenchmarkId::from_parameter(homes), &homes, |b, _| {
             b.iter(|| black_box(route::choose(&policy, &ask, &choices, &book, 1, &mut rng)));
@@ -213,7 +213,7 @@
             ordered: true,
             limit: 1024,
         };
-        let policy = GatePolicy {
+        let policy = AdmissionPolicy {
             capacity_mib: 0,
             check: OrderCheck::Fenced,
             lease_ms: 1000,
@@ -221,9 +221,9 @@
         };
         let service = ModelName::from("service");
         let fixed = BTreeSet::from([service.clone()]);
-        let mut gate = TargetGate::new(Incarnation(1), policy, fixed, 0);
+        let mut gate = AdmissionController::new(Incarnation(1), policy, fixed, 0);
         let mut number = 0;
-        let mut cycle = |gate: &mut TargetGate| {
+        let mut cycle = |gate: &mut AdmissionController| {
             number += 1;
             let attempt = AttemptId {
                 entry: Incarnation(1),
@@ -237,9 +237,9 @@
                 given: 0,
                 kv_mib: 0,
             };
-            let ask = RunAsk {
+            let ask = RunRequest {
                 attempt,
-                life: Incarnation(1),
+                incarnation: Incarnation(1),
                 row: RowId::from("row"),
                 version: Position(1),
                 urgency: Urgency::Interactive,
@@ -251,7 +251,7 @@
             };
             gate.start(1, ask);
             gate.next_run(1);
-            gate.on_run(1, attempt, RunEvent::Ended);
+            gate.on_run_event(1, attempt, RunEvent::Ended);
             black_box(gate.pull(1, attempt, Incarnation(1), 0));
         };
         (0..remembered).for_each(|_| cycle(&mut gate));
@@ -379,8 +379,8 @@
             plan: Some(TargetPlan {
                 term: Term(1),
                 position: Position(1),
-                life: Incarnation(1),
-                want: Some(want.collect()),
+                incarnation: Incarnation(1),
+                desired_models: Some(want.collect()),
                 lease_ms: 1500,
             }),
             position: Position(1),
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -14,7 +14,7 @@
 use dunlinspring::ids::*;
 use dunlinspring::placement::moves::{self, DemandBook, PlacePolicy};
 use dunlinspring::routing::retry::{RetryBudget, RetryPolicy};
-use dunlinspring::routing::route::{self, LoadBook, RouteAsk, RouteChoice, RoutePolicy};
+use dunlinspring::routing::route::{self, HomeCandidate, LoadTracker, RoutePolicy, RouteRequest};
 use dunlinspring::table::rows::{RowChange, RowEdit, RowFields, Urgency};
 use dunlinspring::table::site::{ModelKind, ModelSpec, SiteSpec, TargetSpec};
 use rand::rngs::SmallRng;
@@ -34,15 +34,15 @@
 fn routing(policy: &RoutePolicy, lag_ms: u64, own: bool, seed: u64) -> f64 {
     let names: Vec<TargetName> = (0..8).map(|n| TargetName(format!("t{n}"))).collect();
     let hall = HallName::from("hall");
-    let choices: Vec<RouteChoice<'_>> = names
+    let choices: Vec<HomeCandidate<'_>> = names
         .iter()
-        .map(|target| RouteChoice {
+        .map(|target| HomeCandidate {
             target,
             hall: &hall,
         })
         .collect();
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     let mut busy: BTreeMap<&TargetName, Vec<u64>> = BTreeMap::new();
     let mut reports: Vec<(u64, &TargetName, u32)> = Vec::new();
     let (mut waits, mut sent) = (0.0, 0.0);
@@ -53,16 +53,16 @@
         for (target, ends) in &mut busy {
             let ended = ends.extract_if(.., |end| *end <= at).count();
             if own {
-                (0..ended).for_each(|_| book.ended(target));
+                (0..ended).for_each(|_| book.record_ended(target));
             }
         }
         while let Some((due, target, load)) = reports.first().copied()
             && due <= at
         {
             reports.remove(0);
-            book.reported(target, load, at);
+            book.record_report(target, load, at);
         }
-        let ask = RouteAsk {
+        let ask = RouteRequest {
             entry: 1,
             hall: &hall,
             prefix: "",
@@ -81,7 +81,7 @@
         };
         ends.push(start + length);
         if own {
-            book.sent(target);
+            book.record_sent(target);
         }
         reports.push((at + lag_ms, target, ends.len() as u32));
         reports.sort();
@@ -220,7 +220,7 @@
         (
             "budget",
             Some(RetryPolicy {
-                earned: 20,
+                earned_hundredths: 20,
                 burst: 50,
             }),
         ),
--- a/src/admission/ledger.rs
+++ b/src/admission/ledger.rs
@@ -58,7 +58,7 @@
 
 /// What is known of one model on the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HoldPhase {
+pub enum ModelPhase {
     /// A load was ordered: it may be there or not.
     Loading,
     /// It is there and serves.
@@ -68,18 +68,18 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct ModelHold {
+struct ModelUsage {
     mib: u64,
-    phase: HoldPhase,
+    phase: ModelPhase,
     stamp: OrderStamp,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct RunHold {
+struct RunUsage {
     mib: u64,
     stamp: OrderStamp,
     /// The connection closed without an end: the run may go on or yet arrive.
-    adrift: bool,
+    disconnected: bool,
 }
 
 /// When an order left, for engines that do not check orders.
@@ -104,7 +104,7 @@
 
 /// A reservation that does not fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoMemory {
+pub struct InsufficientMemory {
     /// MiB missing.
     pub short_mib: u64,
 }
@@ -114,10 +114,10 @@
 pub struct MemoryLedger {
     capacity_mib: u64,
     check: OrderCheck,
-    models: BTreeMap<ModelName, ModelHold>,
-    runs: BTreeMap<AttemptId, RunHold>,
+    models: BTreeMap<ModelName, ModelUsage>,
+    runs: BTreeMap<AttemptId, RunUsage>,
     /// Until a report under this life's own fence, all memory counts as taken.
-    opened: bool,
+    initialized: bool,
     open_after_ms: u64,
     /// The engine's life that this account is of.
     boot: Option<u64>,
@@ -135,20 +135,20 @@
             check,
             models: BTreeMap::new(),
             runs: BTreeMap::new(),
-            opened: false,
+            initialized: false,
             open_after_ms,
             boot: None,
         }
     }
 
     /// Whether a report has shown what the target holds.
-    pub fn is_open(&self) -> bool {
-        self.opened
+    pub fn is_initialized(&self) -> bool {
+        self.initialized
     }
 
     /// The memory that may be taken, in MiB.
     pub fn used_mib(&self) -> u64 {
-        if !self.opened {
+        if !self.initialized {
             return self.capacity_mib;
         }
         let models: u64 = self.models.values().map(|hold| hold.mib).sum();
@@ -162,12 +162,12 @@
     }
 
     /// What is known of a model.
-    pub fn phase(&self, model: &ModelName) -> Option<HoldPhase> {
+    pub fn phase(&self, model: &ModelName) -> Option<ModelPhase> {
         self.models.get(model).map(|hold| hold.phase)
     }
 
     /// All models that may be there.
-    pub fn models(&self) -> impl Iterator<Item = (&ModelName, HoldPhase)> {
+    pub fn models(&self) -> impl Iterator<Item = (&ModelName, ModelPhase)> {
         self.models.iter().map(|(model, hold)| (model, hold.phase))
     }
 
@@ -175,8 +175,8 @@
     /// at the report's fences, so that a new fence is due.
     pub fn needs_fence(&self, report: &EngineReport) -> bool {
         let model =
-            |hold: &ModelHold| hold.phase != HoldPhase::Resident && hold.stamp.seq > report.fence;
-        let run = |hold: &RunHold| hold.adrift && hold.stamp.seq >= report.run_fence;
+            |hold: &ModelUsage| hold.phase != ModelPhase::Resident && hold.stamp.seq > report.fence;
+        let run = |hold: &RunUsage| hold.disconnected && hold.stamp.seq >= report.run_fence;
         self.models.values().any(model) || self.runs.values().any(run)
     }
 
@@ -186,13 +186,13 @@
         model: &ModelName,
         mib: u64,
         stamp: OrderStamp,
-    ) -> Result<(), NoMemory> {
+    ) -> Result<(), InsufficientMemory> {
         let held = self.models.get(model).map_or(0, |hold| hold.mib);
         let extra = mib.saturating_sub(held);
         self.fits(extra)?;
-        let hold = ModelHold {
+        let hold = ModelUsage {
             mib: mib.max(held),
-            phase: HoldPhase::Loading,
+            phase: ModelPhase::Loading,
             stamp,
         };
         self.models.insert(model.clone(), hold);
@@ -202,7 +202,7 @@
     /// Notes that an unload is ordered. The memory stays counted.
     pub fn begin_unload(&mut self, model: &ModelName, stamp: OrderStamp) {
         if let Some(hold) = self.models.get_mut(model) {
-            hold.phase = HoldPhase::Unloading;
+            hold.phase = ModelPhase::Unloading;
             hold.stamp = stamp;
         }
     }
@@ -213,12 +213,12 @@
         attempt: AttemptId,
         mib: u64,
         stamp: OrderStamp,
-    ) -> Result<(), NoMemory> {
+    ) -> Result<(), InsufficientMemory> {
         self.fits(mib)?;
-        let hold = RunHold {
+        let hold = RunUsage {
             mib,
             stamp,
-            adrift: false,
+            disconnected: false,
         };
         self.runs.insert(attempt, hold);
         Ok(())
@@ -230,9 +230,9 @@
     }
 
     /// Notes that a run's connection closed without an end. It stays counted.
-    pub fn lose_run(&mut self, attempt: AttemptId, now_ms: u64) {
+    pub fn disconnect_run(&mut self, attempt: AttemptId, now_ms: u64) {
         if let Some(hold) = self.runs.get_mut(&attempt) {
-            hold.adrift = true;
+            hold.disconnected = true;
             hold.stamp.open_ms = now_ms;
         }
     }
@@ -245,13 +245,13 @@
     }
 
     /// Takes a report that was asked for at `asked_ms` of the agent's clock.
-    pub fn prove(&mut self, report: &EngineReport, asked_ms: u64, life: Incarnation) {
-        let reborn = self.boot != Some(report.boot);
+    pub fn apply_report(&mut self, report: &EngineReport, asked_ms: u64, life: Incarnation) {
+        let restarted = self.boot != Some(report.boot);
         self.boot = Some(report.boot);
-        if reborn && self.check == OrderCheck::Fenced {
-            self.opened = false;
+        if restarted && self.check == OrderCheck::Fenced {
+            self.initialized = false;
         }
-        if !self.opened && !self.open(report, asked_ms, life) {
+        if !self.initialized && !self.initialize(report, asked_ms, life) {
             return;
         }
         let check = self.check;
@@ -262,7 +262,7 @@
                 Some(info) => {
                     hold.mib = hold.mib.max(info.mib);
                     if settled && info.ready {
-                        hold.phase = HoldPhase::Resident;
+                        hold.phase = ModelPhase::Resident;
                     }
                     true
                 }
@@ -272,33 +272,33 @@
         let running: BTreeSet<AttemptId> = running.collect();
         self.runs.retain(|attempt, run| {
             let settled = is_run_settled(check, run.stamp, report.run_fence, asked_ms);
-            !(run.adrift && settled && !running.contains(attempt))
+            !(run.disconnected && settled && !running.contains(attempt))
         });
-        self.adopt(report, asked_ms, life);
+        self.adopt_unknown(report, asked_ms, life);
     }
 
     /// Models and runs of an earlier life that are still there.
-    fn adopt(&mut self, report: &EngineReport, asked_ms: u64, life: Incarnation) {
+    fn adopt_unknown(&mut self, report: &EngineReport, asked_ms: u64, life: Incarnation) {
         let stamp = OrderStamp {
             seq: OrderSeq { life, number: 0 },
             open_ms: asked_ms,
         };
         for (model, info) in &report.resident {
             let phase = match info.ready {
-                true => HoldPhase::Resident,
-                false => HoldPhase::Loading,
+                true => ModelPhase::Resident,
+                false => ModelPhase::Loading,
             };
-            self.models.entry(model.clone()).or_insert(ModelHold {
+            self.models.entry(model.clone()).or_insert(ModelUsage {
                 mib: info.mib,
                 phase,
                 stamp,
             });
         }
         for run in &report.running {
-            self.runs.entry(run.attempt).or_insert(RunHold {
+            self.runs.entry(run.attempt).or_insert(RunUsage {
                 mib: run.mib,
                 stamp,
-                adrift: true,
+                disconnected: true,
             });
         }
     }
@@ -307,23 +307,23 @@
     ///
     /// An engine that checks orders refuses those for its earlier lives, and
     /// those below this agent's fence, so such a report is the whole truth.
-    fn open(&mut self, report: &EngineReport, asked_ms: u64, life: Incarnation) -> bool {
-        self.opened = match self.check {
+    fn initialize(&mut self, report: &EngineReport, asked_ms: u64, life: Incarnation) -> bool {
+        self.initialized = match self.check {
             OrderCheck::Fenced => report.fence.life == life,
             OrderCheck::LateBound(_) => asked_ms > self.open_after_ms,
         };
-        if self.opened && self.check == OrderCheck::Fenced {
+        if self.initialized && self.check == OrderCheck::Fenced {
             self.models.clear();
             self.runs.clear();
         }
-        self.opened
+        self.initialized
     }
 
-    fn fits(&self, mib: u64) -> Result<(), NoMemory> {
+    fn fits(&self, mib: u64) -> Result<(), InsufficientMemory> {
         let free = self.free_mib();
         match mib.checked_sub(free) {
             None | Some(0) => Ok(()),
-            Some(short_mib) => Err(NoMemory { short_mib }),
+            Some(short_mib) => Err(InsufficientMemory { short_mib }),
         }
     }
 }
--- a/src/admission/lost_runs.rs
+++ b/src/admission/lost_runs.rs
@@ -10,7 +10,7 @@
 
 /// What one engine life had running when it ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndedLife {
+pub struct CrashedIncarnation {
     /// The engine's life.
     pub boot: u64,
     /// What ran there.
@@ -32,7 +32,7 @@
 
 impl LostRuns {
     /// The connection of a run closed without an end, in that life of the engine.
-    pub fn note(&mut self, boot: u64, content: ContentDigest, now_ms: u64) {
+    pub fn record(&mut self, boot: u64, content: ContentDigest, now_ms: u64) {
         if self.waiting.len() < MAX_LOST {
             self.waiting.push(LostRun {
                 boot,
@@ -44,7 +44,7 @@
 
     /// Takes a report that was asked for at `asked_ms`. Returns the lives that have ended
     /// under runs.
-    pub fn on_report(&mut self, boot: u64, asked_ms: u64) -> Vec<EndedLife> {
+    pub fn on_report(&mut self, boot: u64, asked_ms: u64) -> Vec<CrashedIncarnation> {
         let mut ended: BTreeMap<u64, BTreeSet<ContentDigest>> = BTreeMap::new();
         self.waiting.retain(|run| match run.boot == boot {
             // It lives on, as far as was asked after the loss.
@@ -56,7 +56,7 @@
         });
         let lives = ended.into_iter();
         lives
-            .map(|(boot, contents)| EndedLife { boot, contents })
+            .map(|(boot, contents)| CrashedIncarnation { boot, contents })
             .collect()
     }
 }
--- a/src/admission/orders.rs
+++ b/src/admission/orders.rs
@@ -38,10 +38,10 @@
     /// The log position it was made from.
     pub position: Position,
     /// The agent's life that it is meant for.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Models to hold, with their MiB; none until control has learned what the
     /// target holds, so that a new agent unloads nothing.
-    pub want: Option<BTreeMap<ModelName, u64>>,
+    pub desired_models: Option<BTreeMap<ModelName, u64>>,
     /// How long the agent may act on it, in milliseconds from when it asked.
     pub lease_ms: u64,
 }
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -8,7 +8,7 @@
 
 /// A row's share of the target is measured in this many units a millisecond of
 /// work at weight one.
-const FAIR_UNIT: u64 = 1000;
+const SHARE_UNITS_PER_MS: u64 = 1000;
 
 /// A run that waits.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -86,10 +86,10 @@
     /// each running one still needs.
     pub fn wait_ms(&self, urgency: Urgency, running_left_ms: &[u64]) -> u64 {
         let slots = self.slots_for(urgency);
-        if running_left_ms.len() < slots && self.ahead(urgency).next().is_none() {
+        if running_left_ms.len() < slots && self.ahead_of(urgency).next().is_none() {
             return 0;
         }
-        let queued: u64 = self.ahead(urgency).map(|run| run.service_ms).sum();
+        let queued: u64 = self.ahead_of(urgency).map(|run| run.service_ms).sum();
         let running: u64 = running_left_ms.iter().sum();
         (queued + running) / slots.max(1) as u64
     }
@@ -108,7 +108,7 @@
             let retry_after_ms = wait.max(1);
             return Err(QueueRefusal { retry_after_ms });
         }
-        self.level_share(&run.row);
+        self.raise_idle_share(&run.row);
         self.runs.push(run);
         Ok(())
     }
@@ -121,14 +121,14 @@
     ) -> Option<QueuedRun> {
         let mut order: Vec<usize> = (0..self.runs.len()).collect();
         if self.policy.ordered {
-            order.sort_by_key(|at| self.rank(&self.runs[*at]));
+            order.sort_by_key(|at| self.priority(&self.runs[*at]));
         }
         let at = order.into_iter().find(|at| {
             let run = &self.runs[*at];
             running < self.slots_for(run.urgency) && fits(run)
         })?;
         let run = self.runs.remove(at);
-        let cost = (run.service_ms * FAIR_UNIT / u64::from(run.weight.max(1))).max(1);
+        let cost = (run.service_ms * SHARE_UNITS_PER_MS / u64::from(run.weight.max(1))).max(1);
         *self.shares.entry(run.row.clone()).or_default() += cost;
         Some(run)
     }
@@ -159,24 +159,28 @@
         }
     }
 
-    fn ahead(&self, urgency: Urgency) -> impl Iterator<Item = &QueuedRun> {
+    fn ahead_of(&self, urgency: Urgency) -> impl Iterator<Item = &QueuedRun> {
         let ordered = self.policy.ordered;
         let runs = self.runs.iter();
         runs.filter(move |run| !ordered || run.urgency <= urgency)
     }
 
-    fn rank(&self, run: &QueuedRun) -> (Urgency, u64, u64) {
+    fn priority(&self, run: &QueuedRun) -> (Urgency, u64, u64) {
         let share = self.shares.get(&run.row).copied().unwrap_or(0);
         (run.urgency, share, run.deadline_ms)
     }
 
     /// A row that was idle starts level with the others, so that it cannot
     /// spend what it did not use.
-    fn level_share(&mut self, row: &RowId) {
-        let waiting = |shares: &BTreeMap<RowId, u64>, run: &QueuedRun| {
+    fn raise_idle_share(&mut self, row: &RowId) {
+        let share_of = |shares: &BTreeMap<RowId, u64>, run: &QueuedRun| {
             shares.get(&run.row).copied().unwrap_or(0)
         };
-        let least = self.runs.iter().map(|run| waiting(&self.shares, run)).min();
+        let least = self
+            .runs
+            .iter()
+            .map(|run| share_of(&self.shares, run))
+            .min();
         let idle = !self.runs.iter().any(|run| run.row == *row);
         if let (Some(least), true) = (least, idle) {
             let share = self.shares.entry(row.clone()).or_default();
--- a/src/admission/runs.rs
+++ b/src/admission/runs.rs
@@ -8,11 +8,11 @@
 
 /// What an entry asks to run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunAsk {
+pub struct RunRequest {
     /// The attempt.
     pub attempt: AttemptId,
     /// The agent's life that it is meant for.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The row.
     pub row: RowId,
     /// The row's version that the entry acted on.
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnd {
     /// It is whole with this many pieces.
-    Whole {
+    Complete {
         /// Pieces from the first to the last.
         pieces: u32,
     },
@@ -110,13 +110,13 @@
 
 /// What an agent says of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum AttemptWord {
+pub enum AttemptStatus {
     /// It is queued, runs or ended; here is what there is.
     Page(AnswerPage),
     /// This life of the agent has not seen it.
     Unseen,
     /// It was meant for another life of the agent, which may have run it.
-    OtherLife(Incarnation),
+    OtherIncarnation(Incarnation),
 }
 
 /// A run to send to the engine.
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -13,10 +13,11 @@
 use tokio::sync::Notify;
 
 use crate::admission::controller::{
-    AttemptWord, EngineOrder, GatePolicy, RunAsk, RunDispatch, RunEvent, TargetGate,
+    AdmissionController, AdmissionPolicy, AttemptStatus, EngineOrder, RunDispatch, RunEvent,
+    RunRequest,
 };
-use crate::admission::ledger::HoldPhase;
-use crate::admission::lost_runs::EndedLife;
+use crate::admission::ledger::ModelPhase;
+use crate::admission::lost_runs::CrashedIncarnation;
 use crate::agent::engine::{EngineClient, EngineError, EngineStream, StreamPart};
 use crate::clock;
 use crate::consensus::crashes::CrashReport;
@@ -53,7 +54,7 @@
     settings: AgentSettings,
     link: Arc<ControlLink>,
     follower: SiteFollower,
-    gate: Mutex<TargetGate>,
+    gate: Mutex<AdmissionController>,
     life: Incarnation,
     address: String,
     wake: Notify,
@@ -61,7 +62,7 @@
 }
 
 impl AgentShared {
-    fn gate(&self) -> MutexGuard<'_, TargetGate> {
+    fn gate(&self) -> MutexGuard<'_, AdmissionController> {
         self.gate
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
@@ -90,7 +91,7 @@
         }
     }
 
-    fn word(&self, word: AttemptWord) -> AgentWord {
+    fn word(&self, word: AttemptStatus) -> AgentWord {
         // The copy's lock is never taken under the gate's.
         let position = self.follower.position();
         let gate = self.gate();
@@ -125,13 +126,13 @@
         let follower = SiteFollower::new(link.clone());
         follower.start().await?;
         let services = settings.services.iter().cloned().collect();
-        let policy = GatePolicy {
+        let policy = AdmissionPolicy {
             capacity_mib: settings.memory_mib,
             check: settings.check,
             lease_ms: settings.lease_ms,
             queue: settings.queue.policy(),
         };
-        let gate = TargetGate::new(life, policy, services, clock::monotonic_ms());
+        let gate = AdmissionController::new(life, policy, services, clock::monotonic_ms());
         let engine = EngineClient::new(&settings.target_url).await;
         let shared = Arc::new(AgentShared {
             settings,
@@ -158,7 +159,7 @@
     /// Turns new work away, ends what is in flight, and leaves the site.
     pub async fn stop(&self) {
         let shared = &self.shared;
-        shared.gate().leave();
+        shared.gate().drain();
         let drained = async {
             // Entries learn of it from control meanwhile.
             tokio::time::sleep(LEAVE_NOTICE).await;
@@ -198,7 +199,7 @@
 fn learn_rows(agent: &AgentShared, view: &SiteView) {
     let mut gate = agent.gate();
     for (id, row) in &view.rows {
-        gate.learn_row(id, row.version);
+        gate.record_row_version(id, row.version);
     }
 }
 
@@ -219,8 +220,8 @@
     let fixed = agent.settings.services.iter();
     let fixed = fixed.map(|service| (service.clone(), true));
     let loaded = ledger.models();
-    let loaded = loaded.map(|(model, phase)| (model.clone(), phase == HoldPhase::Resident));
-    let known = ledger.is_open() || agent.settings.memory_mib == 0;
+    let loaded = loaded.map(|(model, phase)| (model.clone(), phase == ModelPhase::Resident));
+    let known = ledger.is_initialized() || agent.settings.memory_mib == 0;
     AgentBeat {
         host: agent.settings.common.host.clone(),
         life: agent.life,
@@ -228,7 +229,7 @@
         plan: gate.plan_position(),
         holds: known.then(|| loaded.chain(fixed).collect()),
         busy: gate.busy(),
-        leaving: gate.is_leaving(),
+        leaving: gate.is_draining(),
         stopped,
     }
 }
@@ -248,7 +249,7 @@
         let asked_ms = clock::monotonic_ms();
         // Without its engine, the target is as good as lost: its models are
         // wanted elsewhere. It rejoins with the same life once it is back.
-        let blind = agent.gate().is_blind(asked_ms);
+        let blind = agent.gate().is_engine_silent(asked_ms);
         let beat = make_beat(agent, blind);
         match send_beat(agent, beat).await {
             Ok(_) if blind => {}
@@ -276,7 +277,7 @@
                 Ok(true) => tracing::info!("was taken for lost, and is back"),
                 Ok(false) => {
                     tracing::error!("another process keeps this target: takes no more work");
-                    agent.gate().leave();
+                    agent.gate().drain();
                 }
                 Err(error) => tracing::debug!(%error, "cannot rejoin"),
             }
@@ -303,7 +304,7 @@
 }
 
 /// Tells the log of an end of the engine, until it holds it.
-async fn tell_crash(agent: Arc<AgentShared>, ended: EndedLife) {
+async fn tell_crash(agent: Arc<AgentShared>, ended: CrashedIncarnation) {
     let report = CrashReport {
         replica: ReplicaLife {
             id: ReplicaId::from(agent.settings.common.host.as_str()),
@@ -407,7 +408,9 @@
 
 fn note(agent: &AgentShared, attempt: AttemptId, event: RunEvent) -> Option<u32> {
     let ended = !matches!(event, RunEvent::Piece { .. });
-    let resume = agent.gate().on_run(clock::monotonic_ms(), attempt, event);
+    let resume = agent
+        .gate()
+        .on_run_event(clock::monotonic_ms(), attempt, event);
     agent.tell(attempt);
     if ended {
         agent.wake.notify_one();
@@ -422,7 +425,7 @@
 }
 
 impl AgentWire for AgentServer {
-    async fn start(self, _: Context, position: Position, ask: RunAsk) -> AgentWord {
+    async fn start(self, _: Context, position: Position, ask: RunRequest) -> AgentWord {
         let agent = &self.shared;
         agent.follower.heard(position);
         let word = agent.gate().start(clock::monotonic_ms(), ask);
@@ -474,10 +477,10 @@
     }
 }
 
-fn is_empty(word: &AttemptWord) -> bool {
+fn is_empty(word: &AttemptStatus) -> bool {
     match word {
-        AttemptWord::Page(page) => page.pieces.is_empty() && page.end.is_none(),
-        AttemptWord::Unseen | AttemptWord::OtherLife(_) => false,
+        AttemptStatus::Page(page) => page.pieces.is_empty() && page.end.is_none(),
+        AttemptStatus::Unseen | AttemptStatus::OtherIncarnation(_) => false,
     }
 }
 
@@ -530,7 +533,7 @@
         ("dunlinspring_memory_used_mib", gate.ledger().used_mib()),
         ("dunlinspring_memory_free_mib", gate.ledger().free_mib()),
         ("dunlinspring_attempts_remembered", gate.remembered() as u64),
-        ("dunlinspring_leaving", u64::from(gate.is_leaving())),
+        ("dunlinspring_leaving", u64::from(gate.is_draining())),
     ];
     let mut book = MetricBook::default();
     for (name, value) in gauges {
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -18,7 +18,7 @@
 use crate::ids::{CallKey, ModelName, PartnerName};
 use crate::process::auth;
 use crate::process::daemon::{self, DaemonError};
-use crate::routing::lifecycle::{DEFAULT_RETRY_MS, EndCause, FlightOutcome};
+use crate::routing::lifecycle::{DEFAULT_RETRY_MS, EndCause, RequestOutcome};
 use crate::table::rows::Row;
 use crate::table::site::ModelKind;
 
@@ -402,7 +402,7 @@
         Ok(guard) => guard,
         Err(cause) => {
             let retry_after_ms = DEFAULT_RETRY_MS;
-            let outcome = FlightOutcome::NotRun {
+            let outcome = RequestOutcome::NotRun {
                 cause,
                 retry_after_ms,
             };
@@ -432,12 +432,12 @@
     while let Some(note) = notes.recv().await {
         match note {
             FlightNote::Pieces(pieces) => pieces.iter().for_each(|piece| text.push_str(piece)),
-            FlightNote::End(FlightOutcome::Done) => return whole(&head, &text),
-            FlightNote::End(FlightOutcome::DoneBefore(Some(text))) => return whole(&head, &text),
+            FlightNote::End(RequestOutcome::Done) => return whole(&head, &text),
+            FlightNote::End(RequestOutcome::Replayed(Some(text))) => return whole(&head, &text),
             FlightNote::End(outcome) => return refusal(&head, &outcome),
         }
     }
-    refusal(&head, &FlightOutcome::Unknown(EndCause::TargetLost))
+    refusal(&head, &RequestOutcome::Unknown(EndCause::TargetLost))
 }
 
 fn whole(head: &AnswerHead, text: &str) -> HttpResponse {
@@ -448,7 +448,7 @@
         AnswerForm::Service => answer.body(text.to_owned()),
         _ if head.stream => {
             let mut events = chunk(head, text);
-            events.push_str(&last_event(&FlightOutcome::Done));
+            events.push_str(&last_event(&RequestOutcome::Done));
             answer.content_type("text/event-stream").body(events)
         }
         AnswerForm::Chat => answer.json(&json!({
@@ -473,14 +473,14 @@
 /// Waits for the first note, so that a request that is not run gets a plain answer.
 async fn answer_stream(head: AnswerHead, mut notes: mpsc::Receiver<FlightNote>) -> HttpResponse {
     let first = match notes.recv().await {
-        Some(FlightNote::End(outcome)) if outcome != FlightOutcome::Done => {
+        Some(FlightNote::End(outcome)) if outcome != RequestOutcome::Done => {
             return match outcome {
-                FlightOutcome::DoneBefore(Some(text)) => whole(&head, &text),
+                RequestOutcome::Replayed(Some(text)) => whole(&head, &text),
                 outcome => refusal(&head, &outcome),
             };
         }
         Some(note) => note,
-        None => return refusal(&head, &FlightOutcome::Unknown(EndCause::TargetLost)),
+        None => return refusal(&head, &RequestOutcome::Unknown(EndCause::TargetLost)),
     };
     let id = head.id.clone();
     let events = futures::stream::unfold(
@@ -525,7 +525,7 @@
 }
 
 /// The outcome as the last event; the customary end marker only after a whole answer.
-fn last_event(outcome: &FlightOutcome) -> String {
+fn last_event(outcome: &RequestOutcome) -> String {
     let (name, cause) = shell::outcome_names(outcome);
     let event = json!({ "outcome": name, "cause": cause });
     let end = match name {
@@ -536,39 +536,39 @@
 }
 
 /// The answer to a request without a whole result.
-fn refusal(head: &AnswerHead, outcome: &FlightOutcome) -> HttpResponse {
+fn refusal(head: &AnswerHead, outcome: &RequestOutcome) -> HttpResponse {
     let (name, cause) = shell::outcome_names(outcome);
     let status = match outcome {
-        FlightOutcome::Done => StatusCode::OK,
+        RequestOutcome::Done => StatusCode::OK,
         // It ran, but its answer was longer than is kept.
-        FlightOutcome::DoneBefore(_) => StatusCode::GONE,
-        FlightOutcome::NotRun { cause, .. } => match cause {
+        RequestOutcome::Replayed(_) => StatusCode::GONE,
+        RequestOutcome::NotRun { cause, .. } => match cause {
             EndCause::KeyReused => StatusCode::CONFLICT,
             EndCause::Limit => StatusCode::TOO_MANY_REQUESTS,
             _ => StatusCode::SERVICE_UNAVAILABLE,
         },
-        FlightOutcome::Unknown(EndCause::Patience) => StatusCode::GATEWAY_TIMEOUT,
-        FlightOutcome::Unknown(_) => StatusCode::BAD_GATEWAY,
+        RequestOutcome::Unknown(EndCause::DeadlinePassed) => StatusCode::GATEWAY_TIMEOUT,
+        RequestOutcome::Unknown(_) => StatusCode::BAD_GATEWAY,
     };
     let mut answer = HttpResponse::build(status);
     answer.header("x-outcome", name);
     answer.header("x-request-id", head.id.as_str());
     let retry_ms = match outcome {
-        FlightOutcome::NotRun {
+        RequestOutcome::NotRun {
             cause: EndCause::KeyReused,
             ..
         } => None,
-        FlightOutcome::NotRun { retry_after_ms, .. } => Some(*retry_after_ms),
-        FlightOutcome::Unknown(_) => Some(DEFAULT_RETRY_MS),
-        FlightOutcome::Done | FlightOutcome::DoneBefore(_) => None,
+        RequestOutcome::NotRun { retry_after_ms, .. } => Some(*retry_after_ms),
+        RequestOutcome::Unknown(_) => Some(DEFAULT_RETRY_MS),
+        RequestOutcome::Done | RequestOutcome::Replayed(_) => None,
     };
     if let Some(ms) = retry_ms {
         answer.header("retry-after", ms.div_ceil(1000).max(1).to_string());
         answer.header("retry-after-ms", ms.to_string());
     }
     let message = match outcome {
-        FlightOutcome::NotRun { .. } => format!("the request was not run: {cause}"),
-        FlightOutcome::Unknown(_) => format!("the request may have run: {cause}"),
+        RequestOutcome::NotRun { .. } => format!("the request was not run: {cause}"),
+        RequestOutcome::Unknown(_) => format!("the request may have run: {cause}"),
         _ => "the request ran earlier; its answer is no longer kept".to_owned(),
     };
     answer.json(&json!({
--- a/src/entry/flight_steps.rs
+++ b/src/entry/flight_steps.rs
@@ -7,7 +7,9 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::admission::controller::{AttemptWord, EngineCall, NotRun, RefuseCause, RunAsk, RunEnd};
+use crate::admission::controller::{
+    AttemptStatus, EngineCall, NotRun, RefuseCause, RunEnd, RunRequest,
+};
 use crate::clock;
 use crate::consensus::claims::{ClaimAsk, ClaimKey, Settlement};
 use crate::consensus::crashes::ContentStanding;
@@ -18,11 +20,11 @@
 use crate::process::{crash_report, member, peers};
 use crate::routing::content::{self, ContentParts};
 use crate::routing::lifecycle::{
-    DEFAULT_RETRY_MS, EndCause, FlightEvent, FlightOutcome, FlightPolicy, FlightStep, FlightTrial,
-    RequestFlight,
+    AttemptPolicy, DEFAULT_RETRY_MS, EndCause, RequestEvent, RequestLifecycle, RequestOutcome,
+    RequestStep, TargetAttempt,
 };
-use crate::routing::refusals::HomeAsk;
-use crate::routing::route::{self, RouteAsk, RouteChoice};
+use crate::routing::refusals::HomeRequest;
+use crate::routing::route::{self, HomeCandidate, RouteRequest};
 use crate::table::rows::Row;
 
 /// Time for an agent to answer a start or a seal.
@@ -72,7 +74,7 @@
     /// More of the answer.
     Pieces(Vec<String>),
     /// The one outcome.
-    End(FlightOutcome),
+    End(RequestOutcome),
 }
 
 /// Runs one request to its outcome, and tells `notes` as it goes. A caller
@@ -95,13 +97,13 @@
             let mut flying = FlyingRequest::new(&entry, &request, &notes, started);
             let outcome = flying.run().await;
             let suspect = matches!(flying.standing(), ContentStanding::Suspect(_));
-            if outcome == FlightOutcome::Done && suspect {
+            if outcome == RequestOutcome::Done && suspect {
                 flying.clear();
             }
             entry.state().shares.release(&request.row);
             outcome
         }
-        false => FlightOutcome::NotRun {
+        false => RequestOutcome::NotRun {
             cause: EndCause::Limit,
             retry_after_ms: DEFAULT_RETRY_MS,
         },
@@ -122,7 +124,7 @@
     until_ms: u64,
     /// Names what it asks.
     content: ContentDigest,
-    flight: RequestFlight,
+    flight: RequestLifecycle,
     answer: String,
     answered: bool,
     over: bool,
@@ -135,7 +137,7 @@
 /// Where an attempt may go.
 enum Pick {
     /// To this home.
-    Home(FlightTrial),
+    Home(TargetAttempt),
     /// Nowhere: all homes would refuse it, and the first to take it does so then.
     Refused(NotRun),
     /// Nowhere: there is no home.
@@ -150,9 +152,9 @@
         started: Instant,
     ) -> Self {
         let fields = &request.fields.fields;
-        let policy = FlightPolicy {
-            attempts: entry.settings.route.attempts,
-            lost_pulls: 2,
+        let policy = AttemptPolicy {
+            max_attempts: entry.settings.route.attempts,
+            max_timeouts: 2,
             at_most_once: fields.at_most_once,
         };
         Self {
@@ -167,7 +169,7 @@
                 target: request.row.as_str(),
                 body: &request.digest,
             }),
-            flight: RequestFlight::new(policy),
+            flight: RequestLifecycle::new(policy),
             answer: String::new(),
             answered: false,
             over: false,
@@ -180,13 +182,13 @@
         Duration::from_millis(self.until_ms.saturating_sub(clock::monotonic_ms()))
     }
 
-    async fn run(&mut self) -> FlightOutcome {
+    async fn run(&mut self) -> RequestOutcome {
         loop {
             let step = self.flight.step();
-            let trial = step.trial().cloned();
+            let trial = step.attempt().cloned();
             let event = match step {
-                FlightStep::Finish(outcome) => return outcome,
-                FlightStep::Choose { first } => self.choose(first).await,
+                RequestStep::Finish(outcome) => return outcome,
+                RequestStep::Choose { first } => self.choose(first).await,
                 step => self.perform_in_time(step).await,
             };
             self.note_refusal(trial.as_ref(), &event);
@@ -199,10 +201,10 @@
 
     /// What an agent said holds for the next requests as well. Overload is demand that the
     /// homes of the model do not meet, whoever finds it.
-    fn note_refusal(&self, trial: Option<&FlightTrial>, event: &FlightEvent) {
+    fn note_refusal(&self, trial: Option<&TargetAttempt>, event: &RequestEvent) {
         let (refusal, heard) = match event {
-            FlightEvent::Refused(refusal) => (refusal, None),
-            FlightEvent::Word(AttemptWord::Page(page)) => match &page.end {
+            RequestEvent::Refused(refusal) => (refusal, None),
+            RequestEvent::Status(AttemptStatus::Page(page)) => match &page.end {
                 Some(RunEnd::NotRun(refusal)) => (refusal, trial),
                 _ => return,
             },
@@ -210,8 +212,8 @@
         };
         let mut state = self.entry.state();
         if let Some(trial) = heard {
-            let ask = self.home_ask(&trial.target, trial.life);
-            state.refusals.note(clock::monotonic_ms(), &ask, refusal);
+            let ask = self.home_ask(&trial.target, trial.incarnation);
+            state.refusals.record(clock::monotonic_ms(), &ask, refusal);
         }
         if refusal.cause == RefuseCause::Overload {
             let model = self.request.call.model.clone();
@@ -219,19 +221,19 @@
         }
     }
 
-    fn home_ask<'b>(&'b self, target: &'b TargetName, life: Incarnation) -> HomeAsk<'b> {
-        HomeAsk {
+    fn home_ask<'b>(&'b self, target: &'b TargetName, incarnation: Incarnation) -> HomeRequest<'b> {
+        HomeRequest {
             target,
-            life,
+            incarnation,
             row: &self.request.row,
             model: &self.request.call.model,
-            patience_ms: self.request.fields.fields.patience_ms,
+            wait_limit_ms: self.request.fields.fields.patience_ms,
         }
     }
 
     /// A step ends early when patience is over or the caller has gone; from
     /// then on, each step gets only a moment.
-    async fn perform_in_time(&mut self, step: FlightStep) -> FlightEvent {
+    async fn perform_in_time(&mut self, step: RequestStep) -> RequestEvent {
         let until_ms = match self.over {
             true => clock::monotonic_ms() + LAST_WORD_TIME.as_millis() as u64,
             false => self.until_ms,
@@ -244,29 +246,29 @@
         };
         match early {
             Some(event) => event,
-            None if over => FlightEvent::Lost,
+            None if over => RequestEvent::NoReply,
             None => {
                 self.over = true;
-                FlightEvent::PatienceOver
+                RequestEvent::DeadlinePassed
             }
         }
     }
 
-    async fn perform(&self, step: FlightStep) -> FlightEvent {
+    async fn perform(&self, step: RequestStep) -> RequestEvent {
         match step {
-            FlightStep::Claim(trial) => self.claim(trial).await,
-            FlightStep::Start(trial) => self.start(trial).await,
-            FlightStep::Pull(trial, offset) => self.pull(trial, offset).await,
-            FlightStep::Seal(trial) => self.seal(trial).await,
-            FlightStep::Settle(trial, end) => self.settle(trial, end).await,
-            FlightStep::Cancel(trial) => self.cancel(trial).await,
-            FlightStep::Choose { .. } | FlightStep::Finish(_) => FlightEvent::Lost,
+            RequestStep::Claim(trial) => self.claim(trial).await,
+            RequestStep::Start(trial) => self.start(trial).await,
+            RequestStep::Pull(trial, offset) => self.pull(trial, offset).await,
+            RequestStep::Seal(trial) => self.seal(trial).await,
+            RequestStep::Settle(trial, end) => self.settle(trial, end).await,
+            RequestStep::Cancel(trial) => self.cancel(trial).await,
+            RequestStep::Choose { .. } | RequestStep::Finish(_) => RequestEvent::NoReply,
         }
     }
 
-    async fn choose(&mut self, first: bool) -> FlightEvent {
+    async fn choose(&mut self, first: bool) -> RequestEvent {
         if self.standing() == ContentStanding::Barred {
-            return FlightEvent::Barred;
+            return RequestEvent::Quarantined;
         }
         if !first {
             tokio::time::sleep(RETRY_PAUSE).await;
@@ -276,17 +278,17 @@
             let mut state = self.entry.state();
             match first {
                 true => state.retries.earn(row),
-                false if !state.retries.spend(row) => return FlightEvent::Chosen(None),
+                false if !state.retries.spend(row) => return RequestEvent::Chosen(None),
                 false => {}
             }
         }
         match self.pick_in_time().await {
             Pick::Home(trial) => {
                 self.tried.push(trial.target.clone());
-                FlightEvent::Chosen(Some(trial))
+                RequestEvent::Chosen(Some(trial))
             }
-            Pick::Refused(refusal) => FlightEvent::Refused(refusal),
-            Pick::Homeless => FlightEvent::Chosen(None),
+            Pick::Refused(refusal) => RequestEvent::Refused(refusal),
+            Pick::Homeless => RequestEvent::Chosen(None),
         }
     }
 
@@ -343,7 +345,7 @@
         let (mut open, mut refusals) = (Vec::new(), Vec::new());
         for (target, member) in homes {
             let ask = self.home_ask(target, member.incarnation);
-            match state.refusals.bar(now_ms, &ask) {
+            match state.refusals.known_refusal(now_ms, &ask) {
                 Some(refusal) => refusals.push(refusal),
                 None => open.push((target, member)),
             }
@@ -351,22 +353,22 @@
         (open, refusals)
     }
 
-    fn pick_among(&self, homes: &[Home<'_>]) -> Option<FlightTrial> {
-        let choices: Vec<RouteChoice<'_>> = homes
+    fn pick_among(&self, homes: &[Home<'_>]) -> Option<TargetAttempt> {
+        let choices: Vec<HomeCandidate<'_>> = homes
             .iter()
-            .map(|(target, member)| RouteChoice {
+            .map(|(target, member)| HomeCandidate {
                 target,
                 hall: &member.hall,
             })
             .collect();
-        let choices = route::least_tried(&choices, &self.tried);
+        let choices = route::least_attempted(&choices, &self.tried);
         let prompt = &self.request.call.prompt;
         let end = prompt
             .char_indices()
             .nth(PREFIX_LEN)
             .map_or(prompt.len(), |(at, _)| at);
         let settings = &self.entry.settings;
-        let ask = RouteAsk {
+        let ask = RouteRequest {
             entry: u64::from(crc32fast::hash(settings.common.host.as_str().as_bytes())),
             hall: &settings.common.hall,
             prefix: &prompt[..end],
@@ -384,39 +386,39 @@
             &mut state.rng,
         )?;
         let (_, member) = homes.iter().find(|(home, _)| *home == target)?;
-        Some(FlightTrial {
-            attempt: self.entry.next_attempt(),
+        Some(TargetAttempt {
+            id: self.entry.next_attempt(),
             target: target.clone(),
-            life: member.incarnation,
+            incarnation: member.incarnation,
         })
     }
 
-    async fn claim(&self, trial: FlightTrial) -> FlightEvent {
+    async fn claim(&self, trial: TargetAttempt) -> RequestEvent {
         let Some(key) = self.claim_key() else {
-            return FlightEvent::Lost;
+            return RequestEvent::NoReply;
         };
         let ask = ClaimAsk {
             made_ms: key_time_ms(key.key.as_str()),
             key,
             digest: self.request.digest,
-            attempt: trial.attempt,
+            attempt: trial.id,
             target: trial.target,
-            incarnation: trial.life,
+            incarnation: trial.incarnation,
         };
         let command = Command::Claim(ask);
         match member::propose(&self.entry.link, "claim", CLAIM_TIME, command).await {
-            Ok(Reply::Claim(answer)) => FlightEvent::Claimed(answer),
-            Ok(_) => FlightEvent::Lost,
+            Ok(Reply::Claim(answer)) => RequestEvent::Claimed(answer),
+            Ok(_) => RequestEvent::NoReply,
             Err(error) => {
                 tracing::info!(request = %self.request.id, %error, "no claim");
-                FlightEvent::Lost
+                RequestEvent::NoReply
             }
         }
     }
 
-    async fn settle(&self, trial: FlightTrial, end: Settlement) -> FlightEvent {
+    async fn settle(&self, trial: TargetAttempt, end: Settlement) -> RequestEvent {
         let Some(key) = self.claim_key() else {
-            return FlightEvent::Lost;
+            return RequestEvent::NoReply;
         };
         let end = match end {
             Settlement::Done { .. } => Settlement::Done {
@@ -424,13 +426,13 @@
             },
             end => end,
         };
-        let command = Command::Settle(key, trial.attempt, end);
+        let command = Command::Settle(key, trial.id, end);
         match member::propose(&self.entry.link, "settle", CLAIM_TIME, command).await {
-            Ok(Reply::Settled(true)) => FlightEvent::Settled,
-            Ok(_) => FlightEvent::Lost,
+            Ok(Reply::Settled(true)) => RequestEvent::Settled,
+            Ok(_) => RequestEvent::NoReply,
             Err(error) => {
                 tracing::info!(request = %self.request.id, %error, "an end was not recorded");
-                FlightEvent::Lost
+                RequestEvent::NoReply
             }
         }
     }
@@ -443,7 +445,7 @@
         })
     }
 
-    async fn start(&self, trial: FlightTrial) -> FlightEvent {
+    async fn start(&self, trial: TargetAttempt) -> RequestEvent {
         let left = self.left();
         let fields = &self.request.fields.fields;
         let version = {
@@ -453,9 +455,9 @@
         };
         let mut call = self.request.call.clone();
         call.given = self.flight.delivered();
-        let ask = RunAsk {
-            attempt: trial.attempt,
-            life: trial.life,
+        let ask = RunRequest {
+            attempt: trial.id,
+            incarnation: trial.incarnation,
             row: self.request.row.clone(),
             version,
             urgency: fields.urgency,
@@ -466,15 +468,15 @@
             call,
         };
         let position = self.entry.follower.position();
-        self.entry.state().loads.sent(&trial.target);
+        self.entry.state().loads.record_sent(&trial.target);
         self.ask(&trial, "start", |client| async move {
             client.start(peers::within(START_TIME), position, ask).await
         })
         .await
     }
 
-    async fn pull(&self, trial: FlightTrial, offset: u32) -> FlightEvent {
-        let (attempt, life) = (trial.attempt, trial.life);
+    async fn pull(&self, trial: TargetAttempt, offset: u32) -> RequestEvent {
+        let (attempt, life) = (trial.id, trial.incarnation);
         self.ask(&trial, "pull", |client| async move {
             let context = peers::within(PULL_TIME);
             client
@@ -484,19 +486,19 @@
         .await
     }
 
-    async fn seal(&self, trial: FlightTrial) -> FlightEvent {
-        let (attempt, life) = (trial.attempt, trial.life);
+    async fn seal(&self, trial: TargetAttempt) -> RequestEvent {
+        let (attempt, life) = (trial.id, trial.incarnation);
         self.ask(&trial, "seal", |client| async move {
             client.seal(peers::within(START_TIME), attempt, life).await
         })
         .await
     }
 
-    async fn cancel(&self, trial: FlightTrial) -> FlightEvent {
+    async fn cancel(&self, trial: TargetAttempt) -> RequestEvent {
         let Some(address) = self.address_of(&trial) else {
-            return FlightEvent::Cancelled;
+            return RequestEvent::Cancelled;
         };
-        let attempt = trial.attempt;
+        let attempt = trial.id;
         let sent = self
             .entry
             .agents
@@ -506,22 +508,22 @@
         if let Err(error) = sent.await {
             tracing::debug!(request = %self.request.id, %error, "a cancel was lost");
         }
-        FlightEvent::Cancelled
+        RequestEvent::Cancelled
     }
 
     async fn ask<F>(
         &self,
-        trial: &FlightTrial,
+        trial: &TargetAttempt,
         step: &'static str,
         make: impl FnOnce(AgentWireClient) -> F,
-    ) -> FlightEvent
+    ) -> RequestEvent
     where
         F: Future<Output = Result<AgentWord, tarpc::client::RpcError>>,
     {
         // A target that control has taken for lost: this life cannot be asked.
         let Some(address) = self.address_of(trial) else {
             tokio::time::sleep(RETRY_PAUSE).await;
-            return FlightEvent::Lost;
+            return RequestEvent::NoReply;
         };
         match self.entry.agents.call(&address, step, make).await {
             Ok(word) => {
@@ -530,19 +532,19 @@
                 self.entry
                     .state()
                     .loads
-                    .reported(&trial.target, word.load, now_ms);
-                FlightEvent::Word(word.word)
+                    .record_report(&trial.target, word.load, now_ms);
+                RequestEvent::Status(word.word)
             }
             Err(error) => {
                 tracing::info!(request = %self.request.id, %error, "no word of an agent");
-                FlightEvent::Lost
+                RequestEvent::NoReply
             }
         }
     }
 
-    fn address_of(&self, trial: &FlightTrial) -> Option<String> {
+    fn address_of(&self, trial: &TargetAttempt) -> Option<String> {
         let view = self.entry.follower.view();
-        view.keeper(&trial.target)
+        view.agent_of(&trial.target)
             .map(|keeper| keeper.address.clone())
     }
 
@@ -560,7 +562,7 @@
         // A reader that stays away longer than its patience has gone.
         if !matches!(sent, Some(Ok(()))) {
             self.over = true;
-            self.flight.on(FlightEvent::PatienceOver);
+            self.flight.on(RequestEvent::DeadlinePassed);
         }
     }
 }
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -22,10 +22,10 @@
 use crate::process::peers::{self, ControlLink, PeerPool, SiteSecret};
 use crate::process::settings::EntrySettings;
 use crate::process::wire::{AgentWireClient, EntryOrders};
-use crate::routing::lifecycle::{EndCause, FlightOutcome};
-use crate::routing::refusals::RefusalBook;
+use crate::routing::lifecycle::{EndCause, RequestOutcome};
+use crate::routing::refusals::RefusalTracker;
 use crate::routing::retry::RetryBudget;
-use crate::routing::route::LoadBook;
+use crate::routing::route::LoadTracker;
 use crate::table::limits::ShareHolder;
 
 /// Time between two beats.
@@ -38,11 +38,11 @@
 
 /// What one entry knows and counts.
 pub(crate) struct EntryState {
-    pub(crate) loads: LoadBook,
+    pub(crate) loads: LoadTracker,
     pub(crate) shares: ShareHolder,
     pub(crate) retries: RetryBudget,
     /// What agents said of attempts that they refused.
-    pub(crate) refusals: RefusalBook,
+    pub(crate) refusals: RefusalTracker,
     pub(crate) refused: BTreeMap<ModelName, u32>,
     pub(crate) rng: SmallRng,
 }
@@ -91,10 +91,10 @@
         follower.start().await?;
         let limits = follower.view().site.limits;
         let state = EntryState {
-            loads: LoadBook::default(),
+            loads: LoadTracker::default(),
             shares: ShareHolder::new(limits),
             retries: RetryBudget::new(settings.route.retries()),
-            refusals: RefusalBook::default(),
+            refusals: RefusalTracker::default(),
             refused: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(life.0),
         };
@@ -176,7 +176,7 @@
     }
 
     /// Counts an outcome and its time for a partner and class.
-    pub fn record(&self, request: &CallerRequest, outcome: &FlightOutcome, started: Instant) {
+    pub fn record(&self, request: &CallerRequest, outcome: &RequestOutcome, started: Instant) {
         let (name, cause) = outcome_names(outcome);
         let labels = [
             ("partner", request.partner.as_str()),
@@ -230,11 +230,11 @@
 }
 
 /// The outcome and cause as callers and metrics show them.
-pub fn outcome_names(outcome: &FlightOutcome) -> (&'static str, &'static str) {
+pub fn outcome_names(outcome: &RequestOutcome) -> (&'static str, &'static str) {
     match outcome {
-        FlightOutcome::Done | FlightOutcome::DoneBefore(_) => ("done", ""),
-        FlightOutcome::NotRun { cause, .. } => ("not-run", cause.name()),
-        FlightOutcome::Unknown(cause) => ("unknown", cause.name()),
+        RequestOutcome::Done | RequestOutcome::Replayed(_) => ("done", ""),
+        RequestOutcome::NotRun { cause, .. } => ("not-run", cause.name()),
+        RequestOutcome::Unknown(cause) => ("unknown", cause.name()),
     }
 }
 
@@ -320,7 +320,7 @@
 fn drop_old(entry: &EntryShared) {
     let view = entry.follower.view();
     let mut state = entry.state();
-    state.loads.retain(|target| view.keeper(target).is_some());
+    state.loads.retain(|target| view.agent_of(target).is_some());
     state.retries.retain(|row| view.rows.contains_key(row));
     state.refusals.prune(clock::monotonic_ms());
     drop(state);
--- a/src/forward/book.rs
+++ b/src/forward/book.rs
@@ -18,10 +18,10 @@
 use crate::forward::separation::AnswerMix;
 use crate::ids::{HallName, ReplicaId, ServiceName};
 use crate::placement::crowd::WaitingTokens;
-use crate::routing::backoff::{BackoffBook, SendBar};
+use crate::routing::backoff::{BackoffTracker, Blocked};
 use crate::routing::limited_peers::LimitedPeers;
-use crate::routing::permit_throttle::PermitPace;
-use crate::routing::warm_up::WarmupBook;
+use crate::routing::permit_throttle::PermitThrottle;
+use crate::routing::warm_up::WarmupTracker;
 use crate::table::configuration::WarmupSpec;
 pub use bars::ReplicaBar;
 
@@ -141,13 +141,13 @@
     /// Until when the leader's word on crowded replicas counts.
     crowd_until_ms: u64,
     /// What replicas asked for in their answers.
-    backoffs: BackoffBook<ReplicaId>,
+    backoffs: BackoffTracker<ReplicaId>,
     /// Which replicas warm up.
-    warm_ups: WarmupBook<ReplicaId>,
+    warm_ups: WarmupTracker<ReplicaId>,
     /// Which replicas name a limit.
     limits: LimitedPeers,
     /// When permits for those that take few requests may be asked for.
-    permit_pace: PermitPace<ReplicaId>,
+    permit_pace: PermitThrottle<ReplicaId>,
     /// Services whose replicas bear fewer requests while they warm up.
     warm_up_specs: BTreeMap<ServiceName, WarmupSpec>,
     /// Data halls whose replicas are to get nothing.
@@ -165,10 +165,10 @@
             mixes: BTreeMap::new(),
             paces: BTreeMap::new(),
             crowd_until_ms: 0,
-            backoffs: BackoffBook::default(),
-            warm_ups: WarmupBook::default(),
+            backoffs: BackoffTracker::default(),
+            warm_ups: WarmupTracker::default(),
             limits: LimitedPeers::default(),
-            permit_pace: PermitPace::default(),
+            permit_pace: PermitThrottle::default(),
             warm_up_specs: BTreeMap::new(),
             evacuated: BTreeSet::new(),
         }
@@ -189,7 +189,7 @@
                 continue;
             }
             if known.is_none_or(|known| known.warm_up_word() != record.warm_up_word()) {
-                self.warm_ups.tell(now_ms, id, record.cold_ms);
+                self.warm_ups.record_report(now_ms, id, record.cold_ms);
             }
             match note {
                 Some(note) if note.record.born_ms != record.born_ms => note.begin_life(record),
@@ -244,12 +244,12 @@
         let suited = self.notes.values().filter(|note| self.suits(note, need));
         let waits = suited.filter_map(|note| {
             let paused_ms = match self.bar(note, now_ms) {
-                Some(ReplicaBar::Evacuated | ReplicaBar::Asked(SendBar::Leaving)) => return None,
+                Some(ReplicaBar::Evacuated | ReplicaBar::Asked(Blocked::Leaving)) => return None,
                 Some(
-                    ReplicaBar::Asked(SendBar::Paused { left_ms })
+                    ReplicaBar::Asked(Blocked::Paused { left_ms })
                     | ReplicaBar::RateLimited { left_ms },
                 ) => left_ms as f64,
-                Some(ReplicaBar::Asked(SendBar::Reopening)) | None => 0.0,
+                Some(ReplicaBar::Asked(Blocked::Reopening)) | None => 0.0,
             };
             let (waiting, running) = note.loads(now_ms, fade_ms);
             let full = waiting + running >= f64::from(note.slots);
--- a/src/forward/book/bars.rs
+++ b/src/forward/book/bars.rs
@@ -7,9 +7,9 @@
 use crate::forward::permits::RatePermit;
 use crate::forward::replica_note::ReplicaNote;
 use crate::ids::{HallName, ReplicaId, ReplicaLife, ServiceName};
-use crate::routing::backoff::{AskedPause, ClaimEnd, SendBar, SendClaim};
+use crate::routing::backoff::{Blocked, RequestedBackoff, SendSlot, SlotOutcome};
 use crate::routing::limited_peers::LimitedPeers;
-use crate::routing::permit_throttle::PermitPace;
+use crate::routing::permit_throttle::PermitThrottle;
 use crate::table::configuration::ServiceSpec;
 
 use super::{Choice, ReplicaBook};
@@ -25,25 +25,26 @@
         left_ms: u64,
     },
     /// It asked for that itself.
-    Asked(SendBar),
+    Asked(Blocked),
 }
 
 impl ReplicaBook {
     /// A replica asks to be left alone.
-    pub fn pause(&mut self, now_ms: u64, id: &ReplicaId, asked: AskedPause) {
-        self.backoffs.pause(now_ms, id, asked);
+    pub fn pause(&mut self, now_ms: u64, id: &ReplicaId, asked: RequestedBackoff) {
+        self.backoffs.back_off(now_ms, id, asked);
     }
 
     /// A replica says that it leaves. Returns whether that is news.
     pub fn leave(&mut self, now_ms: u64, life: &ReplicaLife) -> bool {
         let known = self.leaves(life);
-        self.backoffs.leave(now_ms, &life.id, life.born_ms);
+        self.backoffs
+            .record_draining(now_ms, &life.id, life.born_ms);
         !known
     }
 
     /// Whether a replica has said that it leaves.
     pub fn leaves(&self, life: &ReplicaLife) -> bool {
-        self.backoffs.leaves(&life.id, life.born_ms)
+        self.backoffs.is_draining(&life.id, life.born_ms)
     }
 
     /// The last look, right before a request leaves for a replica; `permit` is the leader's,
@@ -53,7 +54,7 @@
         now_ms: u64,
         life: &ReplicaLife,
         permit: Option<RatePermit>,
-    ) -> Result<SendClaim, ReplicaBar> {
+    ) -> Result<SendSlot, ReplicaBar> {
         let permit = permit.filter(|permit| permit.holds(now_ms, life));
         let record = self.record(&life.id);
         if record.is_some_and(|record| self.is_evacuated(record)) {
@@ -63,7 +64,7 @@
         if permit.is_none() && (cold || self.limits.is_limited(life)) {
             return Err(ReplicaBar::RateLimited { left_ms: 0 });
         }
-        let claimed = self.backoffs.claim(now_ms, &life.id, life.born_ms);
+        let claimed = self.backoffs.acquire(now_ms, &life.id, life.born_ms);
         claimed.map_err(ReplicaBar::Asked)
     }
 
@@ -104,7 +105,7 @@
     }
 
     /// When permits for replicas that take few requests may be asked for.
-    pub fn pace_mut(&mut self) -> &mut PermitPace<ReplicaId> {
+    pub fn pace_mut(&mut self) -> &mut PermitThrottle<ReplicaId> {
         &mut self.permit_pace
     }
 
@@ -114,12 +115,12 @@
         let record = self.record(id);
         let spec = record.and_then(|record| self.warm_up_specs.get(&record.service));
         if let Some(spec) = spec {
-            self.warm_ups.suspect(now_ms, id, spec.lasts_ms);
+            self.warm_ups.suspect_restart(now_ms, id, spec.lasts_ms);
         }
     }
 
     /// A request that was let through is answered, or given up.
-    pub fn release(&mut self, now_ms: u64, id: &ReplicaId, claim: SendClaim, end: ClaimEnd) {
+    pub fn release(&mut self, now_ms: u64, id: &ReplicaId, claim: SendSlot, end: SlotOutcome) {
         self.backoffs.release(now_ms, id, claim, end);
     }
 
@@ -139,11 +140,11 @@
     /// Why nothing may be sent to a replica now.
     pub(super) fn bar(&self, note: &ReplicaNote, now_ms: u64) -> Option<ReplicaBar> {
         let record = &note.record;
-        match self.backoffs.bar(now_ms, &record.id, record.born_ms) {
+        match self.backoffs.blocked_by(now_ms, &record.id, record.born_ms) {
             _ if self.is_evacuated(record) => Some(ReplicaBar::Evacuated),
             Some(bar) => Some(ReplicaBar::Asked(bar)),
             None if self.takes_few(now_ms, record) => {
-                let left_ms = self.permit_pace.left_ms(now_ms, &record.id)?;
+                let left_ms = self.permit_pace.wait_ms(now_ms, &record.id)?;
                 Some(ReplicaBar::RateLimited { left_ms })
             }
             None => None,
@@ -193,14 +194,14 @@
     use ReplicaBar::{Asked, Evacuated, RateLimited};
     match (choice, bar) {
         // It shows within some hundred milliseconds whether it has room.
-        (Choice::Full, _) | (_, Asked(SendBar::Reopening)) => Choice::Full,
+        (Choice::Full, _) | (_, Asked(Blocked::Reopening)) => Choice::Full,
         (Choice::Absent, Evacuated) => Choice::Evacuated,
-        (choice, Evacuated | Asked(SendBar::Leaving)) => choice,
+        (choice, Evacuated | Asked(Blocked::Leaving)) => choice,
         (
             choice @ (Choice::Paused(known_ms) | Choice::RateLimited(known_ms)),
-            Asked(SendBar::Paused { left_ms }) | RateLimited { left_ms },
+            Asked(Blocked::Paused { left_ms }) | RateLimited { left_ms },
         ) if known_ms <= left_ms => choice,
-        (_, Asked(SendBar::Paused { left_ms })) => Choice::Paused(left_ms),
+        (_, Asked(Blocked::Paused { left_ms })) => Choice::Paused(left_ms),
         (_, RateLimited { left_ms }) => Choice::RateLimited(left_ms),
     }
 }
@@ -210,9 +211,9 @@
     match bar {
         Some(Evacuated) => "in an evacuated hall".to_owned(),
         Some(RateLimited { left_ms }) => format!("takes few requests, the next in {left_ms} ms"),
-        Some(Asked(SendBar::Paused { left_ms })) => format!("asked for {left_ms} ms more of pause"),
-        Some(Asked(SendBar::Reopening)) => "opens again after a pause".to_owned(),
-        Some(Asked(SendBar::Leaving)) => "says that it leaves".to_owned(),
+        Some(Asked(Blocked::Paused { left_ms })) => format!("asked for {left_ms} ms more of pause"),
+        Some(Asked(Blocked::Reopening)) => "opens again after a pause".to_owned(),
+        Some(Asked(Blocked::Leaving)) => "says that it leaves".to_owned(),
         None => "open".to_owned(),
     }
 }
--- a/src/forward/crashes.rs
+++ b/src/forward/crashes.rs
@@ -20,7 +20,7 @@
 use crate::forward::upstream::Connection;
 use crate::ids::{ContentDigest, ReplicaLife};
 use crate::process::{crash_report, daemon};
-use crate::routing::suspects::SuspectBook;
+use crate::routing::suspects::SuspectIndex;
 use crate::routing::view::SiteView;
 
 /// Time in which the connections that a replica's end breaks are seen to break, all of them.
@@ -98,7 +98,7 @@
 /// What an entry knows of crashes.
 #[derive(Default)]
 pub struct CrashWatch {
-    suspects: RefCell<SuspectBook>,
+    suspects: RefCell<SuspectIndex>,
     open: RefCell<BTreeMap<ReplicaLife, Rc<CrashCase>>>,
     watched: RefCell<VecDeque<WatchedLife>>,
 }
@@ -280,10 +280,13 @@
 async fn tell_crash(core: Rc<EntryCore>, report: CrashReport, proof: &'static str) {
     core.count("dunlinspring_replica_crashes_total", &[]);
     log_crash(&report, proof);
-    core.crashes.suspects.borrow_mut().note(&report, None);
+    core.crashes
+        .suspects
+        .borrow_mut()
+        .record_crash(&report, None);
     if let Some(position) = crash_report::tell_crash(core.link(), &report).await {
         let mut suspects = core.crashes.suspects.borrow_mut();
-        suspects.note(&report, Some(position));
+        suspects.record_crash(&report, Some(position));
     }
 }
 
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -22,12 +22,12 @@
     let mut due = true;
     loop {
         let heard = core.limit_heard.notified();
-        if !due && !core.book.borrow().limits().has_news() {
+        if !due && !core.book.borrow().limits().is_report_due() {
             heard.await;
         }
         let told = tell_once(&core).await;
         // A new leader that still gathers what entries know has told nothing yet.
-        due = !told || !core.book.borrow().limits().follows();
+        due = !told || !core.book.borrow().limits().follows_leader();
         tokio::time::sleep(if due { DUE_PAUSE } else { PAUSE }).await;
     }
 }
@@ -46,14 +46,14 @@
     match told {
         Ok(page) => {
             let mut book = core.book.borrow_mut();
-            book.limits_mut().confirm(asked_ms, &report);
+            book.limits_mut().acknowledge(asked_ms, &report);
             drop(book);
             core.follow_limits(&page);
             true
         }
         Err(error) => {
             tracing::debug!(%error, "limits of replicas were not told");
-            core.book.borrow_mut().limits_mut().miss();
+            core.book.borrow_mut().limits_mut().record_failed_report();
             false
         }
     }
@@ -64,7 +64,10 @@
     pub fn hear_limit(&self, replica: &ReplicaLife, rate: NamedRate, permit: Option<PermitStamp>) {
         let now_ms = clock::monotonic_ms();
         let mut book = self.book.borrow_mut();
-        if book.limits_mut().hear(now_ms, replica, rate, permit) {
+        if book
+            .limits_mut()
+            .record_limit(now_ms, replica, rate, permit)
+        {
             self.count("dunlinspring_limits_named_total", &[]);
             tracing::info!(%replica, per_s = rate.per_s(), "replica names a limit");
             self.limit_heard.notify_one();
@@ -74,7 +77,7 @@
     /// An answer of a replica, to a request that needed a permit, names no limit.
     pub fn hear_no_limit(&self, replica: &ReplicaLife, permit: PermitStamp) {
         let mut book = self.book.borrow_mut();
-        if book.limits_mut().hear_none(replica, permit) {
+        if book.limits_mut().record_no_limit(replica, permit) {
             tracing::info!(%replica, "replica names no limit any more");
             self.limit_heard.notify_one();
         }
@@ -84,15 +87,15 @@
     pub fn follow_limits(&self, page: &LimitPage) {
         let mut book = self.book.borrow_mut();
         for state in &page.limits {
-            if book.limits().is_news(state) {
+            if book.limits().changes_rate(state) {
                 let per_s = state.rate.map(|rate| rate.per_s());
                 tracing::info!(replica = %state.replica, per_s, "limit of a replica");
-                book.pace_mut().follow(&state.replica.id, state.rate);
+                book.pace_mut().update_rate(&state.replica.id, state.rate);
             }
         }
         let limits = book.limits_mut();
-        let ended = limits.follow(clock::monotonic_ms(), page);
-        let has_news = limits.has_news();
+        let ended = limits.apply_page(clock::monotonic_ms(), page);
+        let has_news = limits.is_report_due();
         drop(book);
         if ended {
             self.changed.notify_waiters();
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -11,7 +11,7 @@
 use crate::placement::rate_limit::PERMIT_MS;
 use crate::placement::replica_rates::{PermitRefusal, PermitReply, PermitRequest};
 use crate::process::peers::PeerError;
-use crate::routing::permit_throttle::ASK_MS;
+use crate::routing::permit_throttle::PERMIT_REQUEST_TIMEOUT_MS;
 
 /// What stands for an answer that nobody gave: other replicas are sent to
 /// meanwhile.
@@ -50,12 +50,15 @@
     pub async fn ask_permit(&self, record: &ReplicaRecord) -> Option<RatePermit> {
         let asked_ms = clock::monotonic_ms();
         let request = self.permit_request(asked_ms, record);
-        self.book.borrow_mut().pace_mut().ask(asked_ms, &record.id);
+        self.book
+            .borrow_mut()
+            .pace_mut()
+            .record_request(asked_ms, &record.id);
         let asked = self
             .link()
             .decide(
                 "permit",
-                Duration::from_millis(ASK_MS),
+                Duration::from_millis(PERMIT_REQUEST_TIMEOUT_MS),
                 |client, context| {
                     let request = request.clone();
                     async move { client.permit(context, request).await }
@@ -81,21 +84,21 @@
         let now_ms = clock::monotonic_ms();
         let mut book = self.book.borrow_mut();
         if asked.is_ok() {
-            book.limits_mut().confirm_notice(asked_ms, replica);
+            book.limits_mut().acknowledge_limit(asked_ms, replica);
         }
         let pace = book.pace_mut();
         let (answer, granted) = match asked {
             Ok(PermitReply::Granted(stamp)) => {
-                pace.grant(asked_ms, &replica.id);
+                pace.record_grant(asked_ms, &replica.id);
                 ("granted", Some(stamp))
             }
             Ok(PermitReply::Refused(refusal)) => {
-                pace.refuse(now_ms, asked_ms, &replica.id, refusal);
+                pace.record_refusal(now_ms, asked_ms, &replica.id, refusal);
                 ("wait", None)
             }
             Err(error) => {
                 tracing::debug!(%error, %replica, "a permit to send was not asked for");
-                pace.refuse(now_ms, asked_ms, &replica.id, SILENT);
+                pace.record_refusal(now_ms, asked_ms, &replica.id, SILENT);
                 ("none", None)
             }
         };
@@ -110,7 +113,7 @@
             service: record.service.clone(),
             is_cold: book.is_cold(now_ms, &record.id),
             is_limited: limits.is_limited(&replica),
-            named: limits.last_notice(now_ms, &replica),
+            named: limits.latest_limit(now_ms, &replica),
             cursor: limits.cursor(),
             replica,
         }
--- a/src/forward/request.rs
+++ b/src/forward/request.rs
@@ -30,8 +30,8 @@
 use crate::forward::turns::TurnGuard;
 use crate::forward::upstream::{Connection, Exchange, ExchangeError, Outgoing};
 use crate::ids::{ContentDigest, ReplicaId};
-use crate::routing::backoff::ClaimEnd;
-use crate::routing::suspects::BARRED_RETRY_MS;
+use crate::routing::backoff::SlotOutcome;
+use crate::routing::suspects::QUARANTINE_RETRY_MS;
 use crate::table::configuration::{RouteKind, RouteSpec};
 
 use try_guard::TryGuard;
@@ -388,7 +388,7 @@
             // Another entry takes it at once.
             Refusal::Stopping => Duration::ZERO,
             // Until an operator changes that.
-            Refusal::Barred | Refusal::NoRegion => Duration::from_millis(BARRED_RETRY_MS),
+            Refusal::Barred | Refusal::NoRegion => Duration::from_millis(QUARANTINE_RETRY_MS),
             // About as long as the other attempt takes.
             Refusal::Turn => self.aim(),
             Refusal::Quota(QuotaRefusal::Over(short)) => short,
@@ -517,9 +517,9 @@
         }
         let not_executed = head::find(&head.headers, core.names.not_executed).is_some();
         let end = match head.status {
-            421 | 429 | 500.. => ClaimEnd::Other,
-            _ if not_executed => ClaimEnd::Other,
-            _ => ClaimEnd::Taken,
+            421 | 429 | 500.. => SlotOutcome::Other,
+            _ if not_executed => SlotOutcome::Other,
+            _ => SlotOutcome::Accepted,
         };
         guard.release(end);
         self.hear_end_of_limit(&head, guard.permit, end);
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -13,7 +13,7 @@
 use crate::ids::ReplicaId;
 use crate::placement::named_limits::PermitStamp;
 use crate::placement::named_rate::NamedRate;
-use crate::routing::backoff::{AskedPause, ClaimEnd, SendClaim};
+use crate::routing::backoff::{RequestedBackoff, SendSlot, SlotOutcome};
 
 use super::Flight;
 
@@ -26,10 +26,10 @@
 }
 
 /// The pause that a head asks for. Only who turns a request away asks for one.
-fn asked_pause(head: &ResponseHead) -> Option<AskedPause> {
+fn asked_pause(head: &ResponseHead) -> Option<RequestedBackoff> {
     let turned_away = matches!(head.status, 429 | 503);
     let values = head::find_all(&head.headers, RETRY_AFTER).filter(|_| turned_away);
-    AskedPause::parse(values)
+    RequestedBackoff::parse(values)
 }
 
 /// Notes what the replica says in each head that comes.
@@ -91,7 +91,7 @@
         &mut self,
         sent: &SentTo,
         permit: Option<RatePermit>,
-    ) -> Result<SendClaim, ReplicaBar> {
+    ) -> Result<SendSlot, ReplicaBar> {
         let now_ms = clock::monotonic_ms();
         let mut book = self.core.book.borrow_mut();
         let claimed = book.claim(now_ms, &sent.life, permit);
@@ -109,11 +109,11 @@
         &self,
         head: &ResponseHead,
         permit: Option<PermitStamp>,
-        end: ClaimEnd,
+        end: SlotOutcome,
     ) {
         let names_limit = head::find(&head.headers, self.core.names.limit).is_some();
         match (permit, &self.sent) {
-            (Some(permit), Some(sent)) if end == ClaimEnd::Taken && !names_limit => {
+            (Some(permit), Some(sent)) if end == SlotOutcome::Accepted && !names_limit => {
                 self.core.hear_no_limit(&sent.life, permit);
             }
             _ => {}
--- a/src/forward/request/try_guard.rs
+++ b/src/forward/request/try_guard.rs
@@ -8,7 +8,7 @@
 use crate::forward::daemon::EntryCore;
 use crate::ids::ReplicaId;
 use crate::placement::named_limits::PermitStamp;
-use crate::routing::backoff::{ClaimEnd, SendClaim};
+use crate::routing::backoff::{SendSlot, SlotOutcome};
 
 /// Reports a try's end to the book, also where the request is dropped midway.
 pub(super) struct TryGuard<'a> {
@@ -21,7 +21,7 @@
     /// Tokens that had to be read before its answer could begin.
     ahead: u64,
     /// The claim to send, until an answer shows what came of it.
-    pub(super) claim: Option<SendClaim>,
+    pub(super) claim: Option<SendSlot>,
     /// When the leader let it go, where the replica takes few requests.
     pub(super) permit: Option<PermitStamp>,
 }
@@ -48,7 +48,7 @@
     }
 
     /// An answer has come, or none will: a next request may leave in place of this one.
-    pub(super) fn release(&mut self, end: ClaimEnd) {
+    pub(super) fn release(&mut self, end: SlotOutcome) {
         if let Some(claim) = self.claim.take() {
             let now_ms = clock::monotonic_ms();
             let mut book = self.core.book.borrow_mut();
@@ -68,7 +68,7 @@
 
 impl Drop for TryGuard<'_> {
     fn drop(&mut self) {
-        self.release(ClaimEnd::Other);
+        self.release(SlotOutcome::Other);
         let now_ms = clock::monotonic_ms();
         let mut book = self.core.book.borrow_mut();
         book.end(now_ms, &self.replica, &self.need, self.begun, self.end);
--- a/src/placement/duties.rs
+++ b/src/placement/duties.rs
@@ -220,8 +220,8 @@
         TargetPlan {
             term: self.term,
             position: state.position,
-            life: beat.life,
-            want: wanted_models(state, target, beat),
+            incarnation: beat.life,
+            desired_models: wanted_models(state, target, beat),
             lease_ms: self.policy.lease_ms,
         }
     }
--- a/src/process/follow.rs
+++ b/src/process/follow.rs
@@ -15,7 +15,7 @@
 use crate::ids::{HallName, Position};
 use crate::process::peers::{self, ControlLink, PeerError};
 use crate::process::wire::{ControlRefusal, Notice};
-use crate::routing::freshness::ProofBook;
+use crate::routing::freshness::ProofCache;
 use crate::routing::view::SiteView;
 
 /// Longest wait for one notice.
@@ -51,7 +51,7 @@
     /// Held while all or a part is pulled.
     turn: tokio::sync::Mutex<()>,
     fresh_ms: AtomicU64,
-    proofs: Mutex<ProofBook>,
+    proofs: Mutex<ProofCache>,
     changed: Notify,
     proven: Notify,
 }
@@ -103,7 +103,7 @@
     /// For how long nothing newer than the configuration `version` is known not to exist,
     /// in milliseconds; none where it never was.
     pub fn unproven_ms(&self, version: u64) -> Option<u64> {
-        let proven_ms = peers::lock(&self.proofs).proven_ms(version)?;
+        let proven_ms = peers::lock(&self.proofs).fresh_at_ms(version)?;
         Some(clock::monotonic_ms().saturating_sub(proven_ms))
     }
 
@@ -132,7 +132,7 @@
         let fresh_ms = asked_ms.saturating_sub(notice.leaderless_ms);
         self.fresh_ms.fetch_max(fresh_ms, Ordering::SeqCst);
         if let Some(proof) = notice.proof {
-            peers::lock(&self.proofs).hear(proof, asked_ms);
+            peers::lock(&self.proofs).record(proof, asked_ms);
             self.proven.notify_waiters();
         }
     }
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -259,7 +259,7 @@
     /// As the retry budget takes it.
     pub fn retries(&self) -> RetryPolicy {
         RetryPolicy {
-            earned: self.retry_earned,
+            earned_hundredths: self.retry_earned,
             burst: self.retry_burst,
         }
     }
--- a/src/process/wire.rs
+++ b/src/process/wire.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::admission::controller::{AttemptWord, RunAsk, TargetPlan};
+use crate::admission::controller::{AttemptStatus, RunRequest, TargetPlan};
 use crate::consensus::claims::ClaimRecord;
 use crate::consensus::crashes::CrashBook;
 use crate::consensus::directory::{BeatNews, ReplicaRecord};
@@ -246,7 +246,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentWord {
     /// What it says of the attempt.
-    pub word: AttemptWord,
+    pub word: AttemptStatus,
     /// Queued and running requests.
     pub load: u32,
     /// How far the agent follows the log: an entry that is behind catches up.
@@ -258,7 +258,7 @@
 #[tarpc::service]
 pub trait AgentWire {
     /// Starts an attempt, once.
-    async fn start(position: Position, ask: RunAsk) -> AgentWord;
+    async fn start(position: Position, ask: RunRequest) -> AgentWord;
     /// The answer from a piece on, waiting up to `wait_ms` for one.
     async fn pull(attempt: AttemptId, life: Incarnation, offset: u32, wait_ms: u64) -> AgentWord;
     /// Ends an attempt that has not started.
--- a/src/routing/freshness.rs
+++ b/src/routing/freshness.rs
@@ -23,32 +23,32 @@
 
 /// The proofs that one member has heard.
 #[derive(Clone, Debug, Default)]
-pub struct ProofBook {
+pub struct ProofCache {
     /// When each version was surely the newest, by the own steady clock; of two proofs
     /// the one for the higher version is the younger one.
-    proven_ms: BTreeMap<u64, u64>,
+    fresh_at_ms: BTreeMap<u64, u64>,
 }
 
-impl ProofBook {
-    /// Takes a proof from an answer to a question that was asked at `asked_ms`.
-    pub fn hear(&mut self, proof: FreshnessProof, asked_ms: u64) {
-        let at_ms = asked_ms.saturating_sub(proof.age_ms);
-        let known = self.proven_ms(proof.version);
+impl ProofCache {
+    /// Takes a proof from an answer to a question that was asked at `requested_ms`.
+    pub fn record(&mut self, proof: FreshnessProof, requested_ms: u64) {
+        let at_ms = requested_ms.saturating_sub(proof.age_ms);
+        let known = self.fresh_at_ms(proof.version);
         if known.is_some_and(|known_ms| known_ms >= at_ms) {
             return;
         }
         // Whoever holds a higher version holds all that this one proves.
-        self.proven_ms
+        self.fresh_at_ms
             .retain(|version, known_ms| *version < proof.version || *known_ms > at_ms);
-        self.proven_ms.insert(proof.version, at_ms);
-        while self.proven_ms.len() > MAX_PROOFS {
-            self.proven_ms.pop_first();
+        self.fresh_at_ms.insert(proof.version, at_ms);
+        while self.fresh_at_ms.len() > MAX_PROOFS {
+            self.fresh_at_ms.pop_first();
         }
     }
 
     /// The latest moment at which nothing newer than `version` had been acknowledged.
-    pub fn proven_ms(&self, version: u64) -> Option<u64> {
-        let older = self.proven_ms.range(..=version);
+    pub fn fresh_at_ms(&self, version: u64) -> Option<u64> {
+        let older = self.fresh_at_ms.range(..=version);
         older.map(|(_, at_ms)| *at_ms).max()
     }
 }
--- a/src/routing/lifecycle.rs
+++ b/src/routing/lifecycle.rs
@@ -1,32 +1,32 @@
 //! Follows one request to its one outcome. Pure: the entry's shell performs
-//! each [`FlightStep`] and brings back the [`FlightEvent`].
+//! each [`RequestStep`] and brings back the [`RequestEvent`].
 
-use crate::admission::controller::{AnswerPage, AttemptWord, NotRun, RefuseCause, RunEnd};
+use crate::admission::controller::{AnswerPage, AttemptStatus, NotRun, RefuseCause, RunEnd};
 use crate::consensus::claims::{ClaimAnswer, ClaimRecord, Settlement};
 use crate::ids::{AttemptId, Incarnation, TargetName};
-use crate::routing::suspects::BARRED_RETRY_MS;
+use crate::routing::suspects::QUARANTINE_RETRY_MS;
 
 /// Time to come back where no agent gave one, in milliseconds.
 pub const DEFAULT_RETRY_MS: u64 = 1000;
 
 /// One attempt on one target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FlightTrial {
+pub struct TargetAttempt {
     /// The attempt.
-    pub attempt: AttemptId,
+    pub id: AttemptId,
     /// Its target.
     pub target: TargetName,
     /// The agent's life it is meant for.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// Limits on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FlightPolicy {
+pub struct AttemptPolicy {
     /// Most attempts.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Lost pulls in a row before an attempt counts as lost.
-    pub lost_pulls: u32,
+    pub max_timeouts: u32,
     /// The call may run at most once: each attempt is claimed first.
     pub at_most_once: bool,
 }
@@ -45,7 +45,7 @@
     /// An agent refused it.
     Refused(RefuseCause),
     /// Too many targets ended under it.
-    Barred,
+    Quarantined,
     /// No quorum recorded the claim.
     NoQuorum,
     /// The idempotency key was used with another body.
@@ -53,7 +53,7 @@
     /// The idempotency key is older than the retention.
     KeyTooOld,
     /// The caller's patience ended.
-    Patience,
+    DeadlinePassed,
     /// The target was lost after it may have started.
     TargetLost,
     /// An earlier attempt of this key ended unknown.
@@ -77,11 +77,11 @@
             Self::Refused(RefuseCause::Behind) => "table-changed",
             Self::Refused(RefuseCause::Engine) => "engine-refused",
             Self::Refused(RefuseCause::NoLease) => "no-lease",
-            Self::Barred => "targets-ended",
+            Self::Quarantined => "targets-ended",
             Self::NoQuorum => "no-quorum",
             Self::KeyReused => "key-reused",
             Self::KeyTooOld => "key-too-old",
-            Self::Patience => "patience",
+            Self::DeadlinePassed => "patience",
             Self::TargetLost => "target-lost",
             Self::KeyUnknown => "key-unknown",
         }
@@ -90,11 +90,11 @@
 
 /// The one outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FlightOutcome {
+pub enum RequestOutcome {
     /// Ran to its end; all pieces were handed over.
     Done,
     /// Ran to its end earlier; this is the recorded answer, if it was kept.
-    DoneBefore(Option<String>),
+    Replayed(Option<String>),
     /// Proven not to have run.
     NotRun {
         /// Why.
@@ -108,38 +108,38 @@
 
 /// What the shell does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FlightStep {
+pub enum RequestStep {
     /// Choose a target; `first` is false when a retry needs a budget.
     Choose {
         /// Whether this is the first attempt.
         first: bool,
     },
     /// Have the attempt's claim recorded on a quorum.
-    Claim(FlightTrial),
+    Claim(TargetAttempt),
     /// Ask the agent to start, giving it the pieces that the caller has.
-    Start(FlightTrial),
+    Start(TargetAttempt),
     /// Ask the agent for the answer from this piece of the attempt on.
-    Pull(FlightTrial, u32),
+    Pull(TargetAttempt, u32),
     /// Ask the agent to end the attempt if it has not started.
-    Seal(FlightTrial),
+    Seal(TargetAttempt),
     /// Record how the claimed attempt ended.
-    Settle(FlightTrial, Settlement),
+    Settle(TargetAttempt, Settlement),
     /// Tell the agent that the caller has gone; the answer does not matter.
-    Cancel(FlightTrial),
+    Cancel(TargetAttempt),
     /// Tell the caller.
-    Finish(FlightOutcome),
+    Finish(RequestOutcome),
 }
 
-impl FlightStep {
+impl RequestStep {
     /// The attempt that it is about.
-    pub fn trial(&self) -> Option<&FlightTrial> {
+    pub fn attempt(&self) -> Option<&TargetAttempt> {
         match self {
-            Self::Claim(trial)
-            | Self::Start(trial)
-            | Self::Pull(trial, _)
-            | Self::Seal(trial)
-            | Self::Settle(trial, _)
-            | Self::Cancel(trial) => Some(trial),
+            Self::Claim(attempt)
+            | Self::Start(attempt)
+            | Self::Pull(attempt, _)
+            | Self::Seal(attempt)
+            | Self::Settle(attempt, _)
+            | Self::Cancel(attempt) => Some(attempt),
             Self::Choose { .. } | Self::Finish(_) => None,
         }
     }
@@ -147,313 +147,315 @@
 
 /// What came of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FlightEvent {
+pub enum RequestEvent {
     /// The chosen trial; none where no target may be tried.
-    Chosen(Option<FlightTrial>),
+    Chosen(Option<TargetAttempt>),
     /// All homes would refuse it, by what their agents said of others like it.
     Refused(NotRun),
     /// Too many targets have ended under what it asks.
-    Barred,
+    Quarantined,
     /// The log's answer to the claim.
     Claimed(ClaimAnswer),
     /// The agent's word.
-    Word(AttemptWord),
+    Status(AttemptStatus),
     /// The step's peer gave no answer in time.
-    Lost,
+    NoReply,
     /// The end is recorded.
     Settled,
     /// The cancel was sent.
     Cancelled,
     /// The caller's patience ended.
-    PatienceOver,
+    DeadlinePassed,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Stage {
     Choosing,
-    Claiming(FlightTrial),
-    Starting(FlightTrial),
-    Following(FlightTrial),
-    Sealing(FlightTrial),
-    Settling(FlightTrial, Settlement),
-    Cancelling(FlightTrial),
-    Finished(FlightOutcome),
+    Claiming(TargetAttempt),
+    Starting(TargetAttempt),
+    Following(TargetAttempt),
+    Sealing(TargetAttempt),
+    Settling(TargetAttempt, Settlement),
+    Cancelling(TargetAttempt),
+    Finished(RequestOutcome),
 }
 
 /// The state of one request.
 #[derive(Debug)]
-pub struct RequestFlight {
-    policy: FlightPolicy,
+pub struct RequestLifecycle {
+    policy: AttemptPolicy,
     stage: Stage,
-    tried: u32,
-    delivered: u32,
+    attempts_made: u32,
+    sent: u32,
     /// Pieces delivered before the current attempt began.
     base: u32,
-    lost: u32,
+    timeouts: u32,
     /// An attempt may have run without its end being known.
     maybe_ran: bool,
-    out_of_time: bool,
+    deadline_passed: bool,
     /// What is told after the current settlement.
-    verdict: Option<FlightOutcome>,
-    refusal: Option<NotRun>,
+    pending_outcome: Option<RequestOutcome>,
+    last_refusal: Option<NotRun>,
 }
 
-impl RequestFlight {
+impl RequestLifecycle {
     /// Starts a request.
-    pub fn new(policy: FlightPolicy) -> Self {
+    pub fn new(policy: AttemptPolicy) -> Self {
         Self {
             policy,
             stage: Stage::Choosing,
-            tried: 0,
-            delivered: 0,
+            attempts_made: 0,
+            sent: 0,
             base: 0,
-            lost: 0,
+            timeouts: 0,
             maybe_ran: false,
-            out_of_time: false,
-            verdict: None,
-            refusal: None,
+            deadline_passed: false,
+            pending_outcome: None,
+            last_refusal: None,
         }
     }
 
     /// Pieces handed over so far; a new attempt continues after them.
     pub fn delivered(&self) -> u32 {
-        self.delivered
+        self.sent
     }
 
     /// What to do next.
-    pub fn step(&self) -> FlightStep {
+    pub fn step(&self) -> RequestStep {
         match &self.stage {
-            Stage::Choosing => FlightStep::Choose {
-                first: self.tried == 0,
+            Stage::Choosing => RequestStep::Choose {
+                first: self.attempts_made == 0,
             },
-            Stage::Claiming(trial) => FlightStep::Claim(trial.clone()),
-            Stage::Starting(trial) => FlightStep::Start(trial.clone()),
-            Stage::Following(trial) => FlightStep::Pull(trial.clone(), self.delivered - self.base),
-            Stage::Sealing(trial) => FlightStep::Seal(trial.clone()),
-            Stage::Settling(trial, end) => FlightStep::Settle(trial.clone(), end.clone()),
-            Stage::Cancelling(trial) => FlightStep::Cancel(trial.clone()),
-            Stage::Finished(outcome) => FlightStep::Finish(outcome.clone()),
+            Stage::Claiming(attempt) => RequestStep::Claim(attempt.clone()),
+            Stage::Starting(attempt) => RequestStep::Start(attempt.clone()),
+            Stage::Following(attempt) => RequestStep::Pull(attempt.clone(), self.sent - self.base),
+            Stage::Sealing(attempt) => RequestStep::Seal(attempt.clone()),
+            Stage::Settling(attempt, end) => RequestStep::Settle(attempt.clone(), end.clone()),
+            Stage::Cancelling(attempt) => RequestStep::Cancel(attempt.clone()),
+            Stage::Finished(outcome) => RequestStep::Finish(outcome.clone()),
         }
     }
 
     /// Takes an event in; returns the pieces to hand to the caller.
-    pub fn on(&mut self, event: FlightEvent) -> Vec<String> {
+    pub fn on(&mut self, event: RequestEvent) -> Vec<String> {
         let stage = std::mem::replace(&mut self.stage, Stage::Choosing);
         match (stage, event) {
             (Stage::Finished(outcome), _) => self.stage = Stage::Finished(outcome),
-            (stage, FlightEvent::PatienceOver) => self.on_patience_over(stage),
-            (Stage::Choosing, FlightEvent::Chosen(trial)) => self.on_chosen(trial),
-            (Stage::Choosing, FlightEvent::Refused(refusal)) => {
-                self.refusal = Some(refusal);
-                self.finish_not_run(EndCause::Refused(refusal.cause));
+            (stage, RequestEvent::DeadlinePassed) => self.on_deadline(stage),
+            (Stage::Choosing, RequestEvent::Chosen(attempt)) => self.on_chosen(attempt),
+            (Stage::Choosing, RequestEvent::Refused(refusal)) => {
+                self.last_refusal = Some(refusal);
+                self.end_not_run(EndCause::Refused(refusal.cause));
             }
-            (Stage::Choosing, FlightEvent::Barred) => self.finish_not_run(EndCause::Barred),
-            (Stage::Claiming(trial), FlightEvent::Claimed(answer)) => {
-                self.on_claimed(trial, answer)
+            (Stage::Choosing, RequestEvent::Quarantined) => self.end_not_run(EndCause::Quarantined),
+            (Stage::Claiming(attempt), RequestEvent::Claimed(reply)) => {
+                self.on_claimed(attempt, reply)
             }
-            (Stage::Claiming(trial), _) => self.on_unclaimed(trial),
+            (Stage::Claiming(attempt), _) => self.on_claim_timeout(attempt),
             (
-                Stage::Starting(trial) | Stage::Following(trial) | Stage::Sealing(trial),
-                FlightEvent::Word(word),
-            ) => return self.on_word(trial, word),
-            (Stage::Starting(trial), _) => self.stage = Stage::Sealing(trial),
-            (Stage::Following(trial), _) => self.on_lost(trial, Stage::Following),
-            (Stage::Sealing(trial), _) => self.on_lost(trial, Stage::Sealing),
+                Stage::Starting(attempt) | Stage::Following(attempt) | Stage::Sealing(attempt),
+                RequestEvent::Status(status),
+            ) => return self.on_status(attempt, status),
+            (Stage::Starting(attempt), _) => self.stage = Stage::Sealing(attempt),
+            (Stage::Following(attempt), _) => self.on_no_reply(attempt, Stage::Following),
+            (Stage::Sealing(attempt), _) => self.on_no_reply(attempt, Stage::Sealing),
             (Stage::Settling(_, end), event) => self.on_settled(end, event),
             (Stage::Cancelling(_), _) => {
-                self.stage = Stage::Finished(FlightOutcome::Unknown(EndCause::Patience));
+                self.stage = Stage::Finished(RequestOutcome::Unknown(EndCause::DeadlinePassed));
             }
             (Stage::Choosing, _) => self.stage = Stage::Choosing,
         }
         Vec::new()
     }
 
-    fn on_chosen(&mut self, trial: Option<FlightTrial>) {
-        match trial {
-            Some(trial) => {
-                self.tried += 1;
-                self.base = self.delivered;
-                self.lost = 0;
+    fn on_chosen(&mut self, attempt: Option<TargetAttempt>) {
+        match attempt {
+            Some(attempt) => {
+                self.attempts_made += 1;
+                self.base = self.sent;
+                self.timeouts = 0;
                 self.stage = match self.policy.at_most_once {
-                    true => Stage::Claiming(trial),
-                    false => Stage::Starting(trial),
+                    true => Stage::Claiming(attempt),
+                    false => Stage::Starting(attempt),
                 };
             }
             None => {
-                let cause = self.refusal.map(|refusal| EndCause::Refused(refusal.cause));
-                self.finish_not_run(cause.unwrap_or(EndCause::NoHome));
+                let cause = self
+                    .last_refusal
+                    .map(|refusal| EndCause::Refused(refusal.cause));
+                self.end_not_run(cause.unwrap_or(EndCause::NoHome));
             }
         }
     }
 
-    fn on_claimed(&mut self, trial: FlightTrial, answer: ClaimAnswer) {
-        match answer {
-            ClaimAnswer::Granted(_) => self.stage = Stage::Starting(trial),
+    fn on_claimed(&mut self, attempt: TargetAttempt, reply: ClaimAnswer) {
+        match reply {
+            ClaimAnswer::Granted(_) => self.stage = Stage::Starting(attempt),
             ClaimAnswer::Taken(record) => self.on_taken(record),
-            ClaimAnswer::OtherBody => self.finish_not_run(EndCause::KeyReused),
+            ClaimAnswer::OtherBody => self.end_not_run(EndCause::KeyReused),
             ClaimAnswer::TooOld => {
-                self.stage = Stage::Finished(FlightOutcome::Unknown(EndCause::KeyTooOld));
+                self.stage = Stage::Finished(RequestOutcome::Unknown(EndCause::KeyTooOld));
             }
         }
     }
 
     /// The claim got no answer in time. The same attempt may claim once more, whether it holds
     /// the claim by now or not.
-    fn on_unclaimed(&mut self, trial: FlightTrial) {
-        self.lost += 1;
-        match self.lost > self.policy.lost_pulls {
-            false => self.stage = Stage::Claiming(trial),
+    fn on_claim_timeout(&mut self, attempt: TargetAttempt) {
+        self.timeouts += 1;
+        match self.timeouts > self.policy.max_timeouts {
+            false => self.stage = Stage::Claiming(attempt),
             // Nothing was started, and a later resolver can only seal it.
-            true => self.finish_not_run(EndCause::NoQuorum),
+            true => self.end_not_run(EndCause::NoQuorum),
         }
     }
 
     /// Another attempt holds the key: end it if it has not started, else follow it.
     fn on_taken(&mut self, record: ClaimRecord) {
         self.stage = match record.settled {
-            Some(Settlement::Done { answer }) => Stage::Finished(FlightOutcome::DoneBefore(answer)),
+            Some(Settlement::Done { answer }) => Stage::Finished(RequestOutcome::Replayed(answer)),
             Some(Settlement::Unknown) => {
-                Stage::Finished(FlightOutcome::Unknown(EndCause::KeyUnknown))
+                Stage::Finished(RequestOutcome::Unknown(EndCause::KeyUnknown))
             }
-            Some(Settlement::NotRun) | None => Stage::Sealing(FlightTrial {
-                attempt: record.attempt,
+            Some(Settlement::NotRun) | None => Stage::Sealing(TargetAttempt {
+                id: record.attempt,
                 target: record.target,
-                life: record.incarnation,
+                incarnation: record.incarnation,
             }),
         };
     }
 
-    fn on_word(&mut self, trial: FlightTrial, word: AttemptWord) -> Vec<String> {
-        self.lost = 0;
-        match word {
-            AttemptWord::Page(page) if page.attempt == trial.attempt => self.on_page(trial, page),
-            AttemptWord::Page(_) => {
-                self.stage = Stage::Following(trial);
+    fn on_status(&mut self, attempt: TargetAttempt, status: AttemptStatus) -> Vec<String> {
+        self.timeouts = 0;
+        match status {
+            AttemptStatus::Page(page) if page.attempt == attempt.id => self.on_page(attempt, page),
+            AttemptStatus::Page(_) => {
+                self.stage = Stage::Following(attempt);
                 Vec::new()
             }
-            AttemptWord::Unseen | AttemptWord::OtherLife(_) => {
-                self.on_vanished(trial);
+            AttemptStatus::Unseen | AttemptStatus::OtherIncarnation(_) => {
+                self.on_attempt_lost(attempt);
                 Vec::new()
             }
         }
     }
 
-    fn on_page(&mut self, trial: FlightTrial, page: AnswerPage) -> Vec<String> {
-        let wanted = self.delivered - self.base;
+    fn on_page(&mut self, attempt: TargetAttempt, page: AnswerPage) -> Vec<String> {
+        let next_piece = self.sent - self.base;
         // A late page repeats pieces; one from further on leaves a gap.
-        let fresh = match wanted.checked_sub(page.offset) {
+        let new_pieces = match next_piece.checked_sub(page.offset) {
             Some(skip) => page.pieces.into_iter().skip(skip as usize).collect(),
             None => Vec::new(),
         };
-        self.delivered += fresh.len() as u32;
-        let have = self.delivered - self.base;
+        self.sent += new_pieces.len() as u32;
+        let received = self.sent - self.base;
         match page.end {
-            Some(RunEnd::Whole { pieces }) if have == pieces => self.on_whole(trial),
-            Some(RunEnd::NotRun(refusal)) => self.on_not_run(trial, refusal),
-            Some(RunEnd::Broken) => self.on_vanished(trial),
-            Some(RunEnd::Whole { .. }) | None => self.stage = Stage::Following(trial),
+            Some(RunEnd::Complete { pieces }) if received == pieces => self.on_complete(attempt),
+            Some(RunEnd::NotRun(refusal)) => self.on_not_run(attempt, refusal),
+            Some(RunEnd::Broken) => self.on_attempt_lost(attempt),
+            Some(RunEnd::Complete { .. }) | None => self.stage = Stage::Following(attempt),
         }
-        fresh
+        new_pieces
     }
 
-    fn on_whole(&mut self, trial: FlightTrial) {
+    fn on_complete(&mut self, attempt: TargetAttempt) {
         self.stage = match self.policy.at_most_once {
             true => {
-                self.verdict = Some(FlightOutcome::Done);
-                Stage::Settling(trial, Settlement::Done { answer: None })
+                self.pending_outcome = Some(RequestOutcome::Done);
+                Stage::Settling(attempt, Settlement::Done { answer: None })
             }
-            false => Stage::Finished(FlightOutcome::Done),
+            false => Stage::Finished(RequestOutcome::Done),
         };
     }
 
-    fn on_not_run(&mut self, trial: FlightTrial, refusal: NotRun) {
-        self.refusal = Some(refusal);
+    fn on_not_run(&mut self, attempt: TargetAttempt, refusal: NotRun) {
+        self.last_refusal = Some(refusal);
         match self.policy.at_most_once {
-            true => self.stage = Stage::Settling(trial, Settlement::NotRun),
-            false => self.try_again(),
+            true => self.stage = Stage::Settling(attempt, Settlement::NotRun),
+            false => self.retry(),
         }
     }
 
     /// The attempt may have run, and its answer is gone.
-    fn on_vanished(&mut self, trial: FlightTrial) {
+    fn on_attempt_lost(&mut self, attempt: TargetAttempt) {
         self.maybe_ran = true;
         match self.policy.at_most_once {
             true => {
-                self.verdict = Some(FlightOutcome::Unknown(EndCause::TargetLost));
-                self.stage = Stage::Settling(trial, Settlement::Unknown);
+                self.pending_outcome = Some(RequestOutcome::Unknown(EndCause::TargetLost));
+                self.stage = Stage::Settling(attempt, Settlement::Unknown);
             }
-            false => self.try_again(),
+            false => self.retry(),
         }
     }
 
-    fn on_lost(&mut self, trial: FlightTrial, again: fn(FlightTrial) -> Stage) {
-        self.lost += 1;
-        match self.lost > self.policy.lost_pulls || self.out_of_time {
-            false => self.stage = again(trial),
+    fn on_no_reply(&mut self, attempt: TargetAttempt, same_stage: fn(TargetAttempt) -> Stage) {
+        self.timeouts += 1;
+        match self.timeouts > self.policy.max_timeouts || self.deadline_passed {
+            false => self.stage = same_stage(attempt),
             // Not recorded as ended: a resend may still reach the agent and learn more.
             true if self.policy.at_most_once => {
-                self.stage = Stage::Finished(FlightOutcome::Unknown(EndCause::TargetLost));
+                self.stage = Stage::Finished(RequestOutcome::Unknown(EndCause::TargetLost));
             }
             true => {
                 self.maybe_ran = true;
-                self.try_again();
+                self.retry();
             }
         }
     }
 
-    fn on_settled(&mut self, end: Settlement, event: FlightEvent) {
-        match (self.verdict.take(), end, event) {
+    fn on_settled(&mut self, end: Settlement, event: RequestEvent) {
+        match (self.pending_outcome.take(), end, event) {
             (Some(outcome), _, _) => self.stage = Stage::Finished(outcome),
-            (None, Settlement::NotRun, FlightEvent::Settled) => self.try_again(),
+            (None, Settlement::NotRun, RequestEvent::Settled) => self.retry(),
             (None, _, _) => {
-                let cause = self.refusal.map(|refusal| refusal.cause);
+                let cause = self.last_refusal.map(|refusal| refusal.cause);
                 let cause = cause.map_or(EndCause::NoQuorum, EndCause::Refused);
-                self.finish_not_run(cause);
+                self.end_not_run(cause);
             }
         }
     }
 
-    fn on_patience_over(&mut self, stage: Stage) {
-        let first = !self.out_of_time;
-        self.out_of_time = true;
+    fn on_deadline(&mut self, stage: Stage) {
+        let first = !self.deadline_passed;
+        self.deadline_passed = true;
         match stage {
-            Stage::Choosing | Stage::Claiming(_) => self.finish_not_run(EndCause::Patience),
-            Stage::Starting(trial) | Stage::Following(trial) if first && self.delivered == 0 => {
-                self.stage = Stage::Sealing(trial);
+            Stage::Choosing | Stage::Claiming(_) => self.end_not_run(EndCause::DeadlinePassed),
+            Stage::Starting(attempt) | Stage::Following(attempt) if first && self.sent == 0 => {
+                self.stage = Stage::Sealing(attempt);
             }
-            Stage::Starting(trial) | Stage::Following(trial) | Stage::Sealing(trial) => {
-                self.stage = Stage::Cancelling(trial);
+            Stage::Starting(attempt) | Stage::Following(attempt) | Stage::Sealing(attempt) => {
+                self.stage = Stage::Cancelling(attempt);
             }
-            Stage::Settling(_, end) => self.on_settled(end, FlightEvent::Lost),
+            Stage::Settling(_, end) => self.on_settled(end, RequestEvent::NoReply),
             Stage::Cancelling(_) => {
-                self.stage = Stage::Finished(FlightOutcome::Unknown(EndCause::Patience));
+                self.stage = Stage::Finished(RequestOutcome::Unknown(EndCause::DeadlinePassed));
             }
             Stage::Finished(outcome) => self.stage = Stage::Finished(outcome),
         }
     }
 
-    fn try_again(&mut self) {
-        let cause = match self.refusal {
-            _ if self.out_of_time => EndCause::Patience,
+    fn retry(&mut self) {
+        let cause = match self.last_refusal {
+            _ if self.deadline_passed => EndCause::DeadlinePassed,
             Some(refusal) => EndCause::Refused(refusal.cause),
             None => EndCause::TargetLost,
         };
-        match self.tried < self.policy.attempts && !self.out_of_time {
+        match self.attempts_made < self.policy.max_attempts && !self.deadline_passed {
             true => self.stage = Stage::Choosing,
-            false => self.finish_not_run(cause),
+            false => self.end_not_run(cause),
         }
     }
 
     /// Says `not run` only where no attempt may have run.
-    fn finish_not_run(&mut self, cause: EndCause) {
-        let retry_after_ms = match self.refusal {
-            _ if cause == EndCause::Barred => BARRED_RETRY_MS,
+    fn end_not_run(&mut self, cause: EndCause) {
+        let retry_after_ms = match self.last_refusal {
+            _ if cause == EndCause::Quarantined => QUARANTINE_RETRY_MS,
             Some(refusal) if refusal.retry_after_ms > 0 => refusal.retry_after_ms,
             _ => DEFAULT_RETRY_MS,
         };
         let outcome = match self.maybe_ran {
-            true => FlightOutcome::Unknown(cause),
-            false => FlightOutcome::NotRun {
+            true => RequestOutcome::Unknown(cause),
+            false => RequestOutcome::NotRun {
                 cause,
                 retry_after_ms,
             },
--- a/src/routing/limited_peers.rs
+++ b/src/routing/limited_peers.rs
@@ -16,21 +16,21 @@
 
 /// The last answer with a limit.
 #[derive(Clone, Copy, Debug)]
-struct HeardLimit {
+struct ReceivedLimit {
     rate: NamedRate,
-    at_ms: u64,
+    received_ms: u64,
     permit: Option<PermitStamp>,
     /// The leader has weighed it.
-    told: bool,
+    acknowledged: bool,
 }
 
 #[derive(Clone, Debug, Default)]
-struct LimitNote {
+struct PeerLimit {
     /// As the leader told.
     known: Option<NamedRate>,
     /// When it told so.
     known_ms: u64,
-    heard: Option<HeardLimit>,
+    last: Option<ReceivedLimit>,
     /// The newest permit whose answer named no limit any more.
     ended: Option<PermitStamp>,
 }
@@ -38,65 +38,65 @@
 /// What an entry knows of all limits.
 #[derive(Clone, Debug, Default)]
 pub struct LimitedPeers {
-    notes: BTreeMap<ReplicaLife, LimitNote>,
+    peers: BTreeMap<ReplicaLife, PeerLimit>,
     cursor: LimitCursor,
     /// Something is to be told before the next regular report.
-    has_news: bool,
+    report_due: bool,
 }
 
 impl LimitedPeers {
     /// An answer named a limit. Returns whether that is news.
-    pub fn hear(
+    pub fn record_limit(
         &mut self,
         now_ms: u64,
-        peer: &ReplicaLife,
+        replica: &ReplicaLife,
         rate: NamedRate,
         permit: Option<PermitStamp>,
     ) -> bool {
-        let note = self.notes.entry(peer.clone()).or_default();
-        let known = note.known.or(note.heard.map(|heard| heard.rate));
-        let is_news = known != Some(rate);
-        note.heard = Some(HeardLimit {
+        let peer = self.peers.entry(replica.clone()).or_default();
+        let known = peer.known.or(peer.last.map(|last| last.rate));
+        let is_change = known != Some(rate);
+        peer.last = Some(ReceivedLimit {
             rate,
-            at_ms: now_ms,
+            received_ms: now_ms,
             permit,
-            told: false,
+            acknowledged: false,
         });
-        self.has_news |= is_news;
-        is_news
+        self.report_due |= is_change;
+        is_change
     }
 
     /// An answer to a request that needed this permit named no limit. Returns whether it may
     /// end one.
-    pub fn hear_none(&mut self, peer: &ReplicaLife, permit: PermitStamp) -> bool {
-        let Some(note) = self.notes.get_mut(peer) else {
+    pub fn record_no_limit(&mut self, replica: &ReplicaLife, permit: PermitStamp) -> bool {
+        let Some(peer) = self.peers.get_mut(replica) else {
             return false;
         };
-        note.ended = Some(permit);
-        self.has_news = true;
+        peer.ended = Some(permit);
+        self.report_due = true;
         true
     }
 
     /// Whether the leader tells another rate of a peer than before.
-    pub fn is_news(&self, state: &LimitState) -> bool {
-        let note = self.notes.get(&state.replica);
-        note.and_then(|note| note.known) != state.rate
+    pub fn changes_rate(&self, update: &LimitState) -> bool {
+        let peer = self.peers.get(&update.replica);
+        peer.and_then(|peer| peer.known) != update.rate
     }
 
     /// Whether a peer names a limit.
-    pub fn is_limited(&self, peer: &ReplicaLife) -> bool {
-        let note = self.notes.get(peer);
-        note.is_some_and(|note| note.known.is_some() || note.heard.is_some())
+    pub fn is_limited(&self, replica: &ReplicaLife) -> bool {
+        let peer = self.peers.get(replica);
+        peer.is_some_and(|peer| peer.known.is_some() || peer.last.is_some())
     }
 
     /// The last answer of a peer that named a limit, for the leader.
-    pub fn last_notice(&self, now_ms: u64, peer: &ReplicaLife) -> Option<LimitNotice> {
-        let heard = self.notes.get(peer)?.heard?;
+    pub fn latest_limit(&self, now_ms: u64, replica: &ReplicaLife) -> Option<LimitNotice> {
+        let last = self.peers.get(replica)?.last?;
         Some(LimitNotice {
-            replica: peer.clone(),
-            rate: heard.rate,
-            age_ms: now_ms.saturating_sub(heard.at_ms),
-            permit: heard.permit,
+            replica: replica.clone(),
+            rate: last.rate,
+            age_ms: now_ms.saturating_sub(last.received_ms),
+            permit: last.permit,
         })
     }
 
@@ -106,27 +106,27 @@
     }
 
     /// Whether it follows a leader.
-    pub fn follows(&self) -> bool {
+    pub fn follows_leader(&self) -> bool {
         self.cursor != LimitCursor::default()
     }
 
     /// Whether something is to be told at once.
-    pub fn has_news(&self) -> bool {
-        self.has_news
+    pub fn is_report_due(&self) -> bool {
+        self.report_due
     }
 
     /// What is to be told: ends, and limits that the leader has not weighed.
     pub fn report(&mut self, now_ms: u64) -> LimitReport {
-        self.has_news = false;
-        let untold = self.notes.iter().filter(|(_, note)| match &note.heard {
-            Some(heard) => !heard.told,
+        self.report_due = false;
+        let unacknowledged = self.peers.iter().filter(|(_, peer)| match &peer.last {
+            Some(last) => !last.acknowledged,
             None => false,
         });
-        let named = untold.filter_map(|(peer, _)| self.last_notice(now_ms, peer));
-        let ended = self.notes.iter().filter_map(|(peer, note)| {
+        let named = unacknowledged.filter_map(|(replica, _)| self.latest_limit(now_ms, replica));
+        let ended = self.peers.iter().filter_map(|(replica, peer)| {
             Some(LimitEnd {
-                replica: peer.clone(),
-                permit: note.ended?,
+                replica: replica.clone(),
+                permit: peer.ended?,
             })
         });
         LimitReport {
@@ -136,35 +136,35 @@
         }
     }
 
-    /// The leader has weighed a report that was made at `asked_ms`.
-    pub fn confirm(&mut self, asked_ms: u64, report: &LimitReport) {
+    /// The leader has weighed a report that was made at `sent_ms`.
+    pub fn acknowledge(&mut self, sent_ms: u64, report: &LimitReport) {
         for end in &report.ended {
-            match self.notes.get_mut(&end.replica) {
-                Some(note) if note.ended == Some(end.permit) => note.ended = None,
+            match self.peers.get_mut(&end.replica) {
+                Some(peer) if peer.ended == Some(end.permit) => peer.ended = None,
                 _ => {}
             }
         }
         for notice in &report.named {
-            self.confirm_notice(asked_ms, &notice.replica);
+            self.acknowledge_limit(sent_ms, &notice.replica);
         }
     }
 
-    /// The leader has weighed the last answer of a peer as it was at `asked_ms`.
-    pub fn confirm_notice(&mut self, asked_ms: u64, peer: &ReplicaLife) {
-        let note = self.notes.get_mut(peer);
-        match note.and_then(|note| note.heard.as_mut()) {
-            Some(heard) if heard.at_ms <= asked_ms => heard.told = true,
+    /// The leader has weighed the last answer of a peer as it was at `sent_ms`.
+    pub fn acknowledge_limit(&mut self, sent_ms: u64, replica: &ReplicaLife) {
+        let peer = self.peers.get_mut(replica);
+        match peer.and_then(|peer| peer.last.as_mut()) {
+            Some(last) if last.received_ms <= sent_ms => last.acknowledged = true,
             _ => {}
         }
     }
 
     /// A report could not be told.
-    pub fn miss(&mut self) {
-        self.has_news = true;
+    pub fn record_failed_report(&mut self) {
+        self.report_due = true;
     }
 
     /// Takes over the leader's changes. Returns whether a limit has ended by it.
-    pub fn follow(&mut self, now_ms: u64, page: &LimitPage) -> bool {
+    pub fn apply_page(&mut self, now_ms: u64, page: &LimitPage) -> bool {
         // Two questions may be under way, and the later answer may come first.
         let gathers = page.cursor == LimitCursor::default();
         if page.cursor < self.cursor && !gathers {
@@ -174,59 +174,59 @@
         let is_new_leader = page.cursor.term != self.cursor.term;
         self.cursor = page.cursor;
         if is_new_leader {
-            self.report_anew(now_ms);
+            self.reset_for_new_leader(now_ms);
         }
         if page.whole {
-            for note in self.notes.values_mut() {
-                note.known = None;
-                note.heard = note.heard.filter(|heard| !heard.told);
+            for peer in self.peers.values_mut() {
+                peer.known = None;
+                peer.last = peer.last.filter(|last| !last.acknowledged);
             }
         }
-        for state in &page.limits {
-            self.take(now_ms, state);
+        for update in &page.limits {
+            self.apply_state(now_ms, update);
         }
-        self.notes
-            .retain(|_, note| note.known.is_some() || note.heard.is_some() || note.ended.is_some());
+        self.peers
+            .retain(|_, peer| peer.known.is_some() || peer.last.is_some() || peer.ended.is_some());
         self.limited() < before
     }
 
     fn limited(&self) -> usize {
-        let notes = self.notes.values();
-        notes
-            .filter(|note| note.known.is_some() || note.heard.is_some())
+        let peers = self.peers.values();
+        peers
+            .filter(|peer| peer.known.is_some() || peer.last.is_some())
             .count()
     }
 
     /// Another leader knows nothing of what the one before told or was told.
-    fn report_anew(&mut self, now_ms: u64) {
-        for note in self.notes.values_mut() {
-            let known = note.known.map(|rate| HeardLimit {
+    fn reset_for_new_leader(&mut self, now_ms: u64) {
+        for peer in self.peers.values_mut() {
+            let known = peer.known.map(|rate| ReceivedLimit {
                 rate,
-                at_ms: note.known_ms.min(now_ms),
+                received_ms: peer.known_ms.min(now_ms),
                 permit: None,
-                told: false,
+                acknowledged: false,
             });
-            note.heard = note.heard.or(known);
-            if let Some(heard) = &mut note.heard {
-                heard.told = false;
+            peer.last = peer.last.or(known);
+            if let Some(last) = &mut peer.last {
+                last.acknowledged = false;
             }
-            note.ended = None;
-            self.has_news |= note.heard.is_some();
+            peer.ended = None;
+            self.report_due |= peer.last.is_some();
         }
     }
 
-    fn take(&mut self, now_ms: u64, state: &LimitState) {
-        let note = self.notes.entry(state.replica.clone()).or_default();
-        note.known = state.rate;
-        note.known_ms = now_ms;
-        if state.rate.is_none() {
-            note.heard = note.heard.filter(|heard| !heard.told);
-            self.has_news |= note.heard.is_some();
+    fn apply_state(&mut self, now_ms: u64, update: &LimitState) {
+        let peer = self.peers.entry(update.replica.clone()).or_default();
+        peer.known = update.rate;
+        peer.known_ms = now_ms;
+        if update.rate.is_none() {
+            peer.last = peer.last.filter(|last| !last.acknowledged);
+            self.report_due |= peer.last.is_some();
         }
     }
 
     /// Forgets lives that are over; `is_over` knows which.
     pub fn prune(&mut self, is_over: impl Fn(&ReplicaLife) -> bool) {
-        self.notes.retain(|peer, _| !is_over(peer));
+        self.peers.retain(|replica, _| !is_over(replica));
     }
 }
--- a/src/routing/refusals.rs
+++ b/src/routing/refusals.rs
@@ -3,10 +3,10 @@
 //!
 //! Pure: the caller passes in the time. By the same book as replicas without agents.
 
-use crate::admission::controller::RETRY_SOON_MS;
+use crate::admission::controller::REFUSAL_RETRY_MS;
 use crate::admission::runs::{NotRun, RefuseCause};
 use crate::ids::{Incarnation, ModelName, RowId, TargetName};
-use crate::routing::backoff::{AskedPause, BackoffBook, SendBar};
+use crate::routing::backoff::{BackoffTracker, Blocked, RequestedBackoff};
 
 /// Which attempts a refusal speaks of.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,44 +32,46 @@
 
 /// An attempt, as far as refusals speak of it.
 #[derive(Clone, Copy, Debug)]
-pub struct HomeAsk<'a> {
+pub struct HomeRequest<'a> {
     /// Where it goes.
     pub target: &'a TargetName,
     /// The agent's life there.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Whose it is.
     pub row: &'a RowId,
     /// What it needs.
     pub model: &'a ModelName,
     /// How long its caller waits, in milliseconds.
-    pub patience_ms: u64,
+    pub wait_limit_ms: u64,
 }
 
 /// What one entry was told.
 #[derive(Debug, Default)]
-pub struct RefusalBook {
-    backoffs: BackoffBook<(TargetName, RefusalScope)>,
+pub struct RefusalTracker {
+    backoffs: BackoffTracker<(TargetName, RefusalScope)>,
 }
 
-impl RefusalBook {
+impl RefusalTracker {
     /// An agent refused an attempt.
-    pub fn note(&mut self, now_ms: u64, ask: &HomeAsk<'_>, refusal: &NotRun) {
+    pub fn record(&mut self, now_ms: u64, request: &HomeRequest<'_>, refusal: &NotRun) {
         let retry_ms = refusal.retry_after_ms;
         let (scope, ms) = match refusal.cause {
             RefuseCause::Leaving => {
-                let id = (ask.target.clone(), RefusalScope::Target);
-                return self.backoffs.leave(now_ms, &id, ask.life.0);
+                let id = (request.target.clone(), RefusalScope::Target);
+                return self
+                    .backoffs
+                    .record_draining(now_ms, &id, request.incarnation.0);
             }
             RefuseCause::NoLease => (RefusalScope::Target, retry_ms),
             RefuseCause::NotHome | RefuseCause::Engine => {
-                (RefusalScope::Model(ask.model.clone()), retry_ms)
+                (RefusalScope::Model(request.model.clone()), retry_ms)
             }
             // What is told is when the queue is empty. The row's next request is taken as
             // soon as what is before it is no longer than its patience: a row that keeps a
             // home busy by itself would leave it idle otherwise.
             RefuseCause::Overload => (
-                RefusalScope::Row(ask.row.clone()),
-                retry_ms.saturating_sub(ask.patience_ms),
+                RefusalScope::Row(request.row.clone()),
+                retry_ms.saturating_sub(request.wait_limit_ms),
             ),
             // These speak of that attempt alone.
             RefuseCause::Behind
@@ -78,39 +80,42 @@
             | RefuseCause::Cancelled => return,
         };
         if ms > 0 {
-            let id = (ask.target.clone(), scope);
-            self.backoffs.pause(now_ms, &id, AskedPause { ms });
+            let id = (request.target.clone(), scope);
+            self.backoffs.back_off(now_ms, &id, RequestedBackoff { ms });
         }
     }
 
     /// What an agent would say of an attempt, as far as it has said so; none where it is to
     /// be asked.
-    pub fn bar(&self, now_ms: u64, ask: &HomeAsk<'_>) -> Option<NotRun> {
+    pub fn known_refusal(&self, now_ms: u64, request: &HomeRequest<'_>) -> Option<NotRun> {
         // Each request asks this of each home: most have refused nothing lately.
         if self.backoffs.is_empty() {
             return None;
         }
         let scopes = [
             RefusalScope::Target,
-            RefusalScope::Model(ask.model.clone()),
-            RefusalScope::Row(ask.row.clone()),
+            RefusalScope::Model(request.model.clone()),
+            RefusalScope::Row(request.row.clone()),
         ];
-        let barred = scopes.into_iter().filter_map(|scope| {
-            let id = (ask.target.clone(), scope);
-            match self.backoffs.bar(now_ms, &id, ask.life.0)? {
-                SendBar::Leaving => Some(NotRun {
+        let refusals = scopes.into_iter().filter_map(|scope| {
+            let id = (request.target.clone(), scope);
+            match self
+                .backoffs
+                .blocked_by(now_ms, &id, request.incarnation.0)?
+            {
+                Blocked::Leaving => Some(NotRun {
                     cause: RefuseCause::Leaving,
-                    retry_after_ms: RETRY_SOON_MS,
+                    retry_after_ms: REFUSAL_RETRY_MS,
                 }),
-                SendBar::Paused { left_ms } => Some(NotRun {
+                Blocked::Paused { left_ms } => Some(NotRun {
                     cause: id.1.cause(),
                     retry_after_ms: left_ms,
                 }),
                 // Agents queue what comes: none is claimed, and none held back.
-                SendBar::Reopening => None,
+                Blocked::Reopening => None,
             }
         });
-        barred.max_by_key(|refusal| refusal.retry_after_ms)
+        refusals.max_by_key(|refusal| refusal.retry_after_ms)
     }
 
     /// Forgets what says nothing any more.
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -6,13 +6,13 @@
 use crate::ids::RowId;
 
 /// Tokens are counted in hundredths.
-const TOKEN: u32 = 100;
+const HUNDREDTHS_PER_RETRY: u32 = 100;
 
 /// How many retries a row may make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
     /// Hundredths of a retry that each first attempt earns.
-    pub earned: u32,
+    pub earned_hundredths: u32,
     /// Most retries saved up.
     pub burst: u32,
 }
@@ -35,16 +35,16 @@
 
     /// Earns for a first attempt.
     pub fn earn(&mut self, row: &RowId) {
-        let full = self.policy.burst * TOKEN;
+        let full = self.policy.burst * HUNDREDTHS_PER_RETRY;
         let tokens = self.rows.entry(row.clone()).or_insert(full);
-        *tokens = (*tokens + self.policy.earned).min(full);
+        *tokens = (*tokens + self.policy.earned_hundredths).min(full);
     }
 
     /// Spends one retry, if there is one.
     pub fn spend(&mut self, row: &RowId) -> bool {
-        let full = self.policy.burst * TOKEN;
+        let full = self.policy.burst * HUNDREDTHS_PER_RETRY;
         let tokens = self.rows.entry(row.clone()).or_insert(full);
-        match tokens.checked_sub(TOKEN) {
+        match tokens.checked_sub(HUNDREDTHS_PER_RETRY) {
             Some(left) => {
                 *tokens = left;
                 true
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -8,7 +8,7 @@
 use crate::ids::{HallName, TargetName};
 
 /// A report older than this says nothing.
-const STALE_MS: u64 = 2_000;
+const REPORT_TTL_MS: u64 = 2_000;
 
 /// How homes are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,63 +27,63 @@
 
 /// Load as an agent last told it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct LoadNote {
+struct TargetLoad {
     reported: u32,
-    at_ms: u64,
-    sent_since: u32,
+    reported_at_ms: u64,
+    sent_since_report: u32,
     in_flight: u32,
 }
 
 /// What one entry knows of the targets' load: bounded by the homes it uses.
 #[derive(Debug, Default)]
-pub struct LoadBook {
-    notes: BTreeMap<TargetName, LoadNote>,
+pub struct LoadTracker {
+    targets: BTreeMap<TargetName, TargetLoad>,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// Notes a request sent.
-    pub fn sent(&mut self, target: &TargetName) {
-        let note = self.notes.entry(target.clone()).or_default();
-        note.sent_since += 1;
-        note.in_flight += 1;
+    pub fn record_sent(&mut self, target: &TargetName) {
+        let known = self.targets.entry(target.clone()).or_default();
+        known.sent_since_report += 1;
+        known.in_flight += 1;
     }
 
     /// Notes a request ended.
-    pub fn ended(&mut self, target: &TargetName) {
-        if let Some(note) = self.notes.get_mut(target) {
-            note.in_flight = note.in_flight.saturating_sub(1);
+    pub fn record_ended(&mut self, target: &TargetName) {
+        if let Some(known) = self.targets.get_mut(target) {
+            known.in_flight = known.in_flight.saturating_sub(1);
         }
     }
 
     /// Notes a target's own count of queued and running requests.
-    pub fn reported(&mut self, target: &TargetName, load: u32, now_ms: u64) {
-        let note = self.notes.entry(target.clone()).or_default();
-        note.reported = load;
-        note.at_ms = now_ms;
-        note.sent_since = 0;
+    pub fn record_report(&mut self, target: &TargetName, load: u32, now_ms: u64) {
+        let known = self.targets.entry(target.clone()).or_default();
+        known.reported = load;
+        known.reported_at_ms = now_ms;
+        known.sent_since_report = 0;
     }
 
     /// Estimated requests at the target: its report and what was sent since,
     /// or the own requests in flight where the report is old.
     pub fn estimate(&self, target: &TargetName, now_ms: u64) -> u32 {
-        match self.notes.get(target) {
-            Some(note) if note.at_ms + STALE_MS > now_ms => {
-                (note.reported + note.sent_since).max(note.in_flight)
+        match self.targets.get(target) {
+            Some(known) if known.reported_at_ms + REPORT_TTL_MS > now_ms => {
+                (known.reported + known.sent_since_report).max(known.in_flight)
             }
-            Some(note) => note.in_flight,
+            Some(known) => known.in_flight,
             None => 0,
         }
     }
 
     /// Drops notes of targets that `keep` no longer names.
     pub fn retain(&mut self, keep: impl Fn(&TargetName) -> bool) {
-        self.notes.retain(|target, _| keep(target));
+        self.targets.retain(|target, _| keep(target));
     }
 }
 
 /// A home that may be chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct RouteChoice<'a> {
+pub struct HomeCandidate<'a> {
     /// The target.
     pub target: &'a TargetName,
     /// Its hall.
@@ -92,7 +92,7 @@
 
 /// What the choice is for.
 #[derive(Clone, Copy, Debug)]
-pub struct RouteAsk<'a> {
+pub struct RouteRequest<'a> {
     /// The choosing entry's number: entries use different subsets.
     pub entry: u64,
     /// The entry's hall.
@@ -105,31 +105,37 @@
 /// better of two random ones.
 pub fn choose<'a>(
     policy: &RoutePolicy,
-    ask: &RouteAsk<'_>,
-    homes: &[RouteChoice<'a>],
-    book: &LoadBook,
+    request: &RouteRequest<'_>,
+    homes: &[HomeCandidate<'a>],
+    loads: &LoadTracker,
     now_ms: u64,
     rng: &mut impl Rng,
 ) -> Option<&'a TargetName> {
-    let homes = subset(policy, ask.entry, homes);
+    let homes = subset(policy, request.entry, homes);
     if homes.is_empty() {
         return None;
     }
-    let one = homes[rng.random_range(0..homes.len())];
+    let first = homes[rng.random_range(0..homes.len())];
     if !policy.by_load {
-        return Some(one.target);
+        return Some(first.target);
     }
-    let two = homes[rng.random_range(0..homes.len())];
-    let cost = |home: &RouteChoice<'_>| {
-        let away = if home.hall == ask.hall {
+    let second = homes[rng.random_range(0..homes.len())];
+    let cost = |home: &HomeCandidate<'_>| {
+        let away = if home.hall == request.hall {
             0
         } else {
             policy.hall_slack
         };
-        book.estimate(home.target, now_ms) + away
+        loads.estimate(home.target, now_ms) + away
     };
-    let best = if cost(&two) < cost(&one) { two } else { one };
-    let warm = homes.iter().max_by_key(|home| mix(ask.prefix, home.target));
+    let best = if cost(&second) < cost(&first) {
+        second
+    } else {
+        first
+    };
+    let warm = homes
+        .iter()
+        .max_by_key(|home| hash_target(request.prefix, home.target));
     match warm {
         Some(warm) if cost(warm) < cost(&best) + policy.affinity_slack => Some(warm.target),
         _ => Some(best.target),
@@ -138,24 +144,31 @@
 
 /// The homes that the fewest of a request's attempts went to. One that refuses at
 /// once seems idle, and would draw all further attempts otherwise.
-pub fn least_tried<'a>(homes: &[RouteChoice<'a>], tried: &[TargetName]) -> Vec<RouteChoice<'a>> {
-    let times = |home: &RouteChoice<'_>| tried.iter().filter(|one| *one == home.target).count();
+pub fn least_attempted<'a>(
+    homes: &[HomeCandidate<'a>],
+    prior: &[TargetName],
+) -> Vec<HomeCandidate<'a>> {
+    let times = |home: &HomeCandidate<'_>| prior.iter().filter(|one| *one == home.target).count();
     let least = homes.iter().map(times).min();
     let homes = homes.iter().filter(|home| Some(times(home)) == least);
     homes.copied().collect()
 }
 
 /// Rendezvous hashing: each entry keeps its subset while homes come and go.
-fn subset<'a>(policy: &RoutePolicy, entry: u64, homes: &[RouteChoice<'a>]) -> Vec<RouteChoice<'a>> {
+fn subset<'a>(
+    policy: &RoutePolicy,
+    entry: u64,
+    homes: &[HomeCandidate<'a>],
+) -> Vec<HomeCandidate<'a>> {
     let mut homes = homes.to_vec();
     if homes.len() > policy.subset {
-        homes.sort_by_cached_key(|home| mix(entry, home.target));
+        homes.sort_by_cached_key(|home| hash_target(entry, home.target));
         homes.truncate(policy.subset);
     }
     homes
 }
 
-fn mix(seed: impl Hash, target: &TargetName) -> u64 {
+fn hash_target(seed: impl Hash, target: &TargetName) -> u64 {
     let mut hasher = DefaultHasher::new();
     seed.hash(&mut hasher);
     target.hash(&mut hasher);
--- a/src/routing/suspects.rs
+++ b/src/routing/suspects.rs
@@ -8,49 +8,49 @@
 
 /// When a caller comes back whose content is sent no more, in milliseconds: nothing it could
 /// do helps, and an operator needs minutes to look at it.
-pub const BARRED_RETRY_MS: u64 = 60_000;
+pub const QUARANTINE_RETRY_MS: u64 = 60_000;
 
 /// Where in the log an end stands; none while the log was not told.
-type ToldAt = Option<Position>;
+type LoggedAt = Option<Position>;
 
 /// A member's knowledge.
 #[derive(Debug, Default)]
-pub struct SuspectBook {
-    followed: CrashCounts,
+pub struct SuspectIndex {
+    logged: CrashCounts,
     /// Ends that this member saw and does not follow in the log yet.
-    seen: BTreeMap<ContentDigest, BTreeMap<ReplicaLife, ToldAt>>,
+    observed: BTreeMap<ContentDigest, BTreeMap<ReplicaLife, LoggedAt>>,
 }
 
-impl SuspectBook {
+impl SuspectIndex {
     /// Whether all contents are harmless: then nobody needs a request's digest.
     pub fn is_empty(&self) -> bool {
-        self.followed.is_empty() && self.seen.is_empty()
+        self.logged.is_empty() && self.observed.is_empty()
     }
 
     /// Takes over what the log holds at a position.
     pub fn follow(&mut self, position: Position, counts: &CrashCounts) {
-        if self.followed != *counts {
-            self.followed = counts.clone();
+        if self.logged != *counts {
+            self.logged = counts.clone();
         }
-        self.seen.retain(|_, lives| {
-            lives.retain(|_, told| told.is_none_or(|at| at > position));
-            !lives.is_empty()
+        self.observed.retain(|_, replicas| {
+            replicas.retain(|_, logged_at| logged_at.is_none_or(|at| at > position));
+            !replicas.is_empty()
         });
     }
 
     /// Notes an end that this member saw, and where the log holds it, if it does.
-    pub fn note(&mut self, report: &CrashReport, told: ToldAt) {
+    pub fn record_crash(&mut self, report: &CrashReport, logged_at: LoggedAt) {
         for content in &report.contents {
-            let lives = self.seen.entry(*content).or_default();
-            lives.insert(report.replica.clone(), told);
+            let replicas = self.observed.entry(*content).or_default();
+            replicas.insert(report.replica.clone(), logged_at);
         }
     }
 
     /// What is to be made of a content. Where both this member and others know of ends, they
     /// may be the same ones: the leader, who is asked before a suspect runs, knows all.
     pub fn standing(&self, content: &ContentDigest) -> ContentStanding {
-        let followed = self.followed.get(content).copied().unwrap_or(0);
-        let seen = self.seen.get(content).map_or(0, BTreeMap::len);
-        ContentStanding::of(followed.max(seen as u8))
+        let logged = self.logged.get(content).copied().unwrap_or(0);
+        let observed = self.observed.get(content).map_or(0, BTreeMap::len);
+        ContentStanding::of(logged.max(observed as u8))
     }
 }
--- a/src/routing/view.rs
+++ b/src/routing/view.rs
@@ -104,12 +104,12 @@
         let homes = self.homes.get(model).into_iter().flatten();
         homes
             .filter(|(_, home)| home.phase == HomePhase::Ready)
-            .filter_map(|(target, _)| Some((target, self.keeper(target)?)))
+            .filter_map(|(target, _)| Some((target, self.agent_of(target)?)))
             .filter(|(_, member)| !member.leaving && !self.evacuated.contains(&member.hall))
     }
 
     /// The agent that keeps `target`.
-    pub fn keeper(&self, target: &TargetName) -> Option<&MemberInfo> {
+    pub fn agent_of(&self, target: &TargetName) -> Option<&MemberInfo> {
         self.members.get(&HostName(target.0.clone()))
     }
 
--- a/src/routing/warm_up.rs
+++ b/src/routing/warm_up.rs
@@ -10,61 +10,61 @@
 
 /// What is believed of one peer.
 #[derive(Clone, Copy, Debug, Default)]
-struct WarmupNote {
+struct WarmupState {
     /// By its own word.
-    told_until_ms: u64,
+    reported_until_ms: u64,
     /// As it may have started again since that word.
     suspected_until_ms: u64,
 }
 
-impl WarmupNote {
+impl WarmupState {
     fn cold_until_ms(&self) -> u64 {
-        self.told_until_ms.max(self.suspected_until_ms)
+        self.reported_until_ms.max(self.suspected_until_ms)
     }
 }
 
 /// What is believed of all peers, by their id.
 #[derive(Clone, Debug)]
-pub struct WarmupBook<Id> {
-    notes: BTreeMap<Id, WarmupNote>,
+pub struct WarmupTracker<Id> {
+    peers: BTreeMap<Id, WarmupState>,
 }
 
-impl<Id> Default for WarmupBook<Id> {
+impl<Id> Default for WarmupTracker<Id> {
     fn default() -> Self {
         Self {
-            notes: BTreeMap::new(),
+            peers: BTreeMap::new(),
         }
     }
 }
 
-impl<Id: Ord + Clone> WarmupBook<Id> {
+impl<Id: Ord + Clone> WarmupTracker<Id> {
     /// A peer tells for how much longer it is cold; its newest word counts, and settles what
     /// was suspected before.
-    pub fn tell(&mut self, now_ms: u64, id: &Id, cold_ms: u64) {
+    pub fn record_report(&mut self, now_ms: u64, id: &Id, cold_ms: u64) {
         if cold_ms == 0 {
-            self.notes.remove(id);
+            self.peers.remove(id);
             return;
         }
-        let note = self.notes.entry(id.clone()).or_default();
-        note.told_until_ms = now_ms.saturating_add(cold_ms);
-        note.suspected_until_ms = 0;
+        let peer = self.peers.entry(id.clone()).or_default();
+        peer.reported_until_ms = now_ms.saturating_add(cold_ms);
+        peer.suspected_until_ms = 0;
     }
 
     /// A peer may have started again, and would be cold for so long; nobody knows yet.
-    pub fn suspect(&mut self, now_ms: u64, id: &Id, cold_ms: u64) {
-        let note = self.notes.entry(id.clone()).or_default();
+    pub fn suspect_restart(&mut self, now_ms: u64, id: &Id, cold_ms: u64) {
+        let peer = self.peers.entry(id.clone()).or_default();
         let until_ms = now_ms.saturating_add(cold_ms);
-        note.suspected_until_ms = note.suspected_until_ms.max(until_ms);
+        peer.suspected_until_ms = peer.suspected_until_ms.max(until_ms);
     }
 
     /// Whether a peer is to be treated as cold.
     pub fn is_cold(&self, now_ms: u64, id: &Id) -> bool {
-        let note = self.notes.get(id);
-        note.is_some_and(|note| now_ms < note.cold_until_ms())
+        let peer = self.peers.get(id);
+        peer.is_some_and(|peer| now_ms < peer.cold_until_ms())
     }
 
     /// Forgets what says nothing any more.
     pub fn prune(&mut self, now_ms: u64) {
-        self.notes.retain(|_, note| now_ms < note.cold_until_ms());
+        self.peers.retain(|_, peer| now_ms < peer.cold_until_ms());
     }
 }
--- a/tests/accounts.rs
+++ b/tests/accounts.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use dunlinspring::forward::caller;
-use dunlinspring::routing::freshness::{FreshnessProof, ProofBook};
+use dunlinspring::routing::freshness::{FreshnessProof, ProofCache};
 use dunlinspring::table::accounts::{
     AccountBook, AccountError, AccountSpec, KeyDigest, KeyIndex, QuotaSpec, QuotaUnit,
 };
@@ -92,14 +92,14 @@
         heard in prop::collection::vec((0u64..6, 0u64..50, 50u64..100), 0..30),
         held in 0u64..7,
     ) {
-        let mut proofs = ProofBook::default();
+        let mut proofs = ProofCache::default();
         let mut oracle: BTreeMap<u64, u64> = BTreeMap::new();
         for (version, age_ms, asked_ms) in heard {
-            proofs.hear(FreshnessProof { version, age_ms }, asked_ms);
+            proofs.record(FreshnessProof { version, age_ms }, asked_ms);
             let newest = oracle.entry(version).or_default();
             *newest = (*newest).max(asked_ms - age_ms);
         }
         let expected = oracle.range(..=held).map(|(_, at_ms)| *at_ms).max();
-        prop_assert_eq!(proofs.proven_ms(held), expected);
+        prop_assert_eq!(proofs.fresh_at_ms(held), expected);
     }
 }
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -7,7 +7,7 @@
 use dunlinspring::consensus::state::{Change, Command, Reply, SiteState, Stamped};
 use dunlinspring::ids::{ContentDigest, Position, ReplicaId, ReplicaLife};
 use dunlinspring::placement::turns::{TurnAnswer, TurnAsk, TurnDesk, TurnEnd};
-use dunlinspring::routing::suspects::SuspectBook;
+use dunlinspring::routing::suspects::SuspectIndex;
 
 const DAY_MS: u64 = 24 * 3600 * 1000;
 
@@ -193,13 +193,13 @@
 
 #[test]
 fn a_member_counts_what_it_saw_until_it_follows_it() {
-    let mut book = SuspectBook::default();
+    let mut book = SuspectIndex::default();
     assert!(book.is_empty());
     let seen = report(1, &[1]);
-    book.note(&seen, None);
+    book.record_crash(&seen, None);
     book.follow(Position(9), &CrashCounts::new());
     assert_eq!(book.standing(&content(1)), SUSPECT);
-    book.note(&seen, Some(Position(10)));
+    book.record_crash(&seen, Some(Position(10)));
     book.follow(Position(9), &CrashCounts::new());
     assert_eq!(book.standing(&content(1)), SUSPECT);
     book.follow(Position(10), &CrashCounts::from([(content(1), 2)]));
@@ -208,7 +208,7 @@
     assert!(book.is_empty());
     // Cut off from the log, it bars by what it saw itself.
     for replica in 1..=3 {
-        book.note(&report(replica, &[2]), None);
+        book.record_crash(&report(replica, &[2]), None);
     }
     assert_eq!(book.standing(&content(2)), ContentStanding::Barred);
 }
--- a/tests/engine_crashes.rs
+++ b/tests/engine_crashes.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dunlinspring::admission::lost_runs::{EndedLife, LostRuns};
+use dunlinspring::admission::lost_runs::{CrashedIncarnation, LostRuns};
 use dunlinspring::ids::ContentDigest;
 use serde_json::{Value, json};
 use support::{Ask, TestSite, engine_traits, row, until};
@@ -44,17 +44,17 @@
 fn a_report_shows_whether_an_engine_ended_under_a_lost_run() {
     let content = |number: u8| ContentDigest([number; ContentDigest::LEN]);
     let mut runs = LostRuns::default();
-    runs.note(7, content(1), 100);
+    runs.record(7, content(1), 100);
     // Asked before the loss: it says nothing.
     assert!(runs.on_report(7, 100).is_empty());
-    runs.note(7, content(2), 110);
-    let ended = EndedLife {
+    runs.record(7, content(2), 110);
+    let ended = CrashedIncarnation {
         boot: 7,
         contents: [content(1), content(2)].into(),
     };
     assert_eq!(runs.on_report(8, 120), [ended]);
     // The same life, asked after the loss: the connection broke, and no more.
-    runs.note(8, content(3), 200);
+    runs.record(8, content(3), 200);
     assert!(runs.on_report(8, 201).is_empty());
     assert!(runs.on_report(9, 300).is_empty());
 }
--- a/tests/flight.rs
+++ b/tests/flight.rs
@@ -3,24 +3,25 @@
 use dunlinspring::consensus::claims::ClaimAnswer;
 use dunlinspring::ids::{AttemptId, Incarnation, Position, TargetName};
 use dunlinspring::routing::lifecycle::{
-    EndCause, FlightEvent, FlightOutcome, FlightPolicy, FlightStep, FlightTrial, RequestFlight,
+    AttemptPolicy, EndCause, RequestEvent, RequestLifecycle, RequestOutcome, RequestStep,
+    TargetAttempt,
 };
 
-fn claiming() -> (RequestFlight, FlightTrial) {
-    let mut flight = RequestFlight::new(FlightPolicy {
-        attempts: 3,
-        lost_pulls: 2,
+fn claiming() -> (RequestLifecycle, TargetAttempt) {
+    let mut flight = RequestLifecycle::new(AttemptPolicy {
+        max_attempts: 3,
+        max_timeouts: 2,
         at_most_once: true,
     });
-    let trial = FlightTrial {
-        attempt: AttemptId {
+    let trial = TargetAttempt {
+        id: AttemptId {
             entry: Incarnation(1),
             number: 1,
         },
         target: TargetName("t1".to_owned()),
-        life: Incarnation(2),
+        incarnation: Incarnation(2),
     };
-    flight.on(FlightEvent::Chosen(Some(trial.clone())));
+    flight.on(RequestEvent::Chosen(Some(trial.clone())));
     (flight, trial)
 }
 
@@ -28,21 +29,21 @@
 fn a_call_is_not_refused_because_one_claim_met_no_quorum() {
     let (mut flight, trial) = claiming();
     for _ in 0..2 {
-        flight.on(FlightEvent::Lost);
-        assert_eq!(flight.step(), FlightStep::Claim(trial.clone()));
+        flight.on(RequestEvent::NoReply);
+        assert_eq!(flight.step(), RequestStep::Claim(trial.clone()));
     }
     let granted = ClaimAnswer::Granted(Position(9));
-    flight.on(FlightEvent::Claimed(granted));
-    assert_eq!(flight.step(), FlightStep::Start(trial));
+    flight.on(RequestEvent::Claimed(granted));
+    assert_eq!(flight.step(), RequestStep::Start(trial));
 }
 
 #[test]
 fn a_call_whose_claims_all_met_no_quorum_is_told_that_it_did_not_run() {
     let (mut flight, _) = claiming();
     for _ in 0..3 {
-        flight.on(FlightEvent::Lost);
+        flight.on(RequestEvent::NoReply);
     }
-    let FlightStep::Finish(FlightOutcome::NotRun { cause, .. }) = flight.step() else {
+    let RequestStep::Finish(RequestOutcome::NotRun { cause, .. }) = flight.step() else {
         panic!("{:?}", flight.step());
     };
     assert_eq!(cause, EndCause::NoQuorum);
--- a/tests/fuzz/gate.rs
+++ b/tests/fuzz/gate.rs
@@ -217,14 +217,14 @@
 }
 
 struct Agent {
-    gate: TargetGate,
+    gate: AdmissionController,
     order: Option<(EngineOrder, u64)>,
     report: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
 enum Call {
-    Start(RunAsk),
+    Start(RunRequest),
     Pull(AttemptId, Incarnation, u32),
     Seal(AttemptId, Incarnation),
     Cancel(AttemptId),
@@ -241,7 +241,7 @@
     ToFlight {
         flight: usize,
         number: u64,
-        word: AttemptWord,
+        word: AttemptStatus,
     },
     Order {
         target: usize,
@@ -280,7 +280,7 @@
 }
 
 struct Flying {
-    flight: RequestFlight,
+    flight: RequestLifecycle,
     model: usize,
     key: Option<usize>,
     prompt: String,
@@ -291,7 +291,7 @@
     waiting: bool,
     trials: BTreeSet<AttemptId>,
     pieces: Vec<String>,
-    outcome: Option<FlightOutcome>,
+    outcome: Option<RequestOutcome>,
     dropped: bool,
 }
 
@@ -321,8 +321,8 @@
     format!("{prompt}#{index};")
 }
 
-fn policy(check: OrderCheck) -> GatePolicy {
-    GatePolicy {
+fn policy(check: OrderCheck) -> AdmissionPolicy {
+    AdmissionPolicy {
         capacity_mib: CAPACITY,
         check,
         lease_ms: LEASE_MS,
@@ -377,7 +377,7 @@
             true => OrderCheck::Fenced,
             false => OrderCheck::LateBound(LATE_MS),
         };
-        let gate = TargetGate::new(life, policy(check), BTreeSet::new(), self.now);
+        let gate = AdmissionController::new(life, policy(check), BTreeSet::new(), self.now);
         self.lives[target].push(life);
         self.agents[target].push(Agent {
             gate,
@@ -391,7 +391,9 @@
             return None;
         }
         let agents = self.agents[target].iter_mut();
-        agents.into_iter().find(|agent| agent.gate.life() == life)
+        agents
+            .into_iter()
+            .find(|agent| agent.gate.incarnation() == life)
     }
 
     fn newest(&self, target: usize) -> Incarnation {
@@ -408,12 +410,12 @@
         let plan = TargetPlan {
             term: Term(1 + self.position / 10),
             position: Position(self.position),
-            life: self.newest(target),
-            want: Some(want.collect()),
+            incarnation: self.newest(target),
+            desired_models: Some(want.collect()),
             lease_ms: LEASE_MS,
         };
         self.plans[target].push(plan.clone());
-        let (now, life) = (self.now, plan.life);
+        let (now, life) = (self.now, plan.incarnation);
         if let Some(agent) = self.agent(target, life) {
             agent.gate.on_plan(now, plan);
         }
@@ -426,9 +428,9 @@
         let Some(mut plan) = self.plans[target].last().cloned() else {
             return;
         };
-        let known = plan.life == life;
-        plan.life = life;
-        plan.want = plan.want.filter(|_| known);
+        let known = plan.incarnation == life;
+        plan.incarnation = life;
+        plan.desired_models = plan.desired_models.filter(|_| known);
         if let Some(agent) = self.agent(target, life) {
             agent.gate.on_plan(now, plan);
         }
@@ -439,7 +441,7 @@
         let frozen = self.frozen[target].clone();
         let mut sent = Vec::new();
         for agent in &mut self.agents[target] {
-            let life = agent.gate.life();
+            let life = agent.gate.incarnation();
             if frozen.contains(&life) {
                 continue;
             }
@@ -480,7 +482,7 @@
         let mut lost = Vec::new();
         for (target, agents) in self.agents.iter_mut().enumerate() {
             for agent in agents {
-                let life = agent.gate.life();
+                let life = agent.gate.incarnation();
                 let thawed = !self.frozen[target].contains(&life);
                 let due = |(_, sent): &mut (EngineOrder, u64)| thawed && *sent + CALL_MS < now;
                 if let Some((order, _)) = agent.order.take_if(due) {
@@ -496,7 +498,7 @@
         }
         for at in 0..self.flights.len() {
             if self.flights[at].waiting && self.flights[at].asked + 2 * CALL_MS < now {
-                self.event(at, FlightEvent::Lost);
+                self.event(at, RequestEvent::NoReply);
             }
         }
     }
@@ -543,12 +545,14 @@
                 let text = piece(&prompt, given + index);
                 agent
                     .gate
-                    .on_run(now, stream.attempt, RunEvent::Piece { index, text });
+                    .on_run_event(now, stream.attempt, RunEvent::Piece { index, text });
             }
             stream.next = to;
             match (whole, live) {
                 (true, _) => {
-                    agent.gate.on_run(now, stream.attempt, RunEvent::Ended);
+                    agent
+                        .gate
+                        .on_run_event(now, stream.attempt, RunEvent::Ended);
                 }
                 (false, true) => self.streams.push(stream),
                 (false, false) => self.lose_stream(stream),
@@ -565,7 +569,7 @@
                 ..stream
             });
         };
-        let Some(from) = agent.gate.on_run(now, attempt, RunEvent::Lost) else {
+        let Some(from) = agent.gate.on_run_event(now, attempt, RunEvent::Lost) else {
             return;
         };
         let known = self.engines[target]
@@ -582,7 +586,7 @@
             }),
             false => {
                 if let Some(agent) = self.agent(target, life) {
-                    agent.gate.on_run(now, attempt, RunEvent::Refused);
+                    agent.gate.on_run_event(now, attempt, RunEvent::Refused);
                 }
             }
         }
@@ -598,12 +602,15 @@
                 call,
             } => {
                 let life = match &call {
-                    Call::Start(ask) => ask.life,
+                    Call::Start(ask) => ask.incarnation,
                     Call::Pull(_, life, _) | Call::Seal(_, life) => *life,
                     Call::Cancel(_) => self.newest(target),
                 };
                 // A call goes to the address of that life, or of the newest one.
-                let address = match self.agents[target].iter().any(|a| a.gate.life() == life) {
+                let address = match self.agents[target]
+                    .iter()
+                    .any(|a| a.gate.incarnation() == life)
+                {
                     true => life,
                     false => self.newest(target),
                 };
@@ -634,7 +641,7 @@
             } => {
                 let known = &self.flights[flight];
                 if known.waiting && known.number == number {
-                    self.event(flight, FlightEvent::Word(word));
+                    self.event(flight, RequestEvent::Status(word));
                 }
             }
             Message::Order {
@@ -750,7 +757,7 @@
             }),
             false => {
                 if let Some(agent) = self.agent(target, life) {
-                    agent.gate.on_run(now, run.attempt, RunEvent::Refused);
+                    agent.gate.on_run_event(now, run.attempt, RunEvent::Refused);
                 }
             }
         }
@@ -764,7 +771,7 @@
         run.live = false;
         self.streams.retain(|stream| stream.attempt != attempt);
         if let Some(agent) = self.agent(target, life) {
-            agent.gate.on_run(now, attempt, RunEvent::Cancelled);
+            agent.gate.on_run_event(now, attempt, RunEvent::Cancelled);
         }
     }
 
@@ -818,13 +825,13 @@
             Some(key) => format!("key{key}"),
             None => format!("ask{number}"),
         };
-        let policy = FlightPolicy {
-            attempts: 3,
-            lost_pulls: 2,
+        let policy = AttemptPolicy {
+            max_attempts: 3,
+            max_timeouts: 2,
             at_most_once: key.is_some(),
         };
         self.flights.push(Flying {
-            flight: RequestFlight::new(policy),
+            flight: RequestLifecycle::new(policy),
             model,
             key,
             prompt,
@@ -841,7 +848,7 @@
         self.drive(number);
     }
 
-    fn event(&mut self, at: usize, event: FlightEvent) {
+    fn event(&mut self, at: usize, event: RequestEvent) {
         let flying = &mut self.flights[at];
         if flying.dropped || flying.outcome.is_some() {
             return;
@@ -856,23 +863,23 @@
     fn drive(&mut self, at: usize) {
         loop {
             let event = match self.flights[at].flight.step() {
-                FlightStep::Choose { .. } => FlightEvent::Chosen(Some(self.choose(at))),
-                FlightStep::Claim(trial) => self.claim(at, &trial),
-                FlightStep::Settle(trial, end) => self.settle(at, &trial, end),
-                FlightStep::Start(trial) => return self.call_start(at, &trial),
-                FlightStep::Pull(trial, offset) => {
-                    let call = Call::Pull(trial.attempt, trial.life, offset);
+                RequestStep::Choose { .. } => RequestEvent::Chosen(Some(self.choose(at))),
+                RequestStep::Claim(trial) => self.claim(at, &trial),
+                RequestStep::Settle(trial, end) => self.settle(at, &trial, end),
+                RequestStep::Start(trial) => return self.call_start(at, &trial),
+                RequestStep::Pull(trial, offset) => {
+                    let call = Call::Pull(trial.id, trial.incarnation, offset);
                     return self.call(at, &trial, call);
                 }
-                FlightStep::Seal(trial) => {
-                    let call = Call::Seal(trial.attempt, trial.life);
+                RequestStep::Seal(trial) => {
+                    let call = Call::Seal(trial.id, trial.incarnation);
                     return self.call(at, &trial, call);
                 }
-                FlightStep::Cancel(trial) => {
-                    self.call(at, &trial, Call::Cancel(trial.attempt));
-                    FlightEvent::Cancelled
+                RequestStep::Cancel(trial) => {
+                    self.call(at, &trial, Call::Cancel(trial.id));
+                    RequestEvent::Cancelled
                 }
-                FlightStep::Finish(outcome) => return self.finish(at, outcome),
+                RequestStep::Finish(outcome) => return self.finish(at, outcome),
             };
             let flying = &mut self.flights[at];
             flying.waiting = false;
@@ -881,24 +888,24 @@
         }
     }
 
-    fn choose(&mut self, at: usize) -> FlightTrial {
+    fn choose(&mut self, at: usize) -> TargetAttempt {
         let number = self.next_attempt;
         self.next_attempt += 1;
         let flying = &mut self.flights[at];
         let target = flying.target;
         flying.target = (target + 1) % TARGETS;
         let lives = &self.lives[target];
-        let life = match flying.old_life {
+        let incarnation = match flying.old_life {
             true => lives[0],
             false => *lives.last().unwrap(),
         };
-        FlightTrial {
-            attempt: AttemptId {
+        TargetAttempt {
+            id: AttemptId {
                 entry: self.entry,
                 number,
             },
             target: TargetName(target.to_string()),
-            life,
+            incarnation,
         }
     }
 
@@ -909,29 +916,29 @@
         }
     }
 
-    fn claim(&mut self, at: usize, trial: &FlightTrial) -> FlightEvent {
+    fn claim(&mut self, at: usize, trial: &TargetAttempt) -> RequestEvent {
         let ask = ClaimAsk {
             key: self.claim_key(at),
             digest: [0; 32],
-            attempt: trial.attempt,
+            attempt: trial.id,
             target: trial.target.clone(),
-            incarnation: trial.life,
+            incarnation: trial.incarnation,
             made_ms: None,
         };
         self.position += 1;
         match self.lose_claim.take() {
-            Some(false) => FlightEvent::Lost,
+            Some(false) => RequestEvent::NoReply,
             lost => {
                 let answer = self.claims.claim(Position(self.position), self.now, &ask);
                 match lost {
-                    Some(_) => FlightEvent::Lost,
-                    None => FlightEvent::Claimed(answer),
+                    Some(_) => RequestEvent::NoReply,
+                    None => RequestEvent::Claimed(answer),
                 }
             }
         }
     }
 
-    fn settle(&mut self, at: usize, trial: &FlightTrial, end: Settlement) -> FlightEvent {
+    fn settle(&mut self, at: usize, trial: &TargetAttempt, end: Settlement) -> RequestEvent {
         let key = self.claim_key(at);
         let end = match end {
             Settlement::Done { .. } => Settlement::Done {
@@ -940,22 +947,22 @@
             end => end,
         };
         match self.lose_claim.take() {
-            Some(false) => FlightEvent::Lost,
+            Some(false) => RequestEvent::NoReply,
             lost => {
-                let settled = self.claims.settle(&key, trial.attempt, &end);
+                let settled = self.claims.settle(&key, trial.id, &end);
                 match settled && lost.is_none() {
-                    true => FlightEvent::Settled,
-                    false => FlightEvent::Lost,
+                    true => RequestEvent::Settled,
+                    false => RequestEvent::NoReply,
                 }
             }
         }
     }
 
-    fn call_start(&mut self, at: usize, trial: &FlightTrial) {
+    fn call_start(&mut self, at: usize, trial: &TargetAttempt) {
         let flying = &self.flights[at];
-        let ask = RunAsk {
-            attempt: trial.attempt,
-            life: trial.life,
+        let ask = RunRequest {
+            attempt: trial.id,
+            incarnation: trial.incarnation,
             row: RowId::from("row"),
             version: Position(1),
             urgency: Urgency::Interactive,
@@ -975,13 +982,13 @@
         self.call(at, trial, Call::Start(ask));
     }
 
-    fn call(&mut self, at: usize, trial: &FlightTrial, call: Call) {
+    fn call(&mut self, at: usize, trial: &TargetAttempt, call: Call) {
         let now = self.now;
         let flying = &mut self.flights[at];
         flying.number += 1;
         flying.asked = now;
         flying.waiting = true;
-        flying.trials.insert(trial.attempt);
+        flying.trials.insert(trial.id);
         let message = Message::ToAgent {
             target: trial.target.as_str().parse().unwrap(),
             flight: at,
@@ -991,21 +998,21 @@
         self.bag.push(message);
     }
 
-    fn finish(&mut self, at: usize, outcome: FlightOutcome) {
+    fn finish(&mut self, at: usize, outcome: RequestOutcome) {
         let flying = &mut self.flights[at];
         let whole: String = (0..PIECES)
             .map(|index| piece(&flying.prompt, index))
             .collect();
         match &outcome {
-            FlightOutcome::Done => {
+            RequestOutcome::Done => {
                 assert_eq!(
                     flying.pieces.concat(),
                     whole,
                     "a whole answer is not its own"
                 );
             }
-            FlightOutcome::DoneBefore(Some(answer)) => assert_eq!(*answer, whole),
-            FlightOutcome::NotRun { .. } => {
+            RequestOutcome::Replayed(Some(answer)) => assert_eq!(*answer, whole),
+            RequestOutcome::NotRun { .. } => {
                 assert!(
                     flying.pieces.is_empty(),
                     "not run, but a part was delivered"
@@ -1018,7 +1025,7 @@
                     self.told_not_run.insert(*trial);
                 }
             }
-            FlightOutcome::DoneBefore(None) | FlightOutcome::Unknown(_) => {}
+            RequestOutcome::Replayed(None) | RequestOutcome::Unknown(_) => {}
         }
         flying.outcome = Some(outcome);
     }
@@ -1041,7 +1048,7 @@
 
     fn crash_agent(&mut self, target: usize) {
         let life = self.newest(target);
-        self.agents[target].retain(|agent| agent.gate.life() != life);
+        self.agents[target].retain(|agent| agent.gate.incarnation() != life);
         self.streams.retain(|stream| stream.life != life);
         self.frozen[target].remove(&life);
         self.start_agent(target);
@@ -1110,12 +1117,12 @@
             Step::Timeout { pick } if !world.flights.is_empty() => {
                 let at = pick % world.flights.len();
                 if world.flights[at].waiting {
-                    world.event(at, FlightEvent::Lost);
+                    world.event(at, RequestEvent::NoReply);
                 }
             }
             Step::Patience { pick } if !world.flights.is_empty() => {
                 let at = pick % world.flights.len();
-                world.event(at, FlightEvent::PatienceOver);
+                world.event(at, RequestEvent::DeadlinePassed);
             }
             Step::Timeout { .. } | Step::Patience { .. } => {}
             Step::CrashEntry => {
@@ -1147,7 +1154,7 @@
                 let (now, life) = (world.now, world.newest(target));
                 let newest = plans.last().map(|plan| plan.position);
                 let old = newest > Some(plan.position);
-                plan.life = life;
+                plan.incarnation = life;
                 if let Some(agent) = world.agent(target, life)
                     && agent.gate.plan_position() >= Position(1)
                 {
@@ -1162,7 +1169,7 @@
             Step::Leave { target } => {
                 let life = world.newest(target);
                 if let Some(agent) = world.agent(target, life) {
-                    agent.gate.leave();
+                    agent.gate.drain();
                 }
             }
             Step::LoseClaim { recorded } => world.lose_claim = Some(recorded),
@@ -1189,7 +1196,7 @@
         let last = &world.flights[first].outcome;
         assert_eq!(
             *last,
-            Some(FlightOutcome::Done),
+            Some(RequestOutcome::Done),
             "no progress after all faults ended"
         );
     }
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -50,19 +50,19 @@
 mutant claim-taken-twice src/consensus/claims.rs 's/\(Some\(record\), _\) if record\.settled != Some\(Settlement::NotRun\) =>/(Some(record), _) if false \&\& record.settled != Some(Settlement::NotRun) =>/' fuzz $log
 mutant lost-disk-votes-again tests/fuzz/log.rs 's/self\.voters\[voter\]\.id = id;\n        self\.voters\[voter\]\.disk = DiskImage::default\(\);/let founders = (0..VOTERS as u64).map(NodeId).collect();\n        self.voters[voter].disk = LogReplica::founding_image(founders);/' fuzz $log
 gate=outcomes_memory_and_runs_are_true
-mutant memory-freed-at-order src/admission/ledger.rs 's/hold\.phase = HoldPhase::Unloading;\n            hold\.stamp = stamp;/hold.phase = HoldPhase::Unloading;\n            hold.mib = 0;\n            hold.stamp = stamp;/' fuzz $gate
+mutant memory-freed-at-order src/admission/ledger.rs 's/hold\.phase = ModelPhase::Unloading;\n            hold\.stamp = stamp;/hold.phase = ModelPhase::Unloading;\n            hold.mib = 0;\n            hold.stamp = stamp;/' fuzz $gate
 mutant unanswered-load-not-counted src/admission/ledger.rs 's/None => !settled,/None => false,/' fuzz $gate
 mutant account-open-at-once src/admission/ledger.rs 's/OrderCheck::Fenced => report\.fence\.life == life,/OrderCheck::Fenced => true,/' fuzz $gate
-mutant no-wait-for-late-orders src/admission/controller.rs 's/let open_after_ms = now_ms \+ policy\.lease_ms \+ late;/let open_after_ms = 0 * (now_ms + policy.lease_ms + late);/' fuzz $gate
-mutant orders-without-lease src/admission/controller.rs 's/if self\.order_open \|\| !self\.has_lease\(now_ms\) \{/if self.order_open {/' fuzz $gate
+mutant no-wait-for-late-orders src/admission/controller.rs 's/let open_after_ms = now_ms \+ policy\.lease_ms \+ late_ms;/let open_after_ms = 0 * (now_ms + policy.lease_ms + late_ms);/' fuzz $gate
+mutant orders-without-lease src/admission/controller.rs 's/if self\.order_in_flight \|\| !self\.has_lease\(now_ms\) \{/if self.order_in_flight {/' fuzz $gate
 mutant runs-without-lease src/admission/controller.rs 's/self\.policy\.capacity_mib > 0 && !self\.has_lease\(now_ms\)/false \&\& now_ms > 0/' fuzz $gate
 mutant predecessors-runs-not-counted src/admission/ledger.rs 's/for run in &report\.running \{/for run in report.running.iter().take(0) {/' fuzz $gate
-mutant seal-forgets src/admission/controller.rs 's/self\.record\(now_ms, attempt, None, Stage::Ended\(end\)\);/return self.refused(attempt, RefuseCause::Sealed, RETRY_SOON_MS);/' fuzz $gate
-mutant lost-start-is-not-run src/routing/lifecycle.rs 's/\(Stage::Starting\(trial\), _\) => self\.stage = Stage::Sealing\(trial\),/(Stage::Starting(_), _) => self.finish_not_run(EndCause::TargetLost),/' fuzz $gate
+mutant seal-forgets src/admission/controller.rs 's/self\.insert_attempt\(now_ms, attempt, None, Stage::Ended\(end\)\);/return self.refused(attempt, RefuseCause::Sealed, REFUSAL_RETRY_MS);/' fuzz $gate
+mutant lost-start-is-not-run src/routing/lifecycle.rs 's/\(Stage::Starting\(attempt\), _\) => self\.stage = Stage::Sealing\(attempt\),/(Stage::Starting(_), _) => self.end_not_run(EndCause::TargetLost),/' fuzz $gate
 mutant not-run-after-maybe src/routing/lifecycle.rs 's/let outcome = match self\.maybe_ran \{/let outcome = match false {/' fuzz $gate
-mutant other-life-may-start src/admission/controller.rs 's/if ask\.life != self\.life \{/if false \&\& ask.life != self.life {/' fuzz $gate
+mutant other-life-may-start src/admission/controller.rs 's/if request\.incarnation != self\.life \{/if false \&\& request.incarnation != self.life {/' fuzz $gate
 mutant claims-reused src/consensus/claims.rs 's/\(Some\(record\), _\) if record\.settled != Some\(Settlement::NotRun\) =>/(Some(record), _) if record.settled.is_some() \&\& record.settled != Some(Settlement::NotRun) =>/' fuzz $gate
-mutant unclaimed-start src/routing/lifecycle.rs 's/true => Stage::Claiming\(trial\),/true => Stage::Starting(trial),/' fuzz $gate
+mutant unclaimed-start src/routing/lifecycle.rs 's/true => Stage::Claiming\(attempt\),/true => Stage::Starting(attempt),/' fuzz $gate
 mutant refused-resume-is-not-run src/admission/controller.rs 's/RunEvent::Refused if !attempt\.resumed =>/RunEvent::Refused if true || !attempt.resumed =>/' fuzz $gate
 mutant pieces-out-of-order src/admission/controller.rs 's/if index as usize == attempt\.pieces\.len\(\) \{/if index as usize + 1 >= attempt.pieces.len() {/' fuzz $gate
 mutant boot-not-checked tests/fuzz/gate.rs 's/ \|\| order\.boot != self\.boot//; s/ \|\| run\.boot != engine\.boot//' fuzz $gate
@@ -82,12 +82,12 @@
 mutant journal-gap-unseen src/consensus/state.rs 's/if cursor < self\.journal_from \{/if false \&\& cursor < self.journal_from {/' fuzz $view
 mutant agent-stops-without-drain src/agent/shell.rs 's/while !shared\.gate\(\)\.is_idle\(\) \{/while false \&\& !shared.gate().is_idle() {/' failures planned_stops_cut_nothing_off
 mutant entry-never-stale src/entry/shell.rs 's/confirmed \+ self\.settings\.stale_ms < clock::monotonic_ms\(\)/false \&\& confirmed + self.settings.stale_ms < clock::monotonic_ms()/' failures an_entry_that_is_cut_off
-mutant leaving-target-takes-work 'src/admission/controller.rs src/routing/view.rs' 's/_ if self\.leaving => Some\(RefuseCause::Leaving\),/_ if false \&\& self.leaving => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_leaving_target_gets_no_new_work
+mutant leaving-target-takes-work 'src/admission/controller.rs src/routing/view.rs' 's/_ if self\.draining => Some\(RefuseCause::Leaving\),/_ if false \&\& self.draining => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_leaving_target_gets_no_new_work
 mutant silence-of-a-freeze-is-loss src/placement/duties.rs 's/self\.decided_ms \+ self\.policy\.loss_ms \/ 2 < now_ms/false \&\& self.decided_ms < now_ms/' duties a_leader_that_was_frozen
 mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.outstanding\(\) as f64\)\.max\(0\.0\)/depth/' quota what_entries_hold_is_a_part_of_the_bucket
 mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.until_ms \{/if now_ms == u64::MAX {/' quota what_is_held_lapses_and_what_did_not_run_is_given_back
 mutant doubled-ask-draws-twice src/table/quota.rs 's/let known = ask\.number <= newest\.0;/let known = false;/' quota a_doubled_ask_draws_once_and_a_late_answer_is_dropped
-mutant proof-without-age src/routing/freshness.rs 's/asked_ms\.saturating_sub\(proof\.age_ms\)/asked_ms/' accounts a_proof_counts_for_whoever_holds_its_version
+mutant proof-without-age src/routing/freshness.rs 's/requested_ms\.saturating_sub\(proof\.age_ms\)/requested_ms/' accounts a_proof_counts_for_whoever_holds_its_version
 mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding where_nothing_newer_can_be_heard_no_key_is_obeyed_for_long
 mutant key-passed-on src/forward/request/wire_heads.rs 's/drop\.extend\(\[names\.key, names\.account\]\);//' forwarding a_key_stays_here_and_its_account_goes_on
 mutant order-without-its-leader src/control/orderer.rs 's/\.ok_or\(CallError::Deposed\)\?;/.unwrap_or(SendPermit { until_ms: u64::MAX });/' orderer an_order_leaves_only_while_its_leader_decides
@@ -111,12 +111,12 @@
 mutant suspects-together src/placement/turns.rs 's/\*\*content != ask\.content \&\& turn\.replica == ask\.replica/**content != ask.content \&\& false/' crashes suspects_are_kept_apart
 mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.life\.id, connection\);\s+)Probe::Lives/$1Probe::Ended/' forwarding a_connection_that_breaks_off_is_no_crash
 mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.born_ms > known\.born_ms => BeatNews::New,\n//' replica_born a_new_life_is_heard_though_its_numbers_begin_anew
-mutant pause-not-kept src/routing/backoff.rs 's/note if now_ms < note\.until_ms => /note if false \&\& now_ms < note.until_ms => /' backoff a_named_time_brings_two_requests_at_most
-mutant trials-without-bound src/routing/backoff.rs 's/note\.trials >= MOST_TRIALS/false/' backoff a_named_time_brings_two_requests_at_most
-mutant crowd-after-a-pause src/routing/backoff.rs 's/note\.limit = 1;/note.limit = NO_LIMIT;/' backoff after_a_pause_one_request_goes_first
-mutant leaving-not-kept src/routing/backoff.rs 's/note if note\.leaves\(life\) => /note if false \&\& note.leaves(life) => /' forwarding a_replica_that_says_in_an_answer
+mutant pause-not-kept src/routing/backoff.rs 's/peer if now_ms < peer\.until_ms => /peer if false \&\& now_ms < peer.until_ms => /' backoff a_named_time_brings_two_requests_at_most
+mutant trials-without-bound src/routing/backoff.rs 's/peer\.probes >= MAX_PROBES/false/' backoff a_named_time_brings_two_requests_at_most
+mutant crowd-after-a-pause src/routing/backoff.rs 's/peer\.limit = 1;/peer.limit = UNLIMITED_REQUESTS;/' backoff after_a_pause_one_request_goes_first
+mutant leaving-not-kept src/routing/backoff.rs 's/peer if peer\.is_draining\(incarnation\) => /peer if false \&\& peer.is_draining(incarnation) => /' forwarding a_replica_that_says_in_an_answer
 mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return Tried::Unsent;\n            \}/Err(_) => None,/' forwarding a_request_whose_connection_was_slow
-mutant refusals-not-kept src/entry/flight_steps.rs 's/state\.refusals\.note\([^;]*;//' overload a_home_that_refused_a_row
+mutant refusals-not-kept src/entry/flight_steps.rs 's/state\.refusals\.record\([^;]*;//' overload a_home_that_refused_a_row
 limits=no_span_brings_more_than_a_replica_named
 mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(named_us\)/cold_us/' replica_limits $limits
 mutant permit-outside-of-the-known-term src/placement/replica_rates.rs 's/if request\.is_limited && !self\.limits/if false \&\& !self.limits/' replica_limits a_new_leader_gives_no_permit
--- a/tests/replica_limits/main.rs
+++ b/tests/replica_limits/main.rs
@@ -281,7 +281,7 @@
     assert!(page.whole && page.limits.is_empty());
 
     let mut peers = LimitedPeers::default();
-    peers.hear(1_000, &replica(), notice("2", 0, None).rate, None);
+    peers.record_limit(1_000, &replica(), notice("2", 0, None).rate, None);
     assert!(peers.is_limited(&replica()) && !peers.is_limited(&later));
     peers.prune(|life| life.born_ms < 8);
     assert!(!peers.is_limited(&replica()));
@@ -291,25 +291,25 @@
 fn an_entry_that_was_cut_off_while_a_limit_ended_gives_it_up() {
     let mut limits = NamedLimits::new(TERM, 0);
     let mut peers = LimitedPeers::default();
-    peers.hear(5_000, &replica(), notice("2", 0, None).rate, None);
+    peers.record_limit(5_000, &replica(), notice("2", 0, None).rate, None);
     let told = peers.report(5_000);
     let page = {
         limits.name(5_010, &told.named[0]);
         limits.report(5_010, &told)
     };
-    peers.confirm(5_000, &told);
-    peers.follow(5_020, &page);
+    peers.acknowledge(5_000, &told);
+    peers.apply_page(5_020, &page);
     // Heard once more, but not told.
-    peers.hear(5_500, &replica(), notice("2", 0, None).rate, None);
+    peers.record_limit(5_500, &replica(), notice("2", 0, None).rate, None);
     limits.end(9_000, &end(stamp(8_000)));
     let missed = limits.page(9_500, peers.cursor());
-    peers.follow(9_500, &missed);
-    assert!(peers.is_limited(&replica()) && peers.has_news());
+    peers.apply_page(9_500, &missed);
+    assert!(peers.is_limited(&replica()) && peers.is_report_due());
     let report: LimitReport = peers.report(9_600);
     limits.name(9_610, &report.named[0]);
     let page = limits.report(9_610, &report);
-    peers.confirm(9_600, &report);
-    peers.follow(9_620, &page);
+    peers.acknowledge(9_600, &report);
+    peers.apply_page(9_620, &page);
     assert!(!peers.is_limited(&replica()));
 }
 
@@ -338,7 +338,7 @@
     let older = limits.page(6_000, peers.cursor());
     limits.name(6_100, &notice("2", 0, None));
     let newer = limits.page(6_100, peers.cursor());
-    peers.follow(6_200, &newer);
-    peers.follow(6_210, &older);
+    peers.apply_page(6_200, &newer);
+    peers.apply_page(6_210, &older);
     assert!(peers.is_limited(&replica()));
 }
--- a/tests/replica_limits/world.rs
+++ b/tests/replica_limits/world.rs
@@ -10,7 +10,7 @@
     PermitRefusal, PermitReply, PermitRequest, ReplicaRates,
 };
 use dunlinspring::routing::limited_peers::LimitedPeers;
-use dunlinspring::routing::permit_throttle::PermitPace;
+use dunlinspring::routing::permit_throttle::PermitThrottle;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -74,7 +74,7 @@
     life: u64,
     peers: LimitedPeers,
     known_ms: Option<u64>,
-    pace: PermitPace<ReplicaLife>,
+    pace: PermitThrottle<ReplicaLife>,
     frozen_until_ms: u64,
     cut_until_ms: u64,
     /// Until when an answer to its last report may come, in milliseconds.
@@ -359,7 +359,7 @@
         if !entry.peers.is_limited(&replica()) {
             return self.send(number, None);
         }
-        if entry.pace.left_ms(now_ms, &replica()).is_some() {
+        if entry.pace.wait_ms(now_ms, &replica()).is_some() {
             return;
         }
         let request = PermitRequest {
@@ -368,29 +368,31 @@
             is_cold: false,
             is_limited: true,
             cursor: entry.peers.cursor(),
-            named: entry.peers.last_notice(now_ms, &replica()),
+            named: entry.peers.latest_limit(now_ms, &replica()),
         };
         let asked = self.call_leader(number, Event::AskArrives(number, life, request, now_ms));
         let pace = &mut self.entries[number].pace;
         match asked {
-            true => pace.ask(now_ms, &replica()),
-            false => pace.refuse(now_ms, now_ms, &replica(), SILENT),
+            true => pace.record_request(now_ms, &replica()),
+            false => pace.record_refusal(now_ms, now_ms, &replica(), SILENT),
         }
     }
 
     fn take_reply(&mut self, number: usize, reply: PermitReply, asked_ms: u64) {
         let now_ms = self.now_ms;
         let entry = &mut self.entries[number];
-        entry.peers.confirm_notice(asked_ms, &replica());
+        entry.peers.acknowledge_limit(asked_ms, &replica());
         match reply {
             // A connection opens meanwhile, for up to the rest of the permit's time.
             PermitReply::Granted(stamp) if now_ms < asked_ms + PERMIT_MS => {
-                entry.pace.grant(asked_ms, &replica());
+                entry.pace.record_grant(asked_ms, &replica());
                 self.send(number, Some(stamp));
             }
             PermitReply::Granted(_) => {}
             PermitReply::Refused(refusal) => {
-                entry.pace.refuse(now_ms, asked_ms, &replica(), refusal);
+                entry
+                    .pace
+                    .record_refusal(now_ms, asked_ms, &replica(), refusal);
             }
         }
     }
@@ -413,10 +415,10 @@
         let peers = &mut self.entries[sender.entry].peers;
         match (rate, sender.permit) {
             (Some(rate), permit) => {
-                peers.hear(now_ms, &replica(), rate, permit);
+                peers.record_limit(now_ms, &replica(), rate, permit);
             }
             (None, Some(permit)) => {
-                peers.hear_none(&replica(), permit);
+                peers.record_no_limit(&replica(), permit);
                 if names_none {
                     self.free_ms.get_or_insert(now_ms);
                 }
@@ -431,7 +433,7 @@
         let entry = &mut self.entries[number];
         let restarted = entry.peers.cursor() == LimitCursor::default();
         let telling = now_ms < entry.telling_until_ms;
-        if telling || !(entry.peers.has_news() || restarted) {
+        if telling || !(entry.peers.is_report_due() || restarted) {
             return;
         }
         let life = entry.life;
@@ -440,7 +442,7 @@
         let entry = &mut self.entries[number];
         match told {
             true => entry.telling_until_ms = now_ms + TELL_MS,
-            false => entry.peers.miss(),
+            false => entry.peers.record_failed_report(),
         }
     }
 
@@ -449,15 +451,15 @@
         let entry = &mut self.entries[number];
         if let Some((report, asked_ms)) = told {
             entry.telling_until_ms = now_ms;
-            entry.peers.confirm(asked_ms, &report);
+            entry.peers.acknowledge(asked_ms, &report);
         }
         for state in &page.limits {
-            if entry.peers.is_news(state) {
-                entry.pace.follow(&state.replica, state.rate);
+            if entry.peers.changes_rate(state) {
+                entry.pace.update_rate(&state.replica, state.rate);
             }
         }
-        entry.peers.follow(now_ms, page);
-        if entry.peers.has_news() {
+        entry.peers.apply_page(now_ms, page);
+        if entry.peers.is_report_due() {
             self.tell(number);
         }
     }
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -14,8 +14,8 @@
 use dunlinspring::ids::{HallName, ReplicaId, ReplicaLife, ServiceName};
 use dunlinspring::placement::rate_limit::{PERMIT_MS, RateLimiter};
 use dunlinspring::placement::replica_rates::PermitRefusal;
-use dunlinspring::routing::permit_throttle::PermitPace;
-use dunlinspring::routing::warm_up::WarmupBook;
+use dunlinspring::routing::permit_throttle::PermitThrottle;
+use dunlinspring::routing::warm_up::WarmupTracker;
 use dunlinspring::table::configuration::{ServiceSpec, WarmupSpec};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -164,17 +164,17 @@
 
 #[test]
 fn a_suspicion_lasts_until_the_replica_tells_or_would_be_warm() {
-    let mut book = WarmupBook::default();
-    book.suspect(1_000, &"r", 3_000);
+    let mut book = WarmupTracker::default();
+    book.suspect_restart(1_000, &"r", 3_000);
     assert!(book.is_cold(3_999, &"r") && !book.is_cold(4_000, &"r"));
-    book.tell(2_000, &"r", 500);
+    book.record_report(2_000, &"r", 500);
     assert!(book.is_cold(2_499, &"r") && !book.is_cold(2_500, &"r"));
-    book.tell(2_040, &"r", 0);
+    book.record_report(2_040, &"r", 0);
     assert!(!book.is_cold(2_040, &"r"));
-    let mut pace = PermitPace::default();
-    pace.refuse(2_000, 2_000, &"r", wait(100));
-    assert_eq!(pace.left_ms(2_040, &"r"), Some(60));
-    assert_eq!(pace.left_ms(2_100, &"r"), None);
+    let mut pace = PermitThrottle::default();
+    pace.record_refusal(2_000, 2_000, &"r", wait(100));
+    assert_eq!(pace.wait_ms(2_040, &"r"), Some(60));
+    assert_eq!(pace.wait_ms(2_100, &"r"), None);
 }
 
 fn need() -> Need {
@@ -207,7 +207,7 @@
     assert!(book.is_cold(1_100, &id));
     let barred = book.claim(1_100, &life(), None);
     assert_eq!(barred, Err(ReplicaBar::RateLimited { left_ms: 0 }));
-    book.pace_mut().refuse(1_100, 1_100, &id, wait(140));
+    book.pace_mut().record_refusal(1_100, 1_100, &id, wait(140));
     assert_eq!(choose(&book, 1_200), Choice::RateLimited(40));
     assert_eq!(book.room_in_ms(1_200, &need()), Some(40));
     assert_eq!(choose(&book, 1_240), Choice::Send(id.clone()));
@@ -227,7 +227,8 @@
     book.follow(9_000, &BTreeMap::from([(id.clone(), silent)]));
     assert!(book.is_cold(60_000, &id));
     // Refused, it is left alone as the others are.
-    book.pace_mut().refuse(60_000, 60_000, &id, wait(300));
+    book.pace_mut()
+        .record_refusal(60_000, 60_000, &id, wait(300));
     assert_eq!(choose(&book, 60_299), Choice::RateLimited(1));
     book.prune(60_100);
     assert_eq!(choose(&book, 60_200), Choice::RateLimited(100));
@@ -263,12 +264,12 @@
     let mut state = configured("plain", cold_service());
     beat(&mut state, 0, record(u64::MAX, 1));
     assert_eq!(cold_ms(&state), SPEC.lasts_ms);
-    let mut book = WarmupBook::default();
-    book.tell(5, &"r", u64::MAX);
-    book.suspect(5, &"r", u64::MAX);
-    let mut pace = PermitPace::default();
-    pace.refuse(5, 5, &"r", wait(u64::MAX));
-    assert!(pace.left_ms(u64::MAX - 1, &"r").is_some());
+    let mut book = WarmupTracker::default();
+    book.record_report(5, &"r", u64::MAX);
+    book.suspect_restart(5, &"r", u64::MAX);
+    let mut pace = PermitThrottle::default();
+    pace.record_refusal(5, 5, &"r", wait(u64::MAX));
+    assert!(pace.wait_ms(u64::MAX - 1, &"r").is_some());
     assert!(book.is_cold(u64::MAX - 1, &"r"));
     let mut limiter = RateLimiter::new(0);
     assert_eq!(limiter.take(9_000, &life(), u64::MAX), Ok(()));
