--- a/src/routing/backoff.rs
+++ b/src/routing/backoff.rs
@@ -1,101 +1,104 @@
-//! Which peers may be sent to, by what they asked for in their answers: to be left alone for
-//! a time, or for good as they leave.
+//! Tracks backoff that peers request in their responses, and peers that are draining.
 //!
-//! Pure: the caller passes in the time. One place for replicas and for agents' targets, asked
-//! when a peer is chosen and, where it counts arrivals, once more right before the bytes
-//! leave: what lies between may take longer than the answer that forbids it. It is kept apart
-//! from what the log tells of peers, so that a record that goes and comes back does not bring
-//! back a peer that asked to be left alone.
+//! Pure: the caller passes in the time. Serves replicas as well as agents' targets. It is checked
+//! when a peer is chosen and, where in-flight requests are counted, again right before a request is
+//! sent, because a response that forbids sending may arrive in between. It is kept apart from the
+//! replicated peer records, so that a record that is removed and added again does not cancel a
+//! backoff.
 
 use std::collections::BTreeMap;
 
-/// Longest pause that one answer gets, in milliseconds: one wrong word costs a home for so
-/// long at most. Where a longer one was named, [`MAX_PROBES`] bounds what comes after.
+/// Longest backoff applied for one response, in milliseconds, so that one wrong value makes a home
+/// unavailable for at most this long. If a peer requested a longer one, [`MAX_PROBES`] limits the
+/// requests sent until that has passed.
 pub const MAX_BACKOFF_MS: u64 = 600_000;
-/// Requests that a peer gets within the time that it named, once the longest pause is over.
-/// A peer that means its time gets no more of them; one that serves has taken it back.
+/// Maximum number of requests sent to a peer between the end of the longest backoff and the end
+/// that the peer requested. A peer that rejects them gets no more until then; one that accepts a
+/// request ends its own backoff.
 const MAX_PROBES: u32 = 2;
-/// After a pause the requests that may be unanswered at once double each so many
-/// milliseconds, besides once for each good answer: one that answers late is not kept waiting
-/// for more than two seconds, one that still turns away sees one request, not a crowd.
+/// Interval in which the limit of unanswered requests doubles after a backoff, in milliseconds.
+/// Each accepted request doubles it as well. A peer that responds late is unrestricted after two
+/// seconds; one that still rejects requests receives one instead of a burst.
 const REOPENING_STEP_MS: u64 = 300;
-/// So many of them are no bound any more.
+/// Limit of unanswered requests from which a peer counts as unrestricted.
 const UNLIMITED_REQUESTS: u32 = 64;
-/// How long the word of a peer that leaves is kept, in milliseconds: it ends much sooner, and
-/// its record may be told for as long as it lives.
+/// How long a draining peer is remembered, in milliseconds. The peer exits much sooner, but its
+/// record may be advertised until then.
 const DRAINING_TTL_MS: u64 = 3_600_000;
 
-/// A pause that a peer asked for.
+/// Backoff requested by a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestedBackoff {
-    /// Its length, in milliseconds.
+    /// Duration, in milliseconds.
     pub ms: u64,
 }
 
 impl RequestedBackoff {
-    /// Reads the values of a `Retry-After` header, in seconds with fractions. Of several the
-    /// longest counts; what is no positive number of seconds (a date, a word) asks for nothing.
+    /// Parses the values of a `Retry-After` header, in seconds with fractions. The longest of
+    /// several values counts; a value that is not a positive number of seconds, such as a date or a
+    /// word, is ignored.
     pub fn parse<'a>(values: impl Iterator<Item = &'a str>) -> Option<Self> {
         let parts = values.flat_map(|value| value.split(','));
         let seconds = parts.filter_map(|part| part.trim().parse::<f64>().ok());
         let positive = seconds.filter(|seconds| seconds.is_finite() && *seconds > 0.0);
         let longest = positive.max_by(f64::total_cmp)?;
-        // A conversion of what is too large ends at the largest number.
+        // The conversion saturates at the largest number.
         let ms = (longest * 1000.0).ceil() as u64;
         Some(Self { ms })
     }
 }
 
-/// Why nothing may be sent to a peer now.
+/// Why no request may be sent to a peer now. Log lines show the names of the variants and their
+/// fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Blocked {
-    /// It asked to be left alone.
+    /// The peer requested a backoff.
     Paused {
-        /// For so much longer, in milliseconds.
+        /// Remaining time, in milliseconds.
         left_ms: u64,
     },
-    /// Its pause is over, and first requests show whether it takes more.
+    /// The backoff has ended, and the limit of unanswered requests is reached.
     Reopening,
-    /// It leaves.
+    /// The peer is draining.
     Leaving,
 }
 
-/// A request that was let through; to be given back once.
+/// Permission to send one request, to be returned once with [`BackoffTracker::release`].
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct SendSlot {
-    /// It is one of those whose number is bounded.
+    /// Whether the request counts towards the peer's limit.
     is_bounded: bool,
 }
 
-/// What an answer shows of the peer's will to take more.
+/// Whether a peer accepted the request of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotOutcome {
-    /// It took the request.
+    /// The peer accepted the request.
     Accepted,
-    /// It did not, or nothing is known.
+    /// The peer rejected the request, or the result is unknown.
     Other,
 }
 
-/// The life of a peer that leaves.
+/// Incarnation of a peer that is draining.
 #[derive(Clone, Copy, Debug)]
 struct DrainingPeer {
     incarnation: u64,
     at_ms: u64,
 }
 
-/// What one peer asked for.
+/// Backoff and draining state of one peer.
 #[derive(Clone, Debug, Default)]
 struct PeerState {
-    /// Until when it is left alone.
+    /// End of the backoff, at most [`MAX_BACKOFF_MS`] after the response.
     until_ms: u64,
-    /// The same as it named it, where that is longer.
+    /// End of the backoff as the peer requested it.
     requested_until_ms: u64,
-    /// Requests sent within the time that it named.
+    /// Requests sent before `requested_until_ms`.
     probes: u32,
-    /// Requests without an answer, of those sent since it asked first.
+    /// Unanswered requests among those sent since the first backoff.
     in_flight: u32,
-    /// Most of them after the pause, before time raises it.
+    /// Limit of unanswered requests when the backoff ends; grows with time.
     limit: u32,
     draining: Option<DrainingPeer>,
 }
@@ -129,7 +132,7 @@
             .is_some_and(|draining| draining.incarnation == incarnation)
     }
 
-    /// Whether it still says anything.
+    /// Whether this state still affects any request.
     fn is_relevant(&self, now_ms: u64) -> bool {
         let draining = |draining: DrainingPeer| draining.at_ms + DRAINING_TTL_MS > now_ms;
         let paused = now_ms < self.until_ms.max(self.requested_until_ms);
@@ -138,8 +141,9 @@
     }
 }
 
-/// What all peers asked for, by their id. A pause holds for all lives of an id, as nobody can
-/// tell which of two lives answered while one follows the other; that it leaves, for one life.
+/// Backoff and draining state of all peers, by ID. A backoff holds for all incarnations of an ID,
+/// because a response cannot be attributed to one of two incarnations while one replaces the other.
+/// Draining holds for one incarnation.
 #[derive(Clone, Debug)]
 pub struct BackoffTracker<Id> {
     peers: BTreeMap<Id, PeerState>,
@@ -154,8 +158,8 @@
 }
 
 impl<Id: Ord + Clone> BackoffTracker<Id> {
-    /// A peer asks to be left alone. A later word moves the end of an earlier one further
-    /// away, never nearer.
+    /// Records a requested backoff. A later one extends the end of an earlier one but never
+    /// shortens it.
     pub fn back_off(&mut self, now_ms: u64, id: &Id, backoff: RequestedBackoff) {
         let peer = self.peers.entry(id.clone()).or_default();
         if now_ms >= peer.requested_until_ms {
@@ -168,35 +172,35 @@
         peer.limit = 1;
     }
 
-    /// A peer leaves, in this life of it.
+    /// Records that an incarnation of a peer is draining.
     pub fn record_draining(&mut self, now_ms: u64, id: &Id, incarnation: u64) {
         let peer = self.peers.entry(id.clone()).or_default();
         let at_ms = now_ms;
         match peer.draining {
-            // The late word of a life before.
+            // A late report about an earlier incarnation.
             Some(known) if known.incarnation > incarnation => {}
             _ => peer.draining = Some(DrainingPeer { incarnation, at_ms }),
         }
     }
 
-    /// Whether nobody has asked for anything that still counts.
+    /// Whether no state is recorded for any peer.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// Why nothing may be sent to a life of a peer now; none where something may.
+    /// Returns why no request may be sent to an incarnation of a peer now; `None` if one may.
     pub fn blocked_by(&self, now_ms: u64, id: &Id, incarnation: u64) -> Option<Blocked> {
         self.peers.get(id)?.blocked_by(now_ms, incarnation)
     }
 
-    /// Whether a peer leaves in this life.
+    /// Whether an incarnation of a peer is draining.
     pub fn is_draining(&self, id: &Id, incarnation: u64) -> bool {
         self.peers
             .get(id)
             .is_some_and(|peer| peer.is_draining(incarnation))
     }
 
-    /// The last look, right before a request leaves.
+    /// Final check right before a request is sent: reserves a slot for it.
     pub fn acquire(&mut self, now_ms: u64, id: &Id, incarnation: u64) -> Result<SendSlot, Blocked> {
         let Some(peer) = self.peers.get_mut(id) else {
             return Ok(SendSlot { is_bounded: false });
@@ -209,20 +213,20 @@
         Ok(SendSlot { is_bounded: true })
     }
 
-    /// A request that was let through is answered, or given up.
+    /// Returns the slot of a request that was answered or abandoned.
     pub fn release(&mut self, now_ms: u64, id: &Id, slot: SendSlot, outcome: SlotOutcome) {
         let Some(peer) = self.peers.get_mut(id).filter(|_| slot.is_bounded) else {
             return;
         };
         peer.in_flight = peer.in_flight.saturating_sub(1);
-        // An answer from before the pause says nothing of what comes after it.
+        // A response that arrives during the backoff says nothing about the time after it.
         if outcome == SlotOutcome::Accepted && now_ms >= peer.until_ms {
             peer.limit = peer.limit.saturating_mul(2);
             peer.requested_until_ms = peer.requested_until_ms.min(now_ms);
         }
     }
 
-    /// Forgets what says nothing any more.
+    /// Removes state that no longer affects any request.
     pub fn prune(&mut self, now_ms: u64) {
         self.peers.retain(|_, peer| peer.is_relevant(now_ms));
     }
--- a/src/routing/content.rs
+++ b/src/routing/content.rs
@@ -1,30 +1,30 @@
-//! What a request asks, under one short name: every attempt of the same caller at the same
-//! thing has it, whatever id the attempt carries and whichever entry takes it.
+//! Identifies the content of a request by a short digest. All attempts of one caller at the same
+//! request share it, whatever ID an attempt has and whichever entry receives it.
 
 use sha2::{Digest, Sha256};
 
 use crate::ids::ContentDigest;
 
-/// What two attempts have in common where the second repeats the first.
+/// Parts of a request that are equal in all attempts at it.
 #[derive(Clone, Copy, Debug)]
 pub struct ContentParts<'a> {
-    /// The caller's account; empty where nobody has to say who it is.
+    /// Account of the caller; empty where callers need not identify themselves.
     pub caller: &'a str,
-    /// The host that is asked for.
+    /// Requested host.
     pub host: &'a str,
-    /// The path with its query.
+    /// Path with query.
     pub target: &'a str,
-    /// The whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
-/// Names a content. It is a part of a SHA-256 digest, so that nobody can give a content of
-/// theirs the name of somebody else's, and the account is in it.
+/// Returns the digest of a content. It is a truncated SHA-256 over parts that include the account,
+/// so that a caller cannot give a request the digest of another caller's request.
 pub fn digest(parts: &ContentParts) -> ContentDigest {
     let mut hash = Sha256::new();
     let host = parts.host.to_ascii_lowercase();
     for part in [parts.caller, &host, parts.target] {
-        // The length keeps a part's end from being taken for the next one's beginning.
+        // The length prefix keeps adjacent parts from running into each other.
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part.as_bytes());
     }
--- a/src/routing/lifecycle.rs
+++ b/src/routing/lifecycle.rs
@@ -1,67 +1,67 @@
-//! Follows one request to its one outcome. Pure: the entry's shell performs
-//! each [`RequestStep`] and brings back the [`RequestEvent`].
+//! State machine of one request, which ends with exactly one outcome. Pure: the entry's shell
+//! performs each [`RequestStep`] and returns the resulting [`RequestEvent`].
 
 use crate::admission::controller::{AnswerPage, AttemptStatus, NotRun, RefuseCause, RunEnd};
 use crate::consensus::claims::{ClaimAnswer, ClaimRecord, Settlement};
 use crate::ids::{AttemptId, Incarnation, TargetName};
 use crate::routing::suspects::QUARANTINE_RETRY_MS;
 
-/// Time to come back where no agent gave one, in milliseconds.
+/// Retry delay reported where no agent gave one, in milliseconds.
 pub const DEFAULT_RETRY_MS: u64 = 1000;
 
-/// One attempt on one target.
+/// One attempt at one target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetAttempt {
-    /// The attempt.
+    /// Attempt ID.
     pub id: AttemptId,
-    /// Its target.
+    /// Target it is sent to.
     pub target: TargetName,
-    /// The agent's life it is meant for.
+    /// Incarnation of the target's agent.
     pub incarnation: Incarnation,
 }
 
-/// Limits on one request.
+/// Limits on the attempts of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptPolicy {
-    /// Most attempts.
+    /// Maximum number of attempts.
     pub max_attempts: u32,
-    /// Lost pulls in a row before an attempt counts as lost.
+    /// Consecutive calls without a reply that are tolerated; one more loses the attempt.
     pub max_timeouts: u32,
-    /// The call may run at most once: each attempt is claimed first.
+    /// Whether the request must not run more than once: each attempt is then claimed first.
     pub at_most_once: bool,
 }
 
-/// Why a request ended without an answer.
+/// Why a request ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndCause {
-    /// The row's limit is reached.
+    /// The row's limit on running requests is reached.
     Limit,
-    /// This entry's copy of the table may be old.
+    /// This entry's copy of the table may be outdated.
     Stale,
-    /// This entry is stopping.
+    /// This entry is shutting down.
     Stopping,
-    /// No home could be tried.
+    /// No home was available.
     NoHome,
-    /// An agent refused it.
+    /// An agent refused the request.
     Refused(RefuseCause),
-    /// Too many targets ended under it.
+    /// Too many targets crashed while they ran its content.
     Quarantined,
     /// No quorum recorded the claim.
     NoQuorum,
     /// The idempotency key was used with another body.
     KeyReused,
-    /// The idempotency key is older than the retention.
+    /// The idempotency key is older than the retention period of claims.
     KeyTooOld,
-    /// The caller's patience ended.
+    /// The wait limit of the caller has passed.
     DeadlinePassed,
-    /// The target was lost after it may have started.
+    /// The target was lost after the attempt may have started.
     TargetLost,
-    /// An earlier attempt of this key ended unknown.
+    /// An earlier attempt with this idempotency key has an unknown outcome.
     KeyUnknown,
 }
 
 impl EndCause {
-    /// The cause as callers and metrics show it.
+    /// Returns the name of the cause in responses and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Limit => "limit",
@@ -88,50 +88,50 @@
     }
 }
 
-/// The one outcome of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Ran to its end; all pieces were handed over.
+    /// Ran to its end, and all pieces were delivered.
     Done,
-    /// Ran to its end earlier; this is the recorded answer, if it was kept.
+    /// Ran to its end in an earlier attempt; holds the recorded response if it was kept.
     Replayed(Option<String>),
     /// Proven not to have run.
     NotRun {
-        /// Why.
+        /// Cause.
         cause: EndCause,
-        /// When to come back, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// May have run.
     Unknown(EndCause),
 }
 
-/// What the shell does next.
+/// Next step of the shell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestStep {
-    /// Choose a target; `first` is false when a retry needs a budget.
+    /// Choose a target; a retry must be covered by the retry budget.
     Choose {
         /// Whether this is the first attempt.
         first: bool,
     },
-    /// Have the attempt's claim recorded on a quorum.
+    /// Have the claim of the attempt recorded by a quorum.
     Claim(TargetAttempt),
-    /// Ask the agent to start, giving it the pieces that the caller has.
+    /// Request the agent to start the attempt, after the pieces that the caller has.
     Start(TargetAttempt),
-    /// Ask the agent for the answer from this piece of the attempt on.
+    /// Request the response of the attempt from this piece on.
     Pull(TargetAttempt, u32),
-    /// Ask the agent to end the attempt if it has not started.
+    /// Request the agent to end the attempt unless it has started.
     Seal(TargetAttempt),
     /// Record how the claimed attempt ended.
     Settle(TargetAttempt, Settlement),
-    /// Tell the agent that the caller has gone; the answer does not matter.
+    /// Notify the agent that the caller no longer waits; the reply is ignored.
     Cancel(TargetAttempt),
-    /// Tell the caller.
+    /// Report the outcome to the caller.
     Finish(RequestOutcome),
 }
 
 impl RequestStep {
-    /// The attempt that it is about.
+    /// Returns the attempt that the step concerns.
     pub fn attempt(&self) -> Option<&TargetAttempt> {
         match self {
             Self::Claim(attempt)
@@ -145,26 +145,26 @@
     }
 }
 
-/// What came of a step.
+/// Result of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEvent {
-    /// The chosen trial; none where no target may be tried.
+    /// The chosen attempt; `None` if no target may be tried.
     Chosen(Option<TargetAttempt>),
-    /// All homes would refuse it, by what their agents said of others like it.
+    /// All homes would refuse the request, by their agents' refusals of similar ones.
     Refused(NotRun),
-    /// Too many targets have ended under what it asks.
+    /// Too many targets crashed while they ran this content.
     Quarantined,
-    /// The log's answer to the claim.
+    /// Result of the claim.
     Claimed(ClaimAnswer),
-    /// The agent's word.
+    /// Status of the attempt, from its agent.
     Status(AttemptStatus),
-    /// The step's peer gave no answer in time.
+    /// The peer of the step gave no usable reply in time.
     NoReply,
-    /// The end is recorded.
+    /// The end of the attempt is recorded.
     Settled,
-    /// The cancel was sent.
+    /// The cancellation was sent.
     Cancelled,
-    /// The caller's patience ended.
+    /// The wait limit of the caller has passed.
     DeadlinePassed,
 }
 
@@ -180,26 +180,26 @@
     Finished(RequestOutcome),
 }
 
-/// The state of one request.
+/// State of one request.
 #[derive(Debug)]
 pub struct RequestLifecycle {
     policy: AttemptPolicy,
     stage: Stage,
     attempts_made: u32,
     sent: u32,
-    /// Pieces delivered before the current attempt began.
+    /// Value of `sent` when the current attempt was chosen.
     base: u32,
     timeouts: u32,
-    /// An attempt may have run without its end being known.
+    /// Whether an attempt may have run without its end being known.
     maybe_ran: bool,
     deadline_passed: bool,
-    /// What is told after the current settlement.
+    /// Outcome to report once the current attempt is settled.
     pending_outcome: Option<RequestOutcome>,
     last_refusal: Option<NotRun>,
 }
 
 impl RequestLifecycle {
-    /// Starts a request.
+    /// Creates the state of a new request.
     pub fn new(policy: AttemptPolicy) -> Self {
         Self {
             policy,
@@ -215,12 +215,12 @@
         }
     }
 
-    /// Pieces handed over so far; a new attempt continues after them.
+    /// Returns the number of pieces delivered; a new attempt continues after them.
     pub fn delivered(&self) -> u32 {
         self.sent
     }
 
-    /// What to do next.
+    /// Returns the next step.
     pub fn step(&self) -> RequestStep {
         match &self.stage {
             Stage::Choosing => RequestStep::Choose {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Takes an event in; returns the pieces to hand to the caller.
+    /// Applies an event and returns the pieces to deliver to the caller.
     pub fn on(&mut self, event: RequestEvent) -> Vec<String> {
         let stage = std::mem::replace(&mut self.stage, Stage::Choosing);
         match (stage, event) {
@@ -299,18 +299,19 @@
         }
     }
 
-    /// The claim got no answer in time. The same attempt may claim once more, whether it holds
-    /// the claim by now or not.
+    /// Handles a claim without a reply. The same attempt may claim again, whether or not the first
+    /// claim was recorded.
     fn on_claim_timeout(&mut self, attempt: TargetAttempt) {
         self.timeouts += 1;
         match self.timeouts > self.policy.max_timeouts {
             false => self.stage = Stage::Claiming(attempt),
-            // Nothing was started, and a later resolver can only seal it.
+            // The attempt was not started. Another attempt that finds its claim can only seal it.
             true => self.end_not_run(EndCause::NoQuorum),
         }
     }
 
-    /// Another attempt holds the key: end it if it has not started, else follow it.
+    /// Handles a key that another attempt holds: takes its recorded end, else seals it if it has
+    /// not started or follows it if it has.
     fn on_taken(&mut self, record: ClaimRecord) {
         self.stage = match record.settled {
             Some(Settlement::Done { answer }) => Stage::Finished(RequestOutcome::Replayed(answer)),
@@ -342,7 +343,7 @@
 
     fn on_page(&mut self, attempt: TargetAttempt, page: AnswerPage) -> Vec<String> {
         let next_piece = self.sent - self.base;
-        // A late page repeats pieces; one from further on leaves a gap.
+        // A delayed page repeats pieces; a page that starts after a gap is ignored.
         let new_pieces = match next_piece.checked_sub(page.offset) {
             Some(skip) => page.pieces.into_iter().skip(skip as usize).collect(),
             None => Vec::new(),
@@ -376,7 +377,7 @@
         }
     }
 
-    /// The attempt may have run, and its answer is gone.
+    /// Handles an attempt that may have run and whose response is lost.
     fn on_attempt_lost(&mut self, attempt: TargetAttempt) {
         self.maybe_ran = true;
         match self.policy.at_most_once {
@@ -392,7 +393,8 @@
         self.timeouts += 1;
         match self.timeouts > self.policy.max_timeouts || self.deadline_passed {
             false => self.stage = same_stage(attempt),
-            // Not recorded as ended: a resend may still reach the agent and learn more.
+            // The claim is not settled: a retry by the caller may still reach the agent and learn
+            // the end.
             true if self.policy.at_most_once => {
                 self.stage = Stage::Finished(RequestOutcome::Unknown(EndCause::TargetLost));
             }
@@ -446,7 +448,7 @@
         }
     }
 
-    /// Says `not run` only where no attempt may have run.
+    /// Ends the request. The outcome is `NotRun` only if no attempt may have run.
     fn end_not_run(&mut self, cause: EndCause) {
         let retry_after_ms = match self.last_refusal {
             _ if cause == EndCause::Quarantined => QUARANTINE_RETRY_MS,
--- a/src/routing/limited_peers.rs
+++ b/src/routing/limited_peers.rs
@@ -1,8 +1,9 @@
-//! Which peers name a limit, as one entry knows: by their answers, and by what the leader tells.
+//! Tracks which replicas advertise a rate limit, by their responses to one entry and by the
+//! leader's updates.
 //!
-//! How many requests such a peer gets from all entries together is counted by the leader, see
-//! [`crate::placement::replica_rates`]. What the leader takes back has ended; but what was heard
-//! here and not told yet is told first.
+//! The leader counts the requests of all entries to such a replica, see
+//! [`crate::placement::replica_rates`]. A limit that the leader withdraws has ended, unless this
+//! entry received it again and has yet to report that.
 //!
 //! Pure: the caller passes in the time.
 
@@ -14,38 +15,40 @@
 };
 use crate::placement::named_rate::NamedRate;
 
-/// The last answer with a limit.
+/// Limit advertised in a response.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedLimit {
     rate: NamedRate,
     received_ms: u64,
     permit: Option<PermitStamp>,
-    /// The leader has weighed it.
+    /// Whether the leader has processed it.
     acknowledged: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 struct PeerLimit {
-    /// As the leader told.
+    /// Rate by the leader's last update.
     known: Option<NamedRate>,
-    /// When it told so.
+    /// Time of that update, in milliseconds.
     known_ms: u64,
     last: Option<ReceivedLimit>,
-    /// The newest permit whose answer named no limit any more.
+    /// Permit of the last response that no longer advertised a limit, until the leader has
+    /// processed it.
     ended: Option<PermitStamp>,
 }
 
-/// What an entry knows of all limits.
+/// Advertised rate limits known to one entry.
 #[derive(Clone, Debug, Default)]
 pub struct LimitedPeers {
     peers: BTreeMap<ReplicaLife, PeerLimit>,
     cursor: LimitCursor,
-    /// Something is to be told before the next regular report.
+    /// Whether a report is due before the next regular one.
     report_due: bool,
 }
 
 impl LimitedPeers {
-    /// An answer named a limit. Returns whether that is news.
+    /// Records a limit that a response advertised. Returns whether the rate differs from the known
+    /// one.
     pub fn record_limit(
         &mut self,
         now_ms: u64,
@@ -55,19 +58,19 @@
     ) -> bool {
         let peer = self.peers.entry(replica.clone()).or_default();
         let known = peer.known.or(peer.last.map(|last| last.rate));
-        let is_change = known != Some(rate);
+        let is_new_rate = known != Some(rate);
         peer.last = Some(ReceivedLimit {
             rate,
             received_ms: now_ms,
             permit,
             acknowledged: false,
         });
-        self.report_due |= is_change;
-        is_change
+        self.report_due |= is_new_rate;
+        is_new_rate
     }
 
-    /// An answer to a request that needed this permit named no limit. Returns whether it may
-    /// end one.
+    /// Records that a response to a request with this permit advertised no limit. Returns whether
+    /// that may end a known limit.
     pub fn record_no_limit(&mut self, replica: &ReplicaLife, permit: PermitStamp) -> bool {
         let Some(peer) = self.peers.get_mut(replica) else {
             return false;
@@ -77,19 +80,19 @@
         true
     }
 
-    /// Whether the leader tells another rate of a peer than before.
+    /// Whether an update of the leader changes the leader's rate for a replica.
     pub fn changes_rate(&self, update: &LimitState) -> bool {
         let peer = self.peers.get(&update.replica);
         peer.and_then(|peer| peer.known) != update.rate
     }
 
-    /// Whether a peer names a limit.
+    /// Whether a replica is known to advertise a limit.
     pub fn is_limited(&self, replica: &ReplicaLife) -> bool {
         let peer = self.peers.get(replica);
         peer.is_some_and(|peer| peer.known.is_some() || peer.last.is_some())
     }
 
-    /// The last answer of a peer that named a limit, for the leader.
+    /// Returns the last limit that a replica advertised to this entry, for the leader.
     pub fn latest_limit(&self, now_ms: u64, replica: &ReplicaLife) -> Option<LimitNotice> {
         let last = self.peers.get(replica)?.last?;
         Some(LimitNotice {
@@ -100,22 +103,22 @@
         })
     }
 
-    /// Up to where the leader's changes are known.
+    /// Returns the position up to which the leader's changes are applied.
     pub fn cursor(&self) -> LimitCursor {
         self.cursor
     }
 
-    /// Whether it follows a leader.
+    /// Whether the changes of a leader are applied.
     pub fn follows_leader(&self) -> bool {
         self.cursor != LimitCursor::default()
     }
 
-    /// Whether something is to be told at once.
+    /// Whether a report is due now.
     pub fn is_report_due(&self) -> bool {
         self.report_due
     }
 
-    /// What is to be told: ends, and limits that the leader has not weighed.
+    /// Creates a report of ended limits and of limits that the leader has not processed.
     pub fn report(&mut self, now_ms: u64) -> LimitReport {
         self.report_due = false;
         let unacknowledged = self.peers.iter().filter(|(_, peer)| match &peer.last {
@@ -136,7 +139,7 @@
         }
     }
 
-    /// The leader has weighed a report that was made at `sent_ms`.
+    /// Records that the leader has processed a report that was created at `sent_ms`.
     pub fn acknowledge(&mut self, sent_ms: u64, report: &LimitReport) {
         for end in &report.ended {
             match self.peers.get_mut(&end.replica) {
@@ -149,7 +152,7 @@
         }
     }
 
-    /// The leader has weighed the last answer of a peer as it was at `sent_ms`.
+    /// Records that the leader has processed the last limit of a replica as of `sent_ms`.
     pub fn acknowledge_limit(&mut self, sent_ms: u64, replica: &ReplicaLife) {
         let peer = self.peers.get_mut(replica);
         match peer.and_then(|peer| peer.last.as_mut()) {
@@ -158,14 +161,14 @@
         }
     }
 
-    /// A report could not be told.
+    /// Records that a report was not delivered.
     pub fn record_failed_report(&mut self) {
         self.report_due = true;
     }
 
-    /// Takes over the leader's changes. Returns whether a limit has ended by it.
+    /// Applies the leader's changes. Returns whether that ended a limit.
     pub fn apply_page(&mut self, now_ms: u64, page: &LimitPage) -> bool {
-        // Two questions may be under way, and the later answer may come first.
+        // Two requests may be in flight, and their replies may arrive in reverse order.
         let gathers = page.cursor == LimitCursor::default();
         if page.cursor < self.cursor && !gathers {
             return false;
@@ -197,7 +200,8 @@
             .count()
     }
 
-    /// Another leader knows nothing of what the one before told or was told.
+    /// Makes all limits due for a report: a new leader knows neither the updates nor the reports of
+    /// the previous one.
     fn reset_for_new_leader(&mut self, now_ms: u64) {
         for peer in self.peers.values_mut() {
             let known = peer.known.map(|rate| ReceivedLimit {
@@ -225,7 +229,7 @@
         }
     }
 
-    /// Forgets lives that are over; `is_over` knows which.
+    /// Removes replica incarnations that have ended by `is_over`.
     pub fn prune(&mut self, is_over: impl Fn(&ReplicaLife) -> bool) {
         self.peers.retain(|replica, _| !is_over(replica));
     }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,7 +1,7 @@
-//! Where one request goes, what becomes of it, and what a member knows of the site.
+//! Routing and the lifecycle of one request, and a member's view of the site.
 //!
-//! Pure: events of one request and changes of the log enter; steps to perform come out.
-//! Uses `table`, `consensus`, `admission` and `placement`.
+//! Pure: takes the events of one request and the changes of the log, and returns the steps to
+//! perform. Uses `table`, `consensus`, `admission` and `placement`.
 
 pub mod backoff;
 pub mod content;
--- a/src/routing/permit_throttle.rs
+++ b/src/routing/permit_throttle.rs
@@ -1,5 +1,5 @@
-//! When one entry may ask again for a permit to send to a peer: not while the leader has none
-//! to give, and not with more questions at once than can be answered with a permit.
+//! Throttles the permit requests of one entry: no request while the leader refuses permits for a
+//! peer, and no more requests in flight than are likely to be granted.
 //!
 //! Pure: the caller passes in the time.
 
@@ -8,19 +8,19 @@
 use crate::placement::named_rate::NamedRate;
 use crate::placement::replica_rates::PermitRefusal;
 
-/// Time after which a question gets no answer any more, in milliseconds.
+/// Timeout of a permit request, in milliseconds.
 pub const PERMIT_REQUEST_TIMEOUT_MS: u64 = 125;
-/// Questions at once after a permit was given; after a refusal it is one.
+/// Maximum number of requests in flight for one peer after a grant; after a refusal it is one.
 const MAX_PENDING_REQUESTS: usize = 2;
-/// When it is looked again whether a question has been answered, in milliseconds.
+/// Time to wait for the reply to a request in flight before checking again, in milliseconds.
 const REPLY_CHECK_MS: u64 = 10;
 
 #[derive(Clone, Debug, Default)]
 struct PermitState {
     refused_until_ms: u64,
-    /// The limit under which it was refused.
+    /// Advertised rate by which the last request was refused.
     rate: Option<NamedRate>,
-    /// When each question that has no answer was asked.
+    /// Send time of each request without a reply.
     pending_ms: Vec<u64>,
     granted: bool,
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/// The pace of all peers, by their id.
+/// Permit requests for all peers, by ID.
 #[derive(Clone, Debug)]
 pub struct PermitThrottle<Id> {
     peers: BTreeMap<Id, PermitState>,
@@ -59,7 +59,7 @@
 }
 
 impl<Id: Ord + Clone> PermitThrottle<Id> {
-    /// A permit is asked for.
+    /// Records that a permit is requested.
     pub fn record_request(&mut self, now_ms: u64, id: &Id) {
         let peer = self.peers.entry(id.clone()).or_default();
         peer.pending_ms
@@ -67,14 +67,15 @@
         peer.pending_ms.push(now_ms);
     }
 
-    /// What was asked at `requested_ms` is permitted.
+    /// Records a grant for the request sent at `requested_ms`.
     pub fn record_grant(&mut self, requested_ms: u64, id: &Id) {
         let peer = self.peers.entry(id.clone()).or_default();
         peer.pending_ms.retain(|at| *at != requested_ms);
         peer.granted = true;
     }
 
-    /// What was asked at `requested_ms` is refused, and so is all else for a time.
+    /// Records a refusal of the request sent at `requested_ms`. No permit may be requested for the
+    /// time that it states.
     pub fn record_refusal(
         &mut self,
         now_ms: u64,
@@ -89,19 +90,20 @@
         peer.rate = refusal.rate;
     }
 
-    /// A peer names another limit: what was refused under the one before says nothing.
+    /// Clears the state of a peer that advertises another rate: a refusal by the previous rate no
+    /// longer applies.
     pub fn update_rate(&mut self, id: &Id, rate: Option<NamedRate>) {
         if self.peers.get(id).is_some_and(|peer| peer.rate != rate) {
             self.peers.remove(id);
         }
     }
 
-    /// Time until a permit may be asked for, in milliseconds; none where it may now.
+    /// Returns the time until a permit may be requested, in milliseconds; `None` if one may be now.
     pub fn wait_ms(&self, now_ms: u64, id: &Id) -> Option<u64> {
         self.peers.get(id)?.wait_ms(now_ms)
     }
 
-    /// Forgets what says nothing any more.
+    /// Removes state that delays no request.
     pub fn prune(&mut self, now_ms: u64) {
         self.peers.retain(|_, peer| peer.wait_ms(now_ms).is_some());
     }
--- a/src/routing/refusals.rs
+++ b/src/routing/refusals.rs
@@ -1,26 +1,26 @@
-//! What agents said when they refused attempts, kept for an entry's next ones: without it each
-//! request asks anew what the one before was told.
+//! Keeps the refusals of agents for the next attempts of an entry, which would otherwise repeat
+//! requests that an agent has just refused.
 //!
-//! Pure: the caller passes in the time. By the same book as replicas without agents.
+//! Pure: the caller passes in the time. Uses the same tracker as replicas without agents.
 
 use crate::admission::controller::REFUSAL_RETRY_MS;
 use crate::admission::runs::{NotRun, RefuseCause};
 use crate::ids::{Incarnation, ModelName, RowId, TargetName};
 use crate::routing::backoff::{BackoffTracker, Blocked, RequestedBackoff};
 
-/// Which attempts a refusal speaks of.
+/// Attempts that a refusal applies to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum RefusalScope {
-    /// All at the target.
+    /// All attempts at the target.
     Target,
-    /// Those for one model.
+    /// Attempts for one model.
     Model(ModelName),
-    /// Those of one row: all have its urgency and its patience.
+    /// Attempts of one row, which all have its urgency and its wait limit.
     Row(RowId),
 }
 
 impl RefusalScope {
-    /// What callers are told who are held back by such a refusal.
+    /// Returns the cause reported to callers whose attempts such a refusal holds back.
     fn cause(&self) -> RefuseCause {
         match self {
             Self::Target => RefuseCause::NoLease,
@@ -30,29 +30,29 @@
     }
 }
 
-/// An attempt, as far as refusals speak of it.
+/// Properties of an attempt that refusals depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct HomeRequest<'a> {
-    /// Where it goes.
+    /// Target of the attempt.
     pub target: &'a TargetName,
-    /// The agent's life there.
+    /// Incarnation of the target's agent.
     pub incarnation: Incarnation,
-    /// Whose it is.
+    /// Row of the request.
     pub row: &'a RowId,
-    /// What it needs.
+    /// Model that it needs.
     pub model: &'a ModelName,
-    /// How long its caller waits, in milliseconds.
+    /// Wait limit of the caller, in milliseconds.
     pub wait_limit_ms: u64,
 }
 
-/// What one entry was told.
+/// Refusals received by one entry.
 #[derive(Debug, Default)]
 pub struct RefusalTracker {
     backoffs: BackoffTracker<(TargetName, RefusalScope)>,
 }
 
 impl RefusalTracker {
-    /// An agent refused an attempt.
+    /// Records that an agent refused an attempt.
     pub fn record(&mut self, now_ms: u64, request: &HomeRequest<'_>, refusal: &NotRun) {
         let retry_ms = refusal.retry_after_ms;
         let (scope, ms) = match refusal.cause {
@@ -66,14 +66,14 @@
             RefuseCause::NotHome | RefuseCause::Engine => {
                 (RefusalScope::Model(request.model.clone()), retry_ms)
             }
-            // What is told is when the queue is empty. The row's next request is taken as
-            // soon as what is before it is no longer than its patience: a row that keeps a
-            // home busy by itself would leave it idle otherwise.
+            // The agent reports when its queue will be empty, but it accepts the next request of
+            // the row as soon as the work before it fits into the row's wait limit. A row that
+            // keeps a home busy by itself would otherwise leave it idle.
             RefuseCause::Overload => (
                 RefusalScope::Row(request.row.clone()),
                 retry_ms.saturating_sub(request.wait_limit_ms),
             ),
-            // These speak of that attempt alone.
+            // These causes concern that attempt alone.
             RefuseCause::Behind
             | RefuseCause::Expired
             | RefuseCause::Sealed
@@ -85,10 +85,10 @@
         }
     }
 
-    /// What an agent would say of an attempt, as far as it has said so; none where it is to
-    /// be asked.
+    /// Returns the refusal to expect for an attempt, by the agent's earlier refusals; `None` if the
+    /// agent is to be asked.
     pub fn known_refusal(&self, now_ms: u64, request: &HomeRequest<'_>) -> Option<NotRun> {
-        // Each request asks this of each home: most have refused nothing lately.
+        // Called for each home of each request; most homes have refused nothing lately.
         if self.backoffs.is_empty() {
             return None;
         }
@@ -111,14 +111,14 @@
                     cause: id.1.cause(),
                     retry_after_ms: left_ms,
                 }),
-                // Agents queue what comes: none is claimed, and none held back.
+                // Agents queue requests, so no slot is reserved and no attempt is held back.
                 Blocked::Reopening => None,
             }
         });
         refusals.max_by_key(|refusal| refusal.retry_after_ms)
     }
 
-    /// Forgets what says nothing any more.
+    /// Removes refusals that no longer apply.
     pub fn prune(&mut self, now_ms: u64) {
         self.backoffs.prune(now_ms);
     }
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -1,23 +1,23 @@
-//! Retry budgets: retries of a row are a share of its first attempts, so that
-//! the loss of a hall cannot multiply the load on the others.
+//! Retry budgets: the retries of a row are limited to a share of its first attempts, so that the
+//! loss of a data hall does not multiply the load on the other halls.
 
 use std::collections::BTreeMap;
 
 use crate::ids::RowId;
 
-/// Tokens are counted in hundredths.
+/// Budgets are counted in hundredths of a retry.
 const HUNDREDTHS_PER_RETRY: u32 = 100;
 
-/// How many retries a row may make.
+/// Limits on the retries of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
     /// Hundredths of a retry that each first attempt earns.
     pub earned_hundredths: u32,
-    /// Most retries saved up.
+    /// Maximum number of retries saved up.
     pub burst: u32,
 }
 
-/// The budgets of one entry.
+/// Retry budgets of one entry, by row.
 #[derive(Debug)]
 pub struct RetryBudget {
     policy: RetryPolicy,
@@ -25,7 +25,7 @@
 }
 
 impl RetryBudget {
-    /// Full budgets for all rows.
+    /// Creates full budgets for all rows.
     pub fn new(policy: RetryPolicy) -> Self {
         Self {
             policy,
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Earns for a first attempt.
+    /// Adds what a first attempt of a row earns.
     pub fn earn(&mut self, row: &RowId) {
         let full = self.policy.burst * HUNDREDTHS_PER_RETRY;
         let tokens = self.rows.entry(row.clone()).or_insert(full);
         *tokens = (*tokens + self.policy.earned_hundredths).min(full);
     }
 
-    /// Spends one retry, if there is one.
+    /// Spends one retry of a row. Returns whether the budget had one.
     pub fn spend(&mut self, row: &RowId) -> bool {
         let full = self.policy.burst * HUNDREDTHS_PER_RETRY;
         let tokens = self.rows.entry(row.clone()).or_insert(full);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Forgets rows that `keep` no longer names.
+    /// Removes rows that `keep` rejects.
     pub fn retain(&mut self, keep: impl Fn(&RowId) -> bool) {
         self.rows.retain(|row, _| keep(row));
     }
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -7,25 +7,25 @@
 
 use crate::ids::{HallName, TargetName};
 
-/// A report older than this says nothing.
+/// Age from which a load report is ignored, in milliseconds.
 const REPORT_TTL_MS: u64 = 2_000;
 
-/// How homes are chosen.
+/// How a home is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoutePolicy {
-    /// Most homes of a model that one entry uses, so that what it knows does
-    /// not grow with all homes.
+    /// Maximum number of homes of a model that one entry uses, so that its load state does not grow
+    /// with the number of homes.
     pub subset: usize,
-    /// Requests that the home with the warm prefix may be ahead of the other
-    /// choice and still be taken; zero turns affinity off.
+    /// Number of requests by which the home with the cached prefix may exceed the other choice and
+    /// still be preferred; zero turns affinity off.
     pub affinity_slack: u32,
-    /// Requests that a home in another hall must be less loaded by.
+    /// Number of requests by which a home in another hall must be less loaded.
     pub hall_slack: u32,
-    /// Weigh load at all; else choose at random.
+    /// Whether load is weighed; otherwise the choice is random.
     pub by_load: bool,
 }
 
-/// Load as an agent last told it.
+/// Load of one target: its last report, and what this entry sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct TargetLoad {
     reported: u32,
@@ -34,28 +34,28 @@
     in_flight: u32,
 }
 
-/// What one entry knows of the targets' load: bounded by the homes it uses.
+/// Load of the targets as known to one entry, bounded by the homes that it uses.
 #[derive(Debug, Default)]
 pub struct LoadTracker {
     targets: BTreeMap<TargetName, TargetLoad>,
 }
 
 impl LoadTracker {
-    /// Notes a request sent.
+    /// Records that a request was sent.
     pub fn record_sent(&mut self, target: &TargetName) {
         let known = self.targets.entry(target.clone()).or_default();
         known.sent_since_report += 1;
         known.in_flight += 1;
     }
 
-    /// Notes a request ended.
+    /// Records that a request ended.
     pub fn record_ended(&mut self, target: &TargetName) {
         if let Some(known) = self.targets.get_mut(target) {
             known.in_flight = known.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes a target's own count of queued and running requests.
+    /// Records a target's report of its queued and running requests.
     pub fn record_report(&mut self, target: &TargetName, load: u32, now_ms: u64) {
         let known = self.targets.entry(target.clone()).or_default();
         known.reported = load;
@@ -63,8 +63,8 @@
         known.sent_since_report = 0;
     }
 
-    /// Estimated requests at the target: its report and what was sent since,
-    /// or the own requests in flight where the report is old.
+    /// Estimates the requests at a target from its report and the requests sent since. Never less
+    /// than this entry's requests in flight, which alone count where the report is old.
     pub fn estimate(&self, target: &TargetName, now_ms: u64) -> u32 {
         match self.targets.get(target) {
             Some(known) if known.reported_at_ms + REPORT_TTL_MS > now_ms => {
@@ -75,34 +75,34 @@
         }
     }
 
-    /// Drops notes of targets that `keep` no longer names.
+    /// Removes targets that `keep` rejects.
     pub fn retain(&mut self, keep: impl Fn(&TargetName) -> bool) {
         self.targets.retain(|target, _| keep(target));
     }
 }
 
-/// A home that may be chosen.
+/// Home that may be chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct HomeCandidate<'a> {
-    /// The target.
+    /// Target of the home.
     pub target: &'a TargetName,
-    /// Its hall.
+    /// Data hall of the target.
     pub hall: &'a HallName,
 }
 
-/// What the choice is for.
+/// Request that a home is chosen for.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
-    /// The choosing entry's number: entries use different subsets.
+    /// Number of the entry; each entry uses its own subset of homes.
     pub entry: u64,
-    /// The entry's hall.
+    /// Data hall of the entry.
     pub hall: &'a HallName,
-    /// The start of the prompt, whose KV may be cached.
+    /// Start of the prompt, whose KV cache a home may hold.
     pub prefix: &'a str,
 }
 
-/// Chooses a home: the one with the warm prefix unless it is busier than the
-/// better of two random ones.
+/// Chooses a home: the one that the prefix is hashed to, unless it is busier than the better of two
+/// random ones by the affinity slack.
 pub fn choose<'a>(
     policy: &RoutePolicy,
     request: &RouteRequest<'_>,
@@ -142,8 +142,8 @@
     }
 }
 
-/// The homes that the fewest of a request's attempts went to. One that refuses at
-/// once seems idle, and would draw all further attempts otherwise.
+/// Returns the homes with the fewest prior attempts of a request. A home that refuses at once looks
+/// idle and would otherwise attract all further attempts.
 pub fn least_attempted<'a>(
     homes: &[HomeCandidate<'a>],
     prior: &[TargetName],
@@ -154,7 +154,7 @@
     homes.copied().collect()
 }
 
-/// Rendezvous hashing: each entry keeps its subset while homes come and go.
+/// Selects the entry's subset by rendezvous hashing, which keeps it stable while homes come and go.
 fn subset<'a>(
     policy: &RoutePolicy,
     entry: u64,
--- a/src/routing/suspects.rs
+++ b/src/routing/suspects.rs
@@ -1,33 +1,33 @@
-//! What a member knows of contents under which replicas ended: what the log holds, and what
-//! it has seen itself and does not follow in the log yet.
+//! Tracks contents during which replicas crashed: the counts in the log, and crashes that this
+//! member observed and has not yet followed in the log.
 
 use std::collections::BTreeMap;
 
 use crate::consensus::crashes::{ContentStanding, CrashCounts, CrashReport};
 use crate::ids::{ContentDigest, Position, ReplicaLife};
 
-/// When a caller comes back whose content is sent no more, in milliseconds: nothing it could
-/// do helps, and an operator needs minutes to look at it.
+/// Retry delay reported for a quarantined content, in milliseconds. A caller cannot resolve it, and
+/// an operator needs minutes to examine it.
 pub const QUARANTINE_RETRY_MS: u64 = 60_000;
 
-/// Where in the log an end stands; none while the log was not told.
+/// Log position of a crash report; `None` until the log holds it.
 type LoggedAt = Option<Position>;
 
-/// A member's knowledge.
+/// Suspect contents known to one member.
 #[derive(Debug, Default)]
 pub struct SuspectIndex {
     logged: CrashCounts,
-    /// Ends that this member saw and does not follow in the log yet.
+    /// Crashes that this member observed and has not followed in the log yet.
     observed: BTreeMap<ContentDigest, BTreeMap<ReplicaLife, LoggedAt>>,
 }
 
 impl SuspectIndex {
-    /// Whether all contents are harmless: then nobody needs a request's digest.
+    /// Whether no content is suspect, so that no request needs a digest.
     pub fn is_empty(&self) -> bool {
         self.logged.is_empty() && self.observed.is_empty()
     }
 
-    /// Takes over what the log holds at a position.
+    /// Takes over the counts of the log at a position.
     pub fn follow(&mut self, position: Position, counts: &CrashCounts) {
         if self.logged != *counts {
             self.logged = counts.clone();
@@ -38,7 +38,7 @@
         });
     }
 
-    /// Notes an end that this member saw, and where the log holds it, if it does.
+    /// Records a crash that this member observed, and its log position if the log holds it.
     pub fn record_crash(&mut self, report: &CrashReport, logged_at: LoggedAt) {
         for content in &report.contents {
             let replicas = self.observed.entry(*content).or_default();
@@ -46,8 +46,9 @@
         }
     }
 
-    /// What is to be made of a content. Where both this member and others know of ends, they
-    /// may be the same ones: the leader, who is asked before a suspect runs, knows all.
+    /// Returns the standing of a content. Observed and logged crashes may be the same ones, so the
+    /// higher count is used; the leader, which is asked before a suspect content runs, knows all of
+    /// them.
     pub fn standing(&self, content: &ContentDigest) -> ContentStanding {
         let logged = self.logged.get(content).copied().unwrap_or(0);
         let observed = self.observed.get(content).map_or(0, BTreeMap::len);
--- a/src/routing/view.rs
+++ b/src/routing/view.rs
@@ -1,4 +1,4 @@
-//! What a member knows of the site: a copy that follows the log and never goes back.
+//! A member's copy of the site state, which follows the log and never goes back.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,18 +14,18 @@
 use crate::table::rows::Row;
 use crate::table::site::SiteSpec;
 
-/// A part of the log's changes, from a cursor on.
+/// Changes of the log from a cursor on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncPage {
-    /// The cursor asked from; none where the page starts from nothing.
+    /// Requested cursor; `None` if the page starts from an empty state.
     pub from: Option<Position>,
-    /// The position after the page.
+    /// Log position after the page.
     pub to: Position,
-    /// The changes, oldest first.
+    /// Changes, oldest first.
     pub changes: Vec<Change>,
 }
 
-/// Cuts the page that a member with `cursor` needs.
+/// Returns the page that a member at `cursor` needs.
 pub fn page_after(state: &SiteState, cursor: Position) -> SyncPage {
     let to = state.changed();
     match state.changes_after(cursor) {
@@ -42,34 +42,34 @@
     }
 }
 
-/// A member's copy.
+/// A member's copy of the site state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteView {
-    /// How far it has followed the log.
+    /// Log position up to which it is applied.
     pub position: Position,
-    /// The catalogue and targets.
+    /// Catalogue and targets.
     pub site: SiteSpec,
-    /// The table.
+    /// Rows of the table.
     pub rows: BTreeMap<RowId, Row>,
-    /// Members in their current lives.
+    /// Members in their current incarnations.
     pub members: BTreeMap<HostName, MemberInfo>,
     /// Homes by model.
     pub homes: BTreeMap<ModelName, BTreeMap<TargetName, HomeInfo>>,
-    /// The configuration in force, once there is one.
+    /// Configuration in force, once there is one.
     pub configuration: Option<Box<Configuration>>,
-    /// The replicas that registered.
+    /// Registered replicas.
     pub replicas: BTreeMap<ReplicaId, ReplicaRecord>,
-    /// How often replicas have ended under contents that are suspect or barred.
+    /// Number of replica crashes during each suspect or quarantined content.
     pub contents: CrashCounts,
-    /// Data halls whose replicas are to get nothing more.
+    /// Evacuated data halls, whose replicas receive no further requests.
     pub evacuated: BTreeSet<HallName>,
-    /// Rows by what a caller names, so that a lookup costs no scan.
+    /// Rows by partner, model and class, so that a lookup needs no scan.
     by_class: BTreeMap<(PartnerName, ModelName, String), RowId>,
 }
 
 impl SiteView {
-    /// Follows one page. A page that is not ahead, or that starts past this
-    /// copy, changes nothing. Returns whether it was followed.
+    /// Applies a page. A page that is not ahead of this copy, or that starts after it, changes
+    /// nothing. Returns whether the page was applied.
     pub fn follow(&mut self, page: &SyncPage) -> bool {
         match page.from {
             _ if page.to <= self.position => return false,
@@ -84,7 +84,7 @@
         true
     }
 
-    /// The row for what a caller names.
+    /// Returns the row for a partner, model and class.
     pub fn find_row(
         &self,
         partner: &PartnerName,
@@ -95,8 +95,8 @@
         self.rows.get_key_value(self.by_class.get(&slot)?)
     }
 
-    /// The targets that are ready for `model`, with their keepers, but for those leaving
-    /// and those in evacuated halls.
+    /// Returns the targets that are ready for `model`, with their agents, except draining ones and
+    /// those in evacuated halls.
     pub fn ready_homes<'a>(
         &'a self,
         model: &ModelName,
@@ -108,7 +108,7 @@
             .filter(|(_, member)| !member.leaving && !self.evacuated.contains(&member.hall))
     }
 
-    /// The agent that keeps `target`.
+    /// Returns the agent of `target`.
     pub fn agent_of(&self, target: &TargetName) -> Option<&MemberInfo> {
         self.members.get(&HostName(target.0.clone()))
     }
--- a/src/routing/warm_up.rs
+++ b/src/routing/warm_up.rs
@@ -1,19 +1,19 @@
-//! Which peers warm up, as one entry believes.
+//! Tracks which peers are warming up, as one entry sees it.
 //!
-//! A peer that warms up bears few requests. How many it gets from all entries together is
-//! counted by the leader, see [`crate::placement::replica_rates`]; this is what each entry holds
-//! by itself: until when it treats a peer as cold.
+//! A peer that warms up can serve only a few requests. The leader counts the requests of all
+//! entries to it, see [`crate::placement::replica_rates`]; each entry keeps until when it treats a
+//! peer as cold.
 //!
 //! Pure: the caller passes in the time.
 
 use std::collections::BTreeMap;
 
-/// What is believed of one peer.
+/// Warm-up state of one peer.
 #[derive(Clone, Copy, Debug, Default)]
 struct WarmupState {
-    /// By its own word.
+    /// End of the warm-up by the peer's last report.
     reported_until_ms: u64,
-    /// As it may have started again since that word.
+    /// End of the warm-up if the peer has restarted since that report.
     suspected_until_ms: u64,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// What is believed of all peers, by their id.
+/// Warm-up state of all peers, by ID.
 #[derive(Clone, Debug)]
 pub struct WarmupTracker<Id> {
     peers: BTreeMap<Id, WarmupState>,
@@ -38,8 +38,8 @@
 }
 
 impl<Id: Ord + Clone> WarmupTracker<Id> {
-    /// A peer tells for how much longer it is cold; its newest word counts, and settles what
-    /// was suspected before.
+    /// Records a peer's report of its remaining warm-up time. The latest report applies and
+    /// replaces a suspected restart.
     pub fn record_report(&mut self, now_ms: u64, id: &Id, cold_ms: u64) {
         if cold_ms == 0 {
             self.peers.remove(id);
@@ -50,7 +50,7 @@
         peer.suspected_until_ms = 0;
     }
 
-    /// A peer may have started again, and would be cold for so long; nobody knows yet.
+    /// Records that a peer may have restarted and would then be cold for `cold_ms`.
     pub fn suspect_restart(&mut self, now_ms: u64, id: &Id, cold_ms: u64) {
         let peer = self.peers.entry(id.clone()).or_default();
         let until_ms = now_ms.saturating_add(cold_ms);
@@ -63,7 +63,7 @@
         peer.is_some_and(|peer| now_ms < peer.cold_until_ms())
     }
 
-    /// Forgets what says nothing any more.
+    /// Removes peers that are no longer cold.
     pub fn prune(&mut self, now_ms: u64) {
         self.peers.retain(|_, peer| now_ms < peer.cold_until_ms());
     }
