--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -1,5 +1,5 @@
-//! The agent's decisions: which attempts run, what each may be told, and which
-//! orders the engine gets. Pure; the agent's shell moves the messages.
+//! Decisions of an agent: which attempts run, what each entry is told of its attempt, and which
+//! orders the engine receives. Pure; the agent's shell moves the messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,31 +15,32 @@
 };
 use crate::ids::{AttemptId, Incarnation, ModelName, Position, RowId};
 
-/// A finished attempt is remembered this long after its last touch.
+/// How long an ended attempt is remembered after its last use, in milliseconds.
 const ATTEMPT_RETENTION_MS: u64 = 120_000;
-/// Most entry lives whose attempt floors are remembered.
+/// Maximum number of entry incarnations whose attempt floors are remembered.
 const MAX_ENTRY_FLOORS: usize = 4096;
-/// Where no run of a class was timed yet.
+/// Expected duration of a run whose row has no sample yet, in milliseconds.
 const DEFAULT_SERVICE_MS: u64 = 20;
-/// Weight of the newest sample in the moving average of service times: 1/8.
+/// Divisor of the newest sample in the moving average of service times.
 const SERVICE_SAMPLE_DIVISOR: u64 = 8;
-/// Silence of an engine after which it is taken for dead.
+/// Time without a report after which an engine is considered dead, in milliseconds.
 const ENGINE_SILENCE_MS: u64 = 2500;
-/// A lapse of the lease that queued runs wait out: a change of leaders.
+/// How long queued runs wait after the lease expired, in milliseconds: long enough for a change of
+/// leaders.
 const LEASE_GRACE_MS: u64 = 1000;
-/// Time to come back after a refusal that no forecast covers.
+/// Retry delay after a refusal without a forecast, in milliseconds.
 pub const REFUSAL_RETRY_MS: u64 = 200;
 
-/// The settings that the gate decides by.
+/// Settings of the admission controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionPolicy {
-    /// The target's memory, in MiB.
+    /// Memory of the target, in MiB.
     pub capacity_mib: u64,
     /// How the engine treats late orders.
     pub check: OrderCheck,
     /// Longest lease that control grants, in milliseconds.
     pub lease_ms: u64,
-    /// The queue's settings.
+    /// Settings of the queue.
     pub queue: QueuePolicy,
 }
 
@@ -50,7 +51,7 @@
     stage: Stage,
     touched_ms: u64,
     started_ms: u64,
-    /// The engine's life that it was sent to.
+    /// Boot ID of the engine incarnation that it was sent to.
     boot: u64,
     resumed: bool,
 }
@@ -62,7 +63,7 @@
     Ended(RunEnd),
 }
 
-/// All decisions of one agent in one life.
+/// Admission controller of one agent incarnation.
 #[derive(Debug)]
 pub struct AdmissionController {
     life: Incarnation,
@@ -71,9 +72,9 @@
     queue: RunQueue,
     attempts: BTreeMap<AttemptId, Attempt>,
     running: BTreeSet<AttemptId>,
-    /// Attempts at or below were seen and forgotten: they never start again.
+    /// Highest forgotten attempt of each entry incarnation; attempts up to it never start again.
     attempt_floors: BTreeMap<Incarnation, u64>,
-    /// Entry lives below this have lost their floor.
+    /// Entry incarnations below this one have lost their floor.
     min_entry: Incarnation,
     row_versions: BTreeMap<RowId, Position>,
     service_ms: BTreeMap<RowId, u64>,
@@ -85,14 +86,15 @@
     fence: OrderSeq,
     fence_needed: bool,
     boot: Option<u64>,
-    /// Runs whose engine may have ended under them.
-    lost: LostRuns,
+    /// Runs that may have been lost to a crash of the engine.
+    lost_runs: LostRuns,
     last_report_ms: u64,
     order_in_flight: bool,
 }
 
 impl AdmissionController {
-    /// Starts a life. `fixed_services` are plain services that are always there.
+    /// Creates the controller of an incarnation. `fixed_services` are plain services that are
+    /// always available.
     pub fn new(
         life: Incarnation,
         policy: AdmissionPolicy,
@@ -123,18 +125,18 @@
             fence: OrderSeq { life, number: 0 },
             fence_needed: policy.check == OrderCheck::Fenced,
             boot: None,
-            lost: LostRuns::default(),
+            lost_runs: LostRuns::default(),
             last_report_ms: now_ms,
             order_in_flight: false,
         }
     }
 
-    /// This life.
+    /// Returns the incarnation of the agent.
     pub fn incarnation(&self) -> Incarnation {
         self.life
     }
 
-    /// The memory account.
+    /// Returns the memory account.
     pub fn ledger(&self) -> &MemoryLedger {
         &self.ledger
     }
@@ -144,22 +146,22 @@
         self.draining
     }
 
-    /// Turns new work away from now on.
+    /// Refuses new work from now on.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Runs at the engine.
+    /// Returns the number of runs at the engine.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Runs that wait.
+    /// Returns the number of waiting runs.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Queued and running requests of each model.
+    /// Returns the number of queued and running requests of each model.
     pub fn busy(&self) -> BTreeMap<ModelName, u32> {
         let running = self.running.iter().filter_map(|id| self.attempts.get(id));
         let running = running.filter_map(|attempt| attempt.request.as_ref());
@@ -172,7 +174,7 @@
         busy
     }
 
-    /// Models that serve here.
+    /// Returns the models that serve at the target.
     pub fn ready_models(&self) -> Vec<ModelName> {
         let loaded = self.ledger.models();
         let loaded = loaded.filter(|(_, phase)| *phase == ModelPhase::Resident);
@@ -180,14 +182,14 @@
         loaded.chain(self.fixed_services.iter().cloned()).collect()
     }
 
-    /// Learns the versions of rows, so that an entry that acts on an older one
-    /// is told to catch up first.
+    /// Records the version of a row. An entry that uses an older one is refused until it has caught
+    /// up.
     pub fn record_row_version(&mut self, row: &RowId, version: Position) {
         let known = self.row_versions.entry(row.clone()).or_default();
         *known = (*known).max(version);
     }
 
-    /// Starts an attempt, once. A doubled ask gets the state of the first.
+    /// Starts an attempt once. A repeated request returns the status of the first.
     pub fn start(&mut self, now_ms: u64, request: RunRequest) -> AttemptStatus {
         let attempt = request.attempt;
         if request.incarnation != self.life {
@@ -218,8 +220,7 @@
         self.page(now_ms, attempt, 0)
     }
 
-    /// Ends an attempt that has not started, for good; tells what there is of
-    /// one that has.
+    /// Ends an attempt for good unless it has started, and returns its status.
     pub fn seal(&mut self, now_ms: u64, attempt: AttemptId, life: Incarnation) -> AttemptStatus {
         if life != self.life {
             return AttemptStatus::OtherIncarnation(self.life);
@@ -244,7 +245,7 @@
         self.page(now_ms, attempt, 0)
     }
 
-    /// The answer from a piece on.
+    /// Returns the response of an attempt from a piece on.
     pub fn pull(
         &mut self,
         now_ms: u64,
@@ -258,8 +259,8 @@
         }
     }
 
-    /// Ends an attempt whose caller has gone. Returns whether the engine is to
-    /// be told.
+    /// Ends a queued attempt whose caller no longer waits. Returns whether the engine must cancel a
+    /// running one.
     pub fn cancel(&mut self, now_ms: u64, attempt: AttemptId) -> bool {
         match self.attempts.get(&attempt).map(|a| &a.stage) {
             Some(Stage::Queued) => {
@@ -276,7 +277,7 @@
         }
     }
 
-    /// The next run that the engine can take.
+    /// Returns the next run that the engine can take.
     pub fn next_run(&mut self, now_ms: u64) -> Option<RunDispatch> {
         for run in self.queue.expire(now_ms) {
             self.finish(now_ms, run.attempt, not_run(RefuseCause::Expired, 0));
@@ -298,7 +299,7 @@
         };
         if !self.fixed_services.contains(&run.model) {
             let fits = self.ledger.reserve_run(run.attempt, run.kv_mib, stamp);
-            debug_assert!(fits.is_ok(), "the queue was asked for a run that fits");
+            debug_assert!(fits.is_ok(), "the queue returned a run that does not fit");
         }
         let attempt = self.attempts.get_mut(&run.attempt)?;
         self.running.insert(run.attempt);
@@ -315,8 +316,8 @@
         })
     }
 
-    /// Takes what happened to a run. Returns the piece to resume from where a
-    /// broken stream is worth resuming at the same engine.
+    /// Applies an event of a run. Returns the piece to resume from if the same engine should be
+    /// asked to resume a broken stream.
     pub fn on_run_event(&mut self, now_ms: u64, id: AttemptId, event: RunEvent) -> Option<u32> {
         let attempt = self.attempts.get_mut(&id)?;
         if attempt.stage != Stage::Running {
@@ -339,7 +340,7 @@
                 self.record_service_time(row, spent);
                 self.finish(now_ms, id, RunEnd::Complete { pieces });
             }
-            // A refusal to resume a stream says nothing of the first try.
+            // A refusal to resume a stream does not prove that the first call did not run.
             RunEvent::Refused if !attempt.resumed => {
                 self.ledger.end_run(id);
                 self.finish(now_ms, id, not_run(RefuseCause::Engine, REFUSAL_RETRY_MS));
@@ -354,7 +355,7 @@
             }
             RunEvent::Lost | RunEvent::Refused => {
                 if let Some(request) = &attempt.request {
-                    self.lost.record(attempt.boot, request.content, now_ms);
+                    self.lost_runs.record(attempt.boot, request.content, now_ms);
                 }
                 self.ledger.disconnect_run(id, now_ms);
                 self.fence_needed = true;
@@ -364,8 +365,8 @@
         None
     }
 
-    /// Takes control's wish. One of an older term or position, or for another
-    /// life, is refused.
+    /// Applies a plan of control. Returns false for a plan of an older term or position, or for
+    /// another incarnation.
     pub fn on_plan(&mut self, requested_ms: u64, plan: TargetPlan) -> bool {
         let newest = self.plan.as_ref().map(|p| (p.term, p.position));
         if plan.incarnation != self.life || Some((plan.term, plan.position)) < newest {
@@ -377,17 +378,17 @@
         true
     }
 
-    /// The position of the plan that this agent acts on.
+    /// Returns the log position of the current plan.
     pub fn plan_position(&self) -> Position {
         self.plan.as_ref().map_or(Position(0), |plan| plan.position)
     }
 
-    /// Whether control's lease still holds.
+    /// Whether the lease from control is valid.
     pub fn has_lease(&self, now_ms: u64) -> bool {
         now_ms < self.lease_until_ms
     }
 
-    /// The next order, one at a time: the next is given after `order_closed`.
+    /// Returns the next order. Orders are given one at a time: the next one follows `order_closed`.
     pub fn next_order(&mut self, now_ms: u64) -> Option<EngineOrder> {
         if self.order_in_flight || !self.has_lease(now_ms) {
             return None;
@@ -414,7 +415,7 @@
         Some(EngineOrder { seq, boot, act })
     }
 
-    /// Notes that an order's connection closed, whether or not it was answered.
+    /// Records that the connection of an order closed, with or without a reply.
     pub fn order_closed(&mut self, now_ms: u64, order: &EngineOrder) {
         self.order_in_flight = false;
         match &order.act {
@@ -425,13 +426,13 @@
         }
     }
 
-    /// Whether the engine has not reported for so long that it is taken for dead.
+    /// Whether the engine has not reported for so long that it is considered dead.
     pub fn is_engine_silent(&self, now_ms: u64) -> bool {
         self.policy.capacity_mib > 0 && self.last_report_ms + ENGINE_SILENCE_MS < now_ms
     }
 
-    /// Takes a report that was asked for at `requested_ms`. Returns the lives of the engine that
-    /// have ended under runs.
+    /// Applies a report that was requested at `requested_ms`. Returns the engine incarnations that
+    /// crashed during runs.
     pub fn on_report(
         &mut self,
         report: &EngineReport,
@@ -446,7 +447,7 @@
         let unproven = !self.order_in_flight && self.ledger.needs_fence(report);
         self.fence_needed |= restarted || unfenced || unproven;
         self.fence_needed &= fenced;
-        self.lost.on_report(report.boot, requested_ms)
+        self.lost_runs.on_report(report.boot, requested_ms)
     }
 
     /// Forgets attempts that ended long ago; their numbers never start again.
@@ -473,23 +474,24 @@
         }
     }
 
-    /// Whether nothing is queued or runs.
+    /// Whether no run is queued or running.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.running() == 0
     }
 
-    /// Attempts that are remembered.
+    /// Returns the number of remembered attempts.
     pub fn remembered(&self) -> usize {
         self.attempts.len()
     }
 
-    /// An agent that was replaced sends no more runs: its successor could not
-    /// count their memory.
+    /// Whether runs are held back for lack of a lease. An agent that was replaced must send no
+    /// runs, because its successor could not account for their memory.
     fn lacks_lease(&self, now_ms: u64) -> bool {
         self.policy.capacity_mib > 0 && !self.has_lease(now_ms)
     }
 
-    /// Without a lease for so long, waiting for it is giving up: it is said at once.
+    /// Whether the lease expired so long ago that waiting for it is pointless, so that runs are
+    /// refused at once.
     fn is_lease_grace_over(&self, now_ms: u64) -> bool {
         self.lacks_lease(now_ms) && self.lease_until_ms + LEASE_GRACE_MS < now_ms
     }
@@ -613,9 +615,9 @@
         let running = running.filter_map(|id| self.attempts.get(id));
         let left = running.map(|attempt| {
             let row = attempt.request.as_ref().map(|request| &request.row);
-            let whole = row.map_or(DEFAULT_SERVICE_MS, |row| self.estimated_service_ms(row));
+            let expected = row.map_or(DEFAULT_SERVICE_MS, |row| self.estimated_service_ms(row));
             let spent = now_ms - attempt.started_ms;
-            whole.saturating_sub(spent)
+            expected.saturating_sub(spent)
         });
         left.collect()
     }
@@ -628,8 +630,7 @@
         *estimate = (*estimate * (SERVICE_SAMPLE_DIVISOR - 1) + spent_ms) / SERVICE_SAMPLE_DIVISOR;
     }
 
-    /// A queued run whose model left meanwhile is refused, so that its entry
-    /// can send it elsewhere.
+    /// Refuses queued runs whose model is gone, so that their entries can send them elsewhere.
     fn refuse_missing_models(&mut self, now_ms: u64) {
         let queued = self.queue.runs().iter();
         let missing = queued.filter(|run| !self.serves(&run.model));
@@ -662,7 +663,7 @@
         load.map(|(model, mib)| OrderAct::Load(model.clone(), *mib))
     }
 
-    /// A running or queued attempt keeps its model from being unloaded.
+    /// Whether a running or queued attempt keeps a model from being unloaded.
     fn in_use(&self, model: &ModelName) -> bool {
         let running = self.running.iter().filter_map(|id| self.attempts.get(id));
         let mut requests = running.filter_map(|attempt| attempt.request.as_ref());
--- a/src/admission/ledger.rs
+++ b/src/admission/ledger.rs
@@ -1,8 +1,7 @@
-//! The agent's account of its target's memory.
+//! Accounting of the memory of an agent's target.
 //!
-//! An order without an answer counts in both possible outcomes until a report
-//! from after the order proves one. So the sum held is never less than what the
-//! engine may hold.
+//! An order without a reply is counted for both possible outcomes until a later report proves one
+//! of them. The accounted sum is therefore never less than what the engine may hold.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,27 +9,27 @@
 
 use crate::ids::{AttemptId, Incarnation, ModelName};
 
-/// Orders of one target in the order of their issue; a newer agent life is
-/// above all orders of older ones.
+/// Sequence of the orders to one target. All orders of a newer agent incarnation are above those of
+/// older ones.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct OrderSeq {
-    /// The agent's life.
+    /// Incarnation of the agent; named `life` in the engine's JSON and in log lines.
     pub life: Incarnation,
-    /// Rises by one with each order of that life.
+    /// Number of the order in that incarnation; rises by one with each.
     pub number: u64,
 }
 
-/// An engine's account of itself.
+/// Report of an engine about its state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Changes when the engine restarts and its memory is empty.
+    /// Boot ID, which changes when the engine restarts with empty memory.
     pub boot: u64,
-    /// The highest load, unload or fence order seen. Where the engine checks
-    /// orders, lower ones that have not arrived by now are refused.
+    /// Highest load, unload or fence order received. If the engine checks orders, it refuses lower
+    /// ones that have not arrived by now.
     pub fence: OrderSeq,
-    /// The highest fence order seen. Runs sent under a lower one are refused.
+    /// Highest fence order received. Runs sent under a lower one are refused.
     pub run_fence: OrderSeq,
     /// Models resident or being loaded, with their memory in MiB.
     pub resident: BTreeMap<ModelName, ResidentInfo>,
@@ -38,32 +37,32 @@
     pub running: Vec<RunningInfo>,
 }
 
-/// A run in an engine's memory.
+/// Run in an engine's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningInfo {
-    /// The run.
+    /// Attempt ID of the run.
     pub attempt: AttemptId,
-    /// Its KV memory, in MiB.
+    /// KV memory, in MiB.
     pub mib: u64,
 }
 
-/// A model in an engine's memory.
+/// Model in an engine's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResidentInfo {
-    /// Memory taken, in MiB.
+    /// Memory used, in MiB.
     pub mib: u64,
-    /// Whether it can serve.
+    /// Whether the model can serve.
     pub ready: bool,
 }
 
-/// What is known of one model on the target.
+/// Known phase of a model on the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ModelPhase {
-    /// A load was ordered: it may be there or not.
+    /// A load was ordered; the model may be in memory or not.
     Loading,
-    /// It is there and serves.
+    /// The model is in memory and serves.
     Resident,
-    /// An unload was ordered: it may be there or not.
+    /// An unload was ordered; the model may be in memory or not.
     Unloading,
 }
 
@@ -78,57 +77,58 @@
 struct RunUsage {
     mib: u64,
     stamp: OrderStamp,
-    /// The connection closed without an end: the run may go on or yet arrive.
+    /// Whether the connection closed without an end: the run may continue or arrive later.
     disconnected: bool,
 }
 
-/// When an order left, for engines that do not check orders.
+/// Sequence of an order and when it was sent; the time is for engines that do not check orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderStamp {
-    /// Its place.
+    /// Sequence of the order.
     pub seq: OrderSeq,
-    /// When its connection was last open, in milliseconds of the agent's clock.
+    /// Time at which its connection was last known to be open, in milliseconds of the agent's
+    /// clock.
     pub open_ms: u64,
 }
 
-/// Whether an engine refuses orders that come late, or how late they may come.
+/// Whether an engine refuses late orders, or how late an order may arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderCheck {
     /// The engine refuses orders below its fence.
     Fenced,
-    /// The engine takes any order; none arrives later than this many
-    /// milliseconds after its connection closed.
+    /// The engine accepts any order; none arrives later than this many milliseconds after its
+    /// connection closed.
     LateBound(u64),
 }
 
-/// A reservation that does not fit.
+/// Failure of a reservation that does not fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InsufficientMemory {
-    /// MiB missing.
+    /// Missing memory, in MiB.
     pub short_mib: u64,
 }
 
-/// The account of one target.
+/// Memory account of one target.
 #[derive(Debug)]
 pub struct MemoryLedger {
     capacity_mib: u64,
     check: OrderCheck,
     models: BTreeMap<ModelName, ModelUsage>,
     runs: BTreeMap<AttemptId, RunUsage>,
-    /// Until a report under this life's own fence, all memory counts as taken.
+    /// Whether a report has shown what the target holds, under this incarnation's fence if the engine
+    /// checks orders. Until then all memory counts as used.
     initialized: bool,
     open_after_ms: u64,
-    /// The engine's life that this account is of.
+    /// Boot ID of the engine incarnation that the account describes.
     boot: Option<u64>,
 }
 
 impl MemoryLedger {
-    /// Starts the account of a target of which nothing is known.
+    /// Creates the account of a target of unknown state.
     ///
-    /// Where the engine does not check orders, only reports asked for after
-    /// `open_after_ms` count: by then no order of an earlier agent may be
-    /// under way.
+    /// If the engine does not check orders, only reports requested after `open_after_ms` count: no
+    /// order of an earlier agent can arrive after that.
     pub fn new(capacity_mib: u64, check: OrderCheck, open_after_ms: u64) -> Self {
         Self {
             capacity_mib,
@@ -146,7 +146,7 @@
         self.initialized
     }
 
-    /// The memory that may be taken, in MiB.
+    /// Returns the memory that may be in use, in MiB.
     pub fn used_mib(&self) -> u64 {
         if !self.initialized {
             return self.capacity_mib;
@@ -156,23 +156,23 @@
         models + runs
     }
 
-    /// The memory surely free, in MiB.
+    /// Returns the memory that is certainly free, in MiB.
     pub fn free_mib(&self) -> u64 {
         self.capacity_mib.saturating_sub(self.used_mib())
     }
 
-    /// What is known of a model.
+    /// Returns the phase of a model that may be in memory.
     pub fn phase(&self, model: &ModelName) -> Option<ModelPhase> {
         self.models.get(model).map(|hold| hold.phase)
     }
 
-    /// All models that may be there.
+    /// Returns all models that may be in memory.
     pub fn models(&self) -> impl Iterator<Item = (&ModelName, ModelPhase)> {
         self.models.iter().map(|(model, hold)| (model, hold.phase))
     }
 
-    /// Whether a lost order or run could still arrive at an engine that stands
-    /// at the report's fences, so that a new fence is due.
+    /// Whether a lost order or run could still be accepted by an engine with the fences of this
+    /// report, so that a new fence is needed.
     pub fn needs_fence(&self, report: &EngineReport) -> bool {
         let model =
             |hold: &ModelUsage| hold.phase != ModelPhase::Resident && hold.stamp.seq > report.fence;
@@ -180,7 +180,7 @@
         self.models.values().any(model) || self.runs.values().any(run)
     }
 
-    /// Reserves memory for a load before its order leaves.
+    /// Reserves memory for a load before its order is sent.
     pub fn reserve_load(
         &mut self,
         model: &ModelName,
@@ -199,7 +199,7 @@
         Ok(())
     }
 
-    /// Notes that an unload is ordered. The memory stays counted.
+    /// Records that an unload was ordered. Its memory stays reserved.
     pub fn begin_unload(&mut self, model: &ModelName, stamp: OrderStamp) {
         if let Some(hold) = self.models.get_mut(model) {
             hold.phase = ModelPhase::Unloading;
@@ -224,12 +224,12 @@
         Ok(())
     }
 
-    /// Frees a run whose end the engine told.
+    /// Releases a run whose end the engine reported.
     pub fn end_run(&mut self, attempt: AttemptId) {
         self.runs.remove(&attempt);
     }
 
-    /// Notes that a run's connection closed without an end. It stays counted.
+    /// Records that the connection of a run closed without an end. Its memory stays reserved.
     pub fn disconnect_run(&mut self, attempt: AttemptId, now_ms: u64) {
         if let Some(hold) = self.runs.get_mut(&attempt) {
             hold.disconnected = true;
@@ -237,26 +237,26 @@
         }
     }
 
-    /// Notes that a model order's connection closed, answered or not.
+    /// Records that the connection of a load or unload order closed, with or without a reply.
     pub fn close_order(&mut self, model: &ModelName, now_ms: u64) {
         if let Some(hold) = self.models.get_mut(model) {
             hold.stamp.open_ms = now_ms;
         }
     }
 
-    /// Takes a report that was asked for at `asked_ms` of the agent's clock.
-    pub fn apply_report(&mut self, report: &EngineReport, asked_ms: u64, life: Incarnation) {
+    /// Applies a report that was requested at `requested_ms` of the agent's clock.
+    pub fn apply_report(&mut self, report: &EngineReport, requested_ms: u64, life: Incarnation) {
         let restarted = self.boot != Some(report.boot);
         self.boot = Some(report.boot);
         if restarted && self.check == OrderCheck::Fenced {
             self.initialized = false;
         }
-        if !self.initialized && !self.initialize(report, asked_ms, life) {
+        if !self.initialized && !self.initialize(report, requested_ms, life) {
             return;
         }
         let check = self.check;
         self.models.retain(|model, hold| {
-            let settled = is_settled(check, hold.stamp, report.fence, asked_ms);
+            let settled = is_settled(check, hold.stamp, report.fence, requested_ms);
             match report.resident.get(model) {
                 None => !settled,
                 Some(info) => {
@@ -271,17 +271,17 @@
         let running = report.running.iter().map(|run| run.attempt);
         let running: BTreeSet<AttemptId> = running.collect();
         self.runs.retain(|attempt, run| {
-            let settled = is_run_settled(check, run.stamp, report.run_fence, asked_ms);
+            let settled = is_run_settled(check, run.stamp, report.run_fence, requested_ms);
             !(run.disconnected && settled && !running.contains(attempt))
         });
-        self.adopt_unknown(report, asked_ms, life);
+        self.adopt_unknown(report, requested_ms, life);
     }
 
-    /// Models and runs of an earlier life that are still there.
-    fn adopt_unknown(&mut self, report: &EngineReport, asked_ms: u64, life: Incarnation) {
+    /// Adds models and runs of an earlier agent incarnation that are still in memory.
+    fn adopt_unknown(&mut self, report: &EngineReport, requested_ms: u64, life: Incarnation) {
         let stamp = OrderStamp {
             seq: OrderSeq { life, number: 0 },
-            open_ms: asked_ms,
+            open_ms: requested_ms,
         };
         for (model, info) in &report.resident {
             let phase = match info.ready {
@@ -303,14 +303,14 @@
         }
     }
 
-    /// Opens the account with a report that nothing sent before can spoil.
+    /// Initializes the account from a report that no earlier order can invalidate.
     ///
-    /// An engine that checks orders refuses those for its earlier lives, and
-    /// those below this agent's fence, so such a report is the whole truth.
-    fn initialize(&mut self, report: &EngineReport, asked_ms: u64, life: Incarnation) -> bool {
+    /// An engine that checks orders refuses those for its earlier incarnations and those below this
+    /// agent's fence, so such a report is complete.
+    fn initialize(&mut self, report: &EngineReport, requested_ms: u64, life: Incarnation) -> bool {
         self.initialized = match self.check {
             OrderCheck::Fenced => report.fence.life == life,
-            OrderCheck::LateBound(_) => asked_ms > self.open_after_ms,
+            OrderCheck::LateBound(_) => requested_ms > self.open_after_ms,
         };
         if self.initialized && self.check == OrderCheck::Fenced {
             self.models.clear();
@@ -328,17 +328,22 @@
     }
 }
 
-fn is_settled(check: OrderCheck, stamp: OrderStamp, fence: OrderSeq, asked_ms: u64) -> bool {
+fn is_settled(check: OrderCheck, stamp: OrderStamp, fence: OrderSeq, requested_ms: u64) -> bool {
     match check {
         OrderCheck::Fenced => fence >= stamp.seq,
-        OrderCheck::LateBound(bound) => stamp.open_ms + bound < asked_ms,
+        OrderCheck::LateBound(bound) => stamp.open_ms + bound < requested_ms,
     }
 }
 
-/// Runs share the seq of their fence, so only a higher one shuts them out.
-fn is_run_settled(check: OrderCheck, stamp: OrderStamp, fence: OrderSeq, asked_ms: u64) -> bool {
+/// Runs carry the sequence of their fence, so only a higher fence excludes them.
+fn is_run_settled(
+    check: OrderCheck,
+    stamp: OrderStamp,
+    fence: OrderSeq,
+    requested_ms: u64,
+) -> bool {
     match check {
         OrderCheck::Fenced => fence > stamp.seq,
-        OrderCheck::LateBound(bound) => stamp.open_ms + bound < asked_ms,
+        OrderCheck::LateBound(bound) => stamp.open_ms + bound < requested_ms,
     }
 }
--- a/src/admission/lost_runs.rs
+++ b/src/admission/lost_runs.rs
@@ -1,19 +1,19 @@
-//! Runs whose engine may have ended under them, until a report shows whether it did: a later
-//! one of the same engine life clears them, one of another life proves it.
+//! Tracks runs that may have been lost to a crash of their engine. A later report of the same
+//! engine incarnation clears them; one of another incarnation proves the crash.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::ContentDigest;
 
-/// Lost runs that wait for a report, at most: an engine's batch, some times over.
+/// Maximum number of lost runs that wait for a report: several batches of an engine.
 const MAX_LOST: usize = 1_024;
 
-/// What one engine life had running when it ended.
+/// Engine incarnation that crashed, and what it ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashedIncarnation {
-    /// The engine's life.
+    /// Boot ID of the engine incarnation.
     pub boot: u64,
-    /// What ran there.
+    /// Contents of the runs that it lost.
     pub contents: BTreeSet<ContentDigest>,
 }
 
@@ -24,14 +24,14 @@
     lost_ms: u64,
 }
 
-/// The lost runs of one target.
+/// Lost runs of one target.
 #[derive(Debug, Default)]
 pub struct LostRuns {
     waiting: Vec<LostRun>,
 }
 
 impl LostRuns {
-    /// The connection of a run closed without an end, in that life of the engine.
+    /// Records that the connection of a run to this engine incarnation closed without an end.
     pub fn record(&mut self, boot: u64, content: ContentDigest, now_ms: u64) {
         if self.waiting.len() < MAX_LOST {
             self.waiting.push(LostRun {
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Takes a report that was asked for at `asked_ms`. Returns the lives that have ended
-    /// under runs.
-    pub fn on_report(&mut self, boot: u64, asked_ms: u64) -> Vec<CrashedIncarnation> {
+    /// Applies a report that was requested at `requested_ms`. Returns the engine incarnations that
+    /// crashed during runs.
+    pub fn on_report(&mut self, boot: u64, requested_ms: u64) -> Vec<CrashedIncarnation> {
         let mut ended: BTreeMap<u64, BTreeSet<ContentDigest>> = BTreeMap::new();
         self.waiting.retain(|run| match run.boot == boot {
-            // It lives on, as far as was asked after the loss.
-            true => run.lost_ms >= asked_ms,
+            // The incarnation is alive, which clears the runs lost before the report was requested.
+            true => run.lost_ms >= requested_ms,
             false => {
                 ended.entry(run.boot).or_default().insert(run.content);
                 false
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,8 +1,8 @@
-//! Whether one target takes one attempt: its account of memory, its queue, which attempts
-//! ran, and which orders its engine gets.
+//! Admission of attempts at one target: memory accounting, the queue, attempts that have run, and
+//! orders to the target's engine.
 //!
-//! Pure: reports, starts and wishes enter; what to send to the engine and what an entry
-//! may be told come out. Uses `table` and [`crate::ids`].
+//! Pure: takes reports, start requests and plans, and returns what to send to the engine and what
+//! to reply to entries. Uses `table` and [`crate::ids`].
 
 pub mod controller;
 pub mod ledger;
--- a/src/admission/orders.rs
+++ b/src/admission/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, and control's wish for a target that they carry out.
+//! Orders to engines, and the plan of a target that they carry out.
 
 use std::collections::BTreeMap;
 
@@ -7,41 +7,41 @@
 use crate::admission::ledger::OrderSeq;
 use crate::ids::{Incarnation, ModelName, Position, Term};
 
-/// An order to the engine.
+/// Order to an engine. Its fields are shown in the engine's JSON and in log lines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Its place.
+    /// Sequence of the order.
     pub seq: OrderSeq,
-    /// The engine's life that it is meant for.
+    /// Boot ID of the engine incarnation that the order is for.
     pub boot: u64,
-    /// What to do.
+    /// Action.
     pub act: OrderAct,
 }
 
-/// What an order does.
+/// Action of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderAct {
-    /// Refuse lower orders, and runs under lower fences.
+    /// Refuse orders with a lower sequence, and runs under a lower fence.
     Fence,
-    /// Load a model of this many MiB.
+    /// Load a model of this size in MiB.
     Load(ModelName, u64),
     /// Unload a model.
     Unload(ModelName),
 }
 
-/// Control's whole wish for one target, fenced by leadership.
+/// Complete desired state of one target, fenced by the leader's term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetPlan {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: Term,
-    /// The log position it was made from.
+    /// Log position that the plan was made from.
     pub position: Position,
-    /// The agent's life that it is meant for.
+    /// Incarnation of the agent that the plan is for.
     pub incarnation: Incarnation,
-    /// Models to hold, with their MiB; none until control has learned what the
-    /// target holds, so that a new agent unloads nothing.
+    /// Models to hold, with their MiB; `None` until control knows what the target holds, so that a
+    /// new agent unloads nothing.
     pub desired_models: Option<BTreeMap<ModelName, u64>>,
-    /// How long the agent may act on it, in milliseconds from when it asked.
+    /// How long the agent may act on the plan, in milliseconds from its request.
     pub lease_ms: u64,
 }
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -1,69 +1,68 @@
-//! The agent's queue of accepted runs: by urgency, then fairly between rows,
-//! then by deadline.
+//! Queue of accepted runs at an agent: ordered by urgency, then by fair share between rows, then by
+//! deadline.
 
 use std::collections::BTreeMap;
 
 use crate::ids::{AttemptId, ModelName, RowId};
 use crate::table::rows::Urgency;
 
-/// A row's share of the target is measured in this many units a millisecond of
-/// work at weight one.
+/// Units of a row's share for each millisecond of work at weight one.
 const SHARE_UNITS_PER_MS: u64 = 1000;
 
-/// A run that waits.
+/// Run that waits for the engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedRun {
-    /// The attempt.
+    /// Attempt ID.
     pub attempt: AttemptId,
-    /// Its row.
+    /// Row of the run.
     pub row: RowId,
-    /// The row's urgency.
+    /// Urgency of the row.
     pub urgency: Urgency,
-    /// The row's weight.
+    /// Weight of the row.
     pub weight: u32,
-    /// The model it needs.
+    /// Model that it needs.
     pub model: ModelName,
-    /// When its caller's patience ends, in the agent's clock.
+    /// End of the caller's wait limit, by the agent's clock.
     pub deadline_ms: u64,
-    /// How long it is expected to run.
+    /// Expected duration, in milliseconds.
     pub service_ms: u64,
-    /// KV memory it needs, in MiB.
+    /// KV memory that it needs, in MiB.
     pub kv_mib: u64,
 }
 
-/// How the queue orders and refuses.
+/// How the queue orders and refuses runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuePolicy {
-    /// Runs that the engine batches at once.
+    /// Maximum number of runs that the engine batches.
     pub slots: usize,
-    /// Slots that Batch may not take.
+    /// Number of slots that runs of `Batch` urgency may not use.
     pub batch_headroom: usize,
-    /// Refuse at once what is predicted to miss its patience.
+    /// Whether a run that is predicted to miss its deadline is refused at once.
     pub refuse_early: bool,
-    /// Order by urgency and share; else first come, first served.
+    /// Whether runs are ordered by urgency and share; otherwise first come, first served.
     pub ordered: bool,
-    /// Most runs that wait.
+    /// Maximum number of waiting runs.
     pub limit: usize,
 }
 
-/// A run that was not taken in.
+/// Refusal of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueRefusal {
-    /// When room is expected, in milliseconds from now.
+    /// Expected wait, in milliseconds; at least one.
     pub retry_after_ms: u64,
 }
 
-/// The runs that wait on one target.
+/// Runs that wait at one target.
 #[derive(Debug)]
 pub struct RunQueue {
     policy: QueuePolicy,
     runs: Vec<QueuedRun>,
-    /// Work done for each row over its weight: the least goes next.
+    /// Work done for each row, divided by its weight; the row with the least is next.
     shares: BTreeMap<RowId, u64>,
 }
 
 impl RunQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(policy: QueuePolicy) -> Self {
         Self {
             policy,
@@ -72,18 +71,18 @@
         }
     }
 
-    /// The number of waiting runs.
+    /// Returns the number of waiting runs.
     pub fn len(&self) -> usize {
         self.runs.len()
     }
 
-    /// Whether none waits.
+    /// Whether no run waits.
     pub fn is_empty(&self) -> bool {
         self.runs.is_empty()
     }
 
-    /// Expected time until a run of this urgency starts, given the time that
-    /// each running one still needs.
+    /// Returns the expected time until a run of this urgency starts, in milliseconds, given the
+    /// remaining time of each running one.
     pub fn wait_ms(&self, urgency: Urgency, running_left_ms: &[u64]) -> u64 {
         let slots = self.slots_for(urgency);
         if running_left_ms.len() < slots && self.ahead_of(urgency).next().is_none() {
@@ -94,7 +93,8 @@
         (queued + running) / slots.max(1) as u64
     }
 
-    /// Takes a run in, or refuses it when it would wait past its deadline.
+    /// Adds a run. Refuses it if the queue is full or, with `refuse_early`, if waiting would make it
+    /// miss its deadline.
     pub fn push(
         &mut self,
         now_ms: u64,
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Takes the next run that `fits`, given how many run already.
+    /// Removes and returns the next run that `fits`, given the number of running ones.
     pub fn pop(
         &mut self,
         running: usize,
@@ -133,18 +133,18 @@
         Some(run)
     }
 
-    /// The waiting runs.
+    /// Returns the waiting runs.
     pub fn runs(&self) -> &[QueuedRun] {
         &self.runs
     }
 
-    /// Takes out the runs whose deadline has passed.
+    /// Removes and returns the runs whose deadline has passed.
     pub fn expire(&mut self, now_ms: u64) -> Vec<QueuedRun> {
         let expired = |run: &mut QueuedRun| run.deadline_ms <= now_ms;
         self.runs.extract_if(.., expired).collect()
     }
 
-    /// Takes one run out.
+    /// Removes and returns one run.
     pub fn remove(&mut self, attempt: AttemptId) -> Option<QueuedRun> {
         let at = self.runs.iter().position(|run| run.attempt == attempt)?;
         Some(self.runs.remove(at))
@@ -170,8 +170,8 @@
         (run.urgency, share, run.deadline_ms)
     }
 
-    /// A row that was idle starts level with the others, so that it cannot
-    /// spend what it did not use.
+    /// Raises the share of an idle row to the lowest among waiting rows, so that it cannot use up
+    /// later what it did not use while idle.
     fn raise_idle_share(&mut self, row: &RowId) {
         let share_of = |shares: &BTreeMap<RowId, u64>, run: &QueuedRun| {
             shares.get(&run.row).copied().unwrap_or(0)
--- a/src/admission/runs.rs
+++ b/src/admission/runs.rs
@@ -1,4 +1,4 @@
-//! What entries, agents and engines tell each other of runs.
+//! Messages about runs between entries, agents and engines.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,147 +6,149 @@
 use crate::ids::{AttemptId, ContentDigest, Incarnation, ModelName, Position, RowId};
 use crate::table::rows::Urgency;
 
-/// What an entry asks to run.
+/// Request of an entry to start an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRequest {
-    /// The attempt.
+    /// Attempt ID.
     pub attempt: AttemptId,
-    /// The agent's life that it is meant for.
+    /// Incarnation of the agent that it is for.
     pub incarnation: Incarnation,
-    /// The row.
+    /// Row of the request.
     pub row: RowId,
-    /// The row's version that the entry acted on.
+    /// Version of the row that the entry used.
     pub version: Position,
-    /// The row's urgency.
+    /// Urgency of the row.
     pub urgency: Urgency,
-    /// The row's weight.
+    /// Weight of the row.
     pub weight: u32,
-    /// Whether the run may not be repeated.
+    /// Whether the run must not be repeated.
     pub at_most_once: bool,
-    /// Patience left, in milliseconds.
+    /// Remaining wait limit of the caller, in milliseconds.
     pub patience_ms: u64,
-    /// What the engine or service is asked.
+    /// Call to the engine or service.
     pub call: EngineCall,
-    /// Names what is asked, for all attempts of the same caller at it.
+    /// Digest of the content, which all attempts of the caller at this request share.
     pub content: ContentDigest,
 }
 
-/// What the engine or service is asked.
+/// Call to the engine or service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCall {
     /// Model, adapter or service.
     pub model: ModelName,
-    /// The prompt, or the body of a service's call.
+    /// Prompt, or the body of a call to a service.
     pub prompt: String,
-    /// The path of a service's call.
+    /// Path of a call to a service.
     pub path: Option<String>,
-    /// Most pieces to generate.
+    /// Maximum number of pieces to generate.
     pub max_tokens: u32,
-    /// Pieces that the caller already has from an attempt on another target.
+    /// Number of pieces that the caller already has from an attempt on another target.
     pub given: u32,
-    /// KV memory needed, in MiB.
+    /// KV memory that the run needs, in MiB.
     pub kv_mib: u64,
 }
 
-/// Why a run was not taken. All of these prove that it did not and will not run.
+/// Why a run was refused. Each cause proves that it did not and will not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefuseCause {
-    /// The target is leaving.
+    /// The target is draining.
     Leaving,
-    /// The model is not resident here.
+    /// The model is not resident at the target.
     NotHome,
-    /// It would miss its patience.
+    /// The run would miss its deadline, or the queue is full.
     Overload,
-    /// It waited past its patience.
+    /// The run waited until its deadline passed.
     Expired,
     /// The attempt was sealed before it started.
     Sealed,
-    /// Its caller cancelled it before it started.
+    /// The caller cancelled the attempt before it started.
     Cancelled,
-    /// The entry acted on an older version of the row.
+    /// The entry used an older version of the row.
     Behind,
-    /// The engine refused it before running.
+    /// The engine refused the run before starting it, or the agent has had no report from the
+    /// engine for a while.
     Engine,
     /// The agent has had no lease from control for a while.
     NoLease,
 }
 
-/// A proof that an attempt did not and will not run.
+/// Proof that an attempt did not and will not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NotRun {
-    /// Why.
+    /// Cause.
     pub cause: RefuseCause,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     pub retry_after_ms: u64,
 }
 
-/// How an answer ended.
+/// How the response of an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnd {
-    /// It is whole with this many pieces.
+    /// The response is complete.
     Complete {
-        /// Pieces from the first to the last.
+        /// Total number of pieces.
         pieces: u32,
     },
-    /// It did not run.
+    /// The attempt did not run.
     NotRun(NotRun),
-    /// It started, and its end was lost or it was cut off.
+    /// The attempt started, but its end was lost or it was cut off.
     Broken,
 }
 
-/// A part of an answer.
+/// Part of the response of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerPage {
-    /// The attempt: a page of another is never mixed in.
+    /// Attempt ID; pages of different attempts are never combined.
     pub attempt: AttemptId,
-    /// The index of the first piece.
+    /// Index of the first piece.
     pub offset: u32,
-    /// The pieces.
+    /// Pieces.
     pub pieces: Vec<String>,
-    /// The end, once the pieces reach it.
+    /// End of the response, once it is known.
     pub end: Option<RunEnd>,
 }
 
-/// What an agent says of an attempt.
+/// An agent's status of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptStatus {
-    /// It is queued, runs or ended; here is what there is.
+    /// The attempt is queued, runs or has ended; holds the response so far.
     Page(AnswerPage),
-    /// This life of the agent has not seen it.
+    /// This incarnation of the agent has no record of the attempt.
     Unseen,
-    /// It was meant for another life of the agent, which may have run it.
+    /// The request was for another incarnation of the agent, which may have run the attempt. Holds
+    /// the current one.
     OtherIncarnation(Incarnation),
 }
 
-/// A run to send to the engine.
+/// Run to send to the engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunDispatch {
-    /// The attempt.
+    /// Attempt ID.
     pub attempt: AttemptId,
-    /// What to ask.
+    /// Call to the engine.
     pub call: EngineCall,
-    /// The urgency, passed on as the engine's priority.
+    /// Urgency, passed on as the engine's priority.
     pub urgency: Urgency,
-    /// The fence that it runs under.
+    /// Fence that the run is sent under.
     pub fence: OrderSeq,
-    /// The engine's life that it is meant for.
+    /// Boot ID of the engine incarnation that the run is for.
     pub boot: u64,
 }
 
-/// What happened to a run at the engine.
+/// Event of a run at the engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEvent {
-    /// A piece came. Doubled and gapped ones are dropped.
+    /// A piece arrived. Repeated pieces and pieces after a gap are dropped.
     Piece {
-        /// Its index.
+        /// Index of the piece.
         index: u32,
-        /// Its text.
+        /// Text of the piece.
         text: String,
     },
-    /// The engine told the end.
+    /// The engine reported the end.
     Ended,
-    /// The engine refused before running.
+    /// The engine refused the run before starting it.
     Refused,
     /// The engine confirmed that it cancelled the run.
     Cancelled,
--- a/src/routing/limited_peers.rs
+++ b/src/routing/limited_peers.rs
@@ -3,7 +3,7 @@
 //!
 //! The leader counts the requests of all entries to such a replica, see
 //! [`crate::placement::replica_rates`]. A limit that the leader withdraws has ended, unless this
-//! entry received it again and has yet to report that.
+//! entry received it in a response that the leader has not processed yet.
 //!
 //! Pure: the caller passes in the time.
 
