--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -21,7 +21,7 @@
 const MAX_ENTRY_FLOORS: usize = 4096;
 /// Expected duration of a run whose row has no sample yet, in milliseconds.
 const DEFAULT_SERVICE_MS: u64 = 20;
-/// Divisor of the newest sample in the moving average of service times.
+/// Divisor that gives the newest sample its weight in the moving average of service times: 1/8.
 const SERVICE_SAMPLE_DIVISOR: u64 = 8;
 /// Time without a report after which an engine is considered dead, in milliseconds.
 const ENGINE_SILENCE_MS: u64 = 2500;
@@ -66,6 +66,7 @@
 /// Admission controller of one agent incarnation.
 #[derive(Debug)]
 pub struct AdmissionController {
+    /// Incarnation of the agent; its orders carry it as `life`.
     life: Incarnation,
     policy: AdmissionPolicy,
     ledger: MemoryLedger,
@@ -221,8 +222,13 @@
     }
 
     /// Ends an attempt for good unless it has started, and returns its status.
-    pub fn seal(&mut self, now_ms: u64, attempt: AttemptId, life: Incarnation) -> AttemptStatus {
-        if life != self.life {
+    pub fn seal(
+        &mut self,
+        now_ms: u64,
+        attempt: AttemptId,
+        incarnation: Incarnation,
+    ) -> AttemptStatus {
+        if incarnation != self.life {
             return AttemptStatus::OtherIncarnation(self.life);
         }
         let stage = self.attempts.get(&attempt).map(|a| a.stage.clone());
@@ -250,11 +256,11 @@
         &mut self,
         now_ms: u64,
         attempt: AttemptId,
-        life: Incarnation,
+        incarnation: Incarnation,
         offset: u32,
     ) -> AttemptStatus {
-        match life {
-            life if life != self.life => AttemptStatus::OtherIncarnation(self.life),
+        match incarnation {
+            incarnation if incarnation != self.life => AttemptStatus::OtherIncarnation(self.life),
             _ => self.page(now_ms, attempt, offset),
         }
     }
@@ -468,8 +474,8 @@
             *floor = (*floor).max(id.number);
         }
         while self.attempt_floors.len() > MAX_ENTRY_FLOORS {
-            if let Some((life, _)) = self.attempt_floors.pop_first() {
-                self.min_entry = Incarnation(life.0 + 1);
+            if let Some((incarnation, _)) = self.attempt_floors.pop_first() {
+                self.min_entry = Incarnation(incarnation.0 + 1);
             }
         }
     }
--- a/src/admission/ledger.rs
+++ b/src/admission/ledger.rs
@@ -151,8 +151,8 @@
         if !self.initialized {
             return self.capacity_mib;
         }
-        let models: u64 = self.models.values().map(|hold| hold.mib).sum();
-        let runs: u64 = self.runs.values().map(|hold| hold.mib).sum();
+        let models: u64 = self.models.values().map(|used| used.mib).sum();
+        let runs: u64 = self.runs.values().map(|used| used.mib).sum();
         models + runs
     }
 
@@ -163,20 +163,20 @@
 
     /// Returns the phase of a model that may be in memory.
     pub fn phase(&self, model: &ModelName) -> Option<ModelPhase> {
-        self.models.get(model).map(|hold| hold.phase)
+        self.models.get(model).map(|used| used.phase)
     }
 
     /// Returns all models that may be in memory.
     pub fn models(&self) -> impl Iterator<Item = (&ModelName, ModelPhase)> {
-        self.models.iter().map(|(model, hold)| (model, hold.phase))
+        self.models.iter().map(|(model, used)| (model, used.phase))
     }
 
     /// Whether a lost order or run could still be accepted by an engine with the fences of this
     /// report, so that a new fence is needed.
     pub fn needs_fence(&self, report: &EngineReport) -> bool {
         let model =
-            |hold: &ModelUsage| hold.phase != ModelPhase::Resident && hold.stamp.seq > report.fence;
-        let run = |hold: &RunUsage| hold.disconnected && hold.stamp.seq >= report.run_fence;
+            |used: &ModelUsage| used.phase != ModelPhase::Resident && used.stamp.seq > report.fence;
+        let run = |used: &RunUsage| used.disconnected && used.stamp.seq >= report.run_fence;
         self.models.values().any(model) || self.runs.values().any(run)
     }
 
@@ -187,23 +187,23 @@
         mib: u64,
         stamp: OrderStamp,
     ) -> Result<(), InsufficientMemory> {
-        let held = self.models.get(model).map_or(0, |hold| hold.mib);
+        let held = self.models.get(model).map_or(0, |used| used.mib);
         let extra = mib.saturating_sub(held);
         self.fits(extra)?;
-        let hold = ModelUsage {
+        let used = ModelUsage {
             mib: mib.max(held),
             phase: ModelPhase::Loading,
             stamp,
         };
-        self.models.insert(model.clone(), hold);
+        self.models.insert(model.clone(), used);
         Ok(())
     }
 
     /// Records that an unload was ordered. Its memory stays reserved.
     pub fn begin_unload(&mut self, model: &ModelName, stamp: OrderStamp) {
-        if let Some(hold) = self.models.get_mut(model) {
-            hold.phase = ModelPhase::Unloading;
-            hold.stamp = stamp;
+        if let Some(used) = self.models.get_mut(model) {
+            used.phase = ModelPhase::Unloading;
+            used.stamp = stamp;
         }
     }
 
@@ -215,12 +215,12 @@
         stamp: OrderStamp,
     ) -> Result<(), InsufficientMemory> {
         self.fits(mib)?;
-        let hold = RunUsage {
+        let used = RunUsage {
             mib,
             stamp,
             disconnected: false,
         };
-        self.runs.insert(attempt, hold);
+        self.runs.insert(attempt, used);
         Ok(())
     }
 
@@ -231,16 +231,16 @@
 
     /// Records that the connection of a run closed without an end. Its memory stays reserved.
     pub fn disconnect_run(&mut self, attempt: AttemptId, now_ms: u64) {
-        if let Some(hold) = self.runs.get_mut(&attempt) {
-            hold.disconnected = true;
-            hold.stamp.open_ms = now_ms;
+        if let Some(used) = self.runs.get_mut(&attempt) {
+            used.disconnected = true;
+            used.stamp.open_ms = now_ms;
         }
     }
 
     /// Records that the connection of a load or unload order closed, with or without a reply.
     pub fn close_order(&mut self, model: &ModelName, now_ms: u64) {
-        if let Some(hold) = self.models.get_mut(model) {
-            hold.stamp.open_ms = now_ms;
+        if let Some(used) = self.models.get_mut(model) {
+            used.stamp.open_ms = now_ms;
         }
     }
 
@@ -255,14 +255,14 @@
             return;
         }
         let check = self.check;
-        self.models.retain(|model, hold| {
-            let settled = is_settled(check, hold.stamp, report.fence, requested_ms);
+        self.models.retain(|model, used| {
+            let settled = is_settled(check, used.stamp, report.fence, requested_ms);
             match report.resident.get(model) {
                 None => !settled,
                 Some(info) => {
-                    hold.mib = hold.mib.max(info.mib);
+                    used.mib = used.mib.max(info.mib);
                     if settled && info.ready {
-                        hold.phase = ModelPhase::Resident;
+                        used.phase = ModelPhase::Resident;
                     }
                     true
                 }
--- a/src/routing/content.rs
+++ b/src/routing/content.rs
@@ -29,8 +29,8 @@
         hash.update(part.as_bytes());
     }
     hash.update(parts.body);
-    let whole: [u8; 32] = hash.finalize().into();
+    let full: [u8; 32] = hash.finalize().into();
     let mut short = [0; ContentDigest::LEN];
-    short.copy_from_slice(&whole[..ContentDigest::LEN]);
+    short.copy_from_slice(&full[..ContentDigest::LEN]);
     ContentDigest(short)
 }
--- a/src/routing/limited_peers.rs
+++ b/src/routing/limited_peers.rs
@@ -31,6 +31,7 @@
     known: Option<NamedRate>,
     /// Time of that update, in milliseconds.
     known_ms: u64,
+    /// Last limit that a response to this entry advertised.
     last: Option<ReceivedLimit>,
     /// Permit of the last response that no longer advertised a limit, until the leader has
     /// processed it.
--- a/src/routing/permit_throttle.rs
+++ b/src/routing/permit_throttle.rs
@@ -22,6 +22,7 @@
     rate: Option<NamedRate>,
     /// Send time of each request without a reply.
     pending_ms: Vec<u64>,
+    /// Whether the last reply was a grant.
     granted: bool,
 }
 
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -50,7 +50,7 @@
 mutant claim-taken-twice src/consensus/claims.rs 's/\(Some\(record\), _\) if record\.settled != Some\(Settlement::NotRun\) =>/(Some(record), _) if false \&\& record.settled != Some(Settlement::NotRun) =>/' fuzz $log
 mutant lost-disk-votes-again tests/fuzz/log.rs 's/self\.voters\[voter\]\.id = id;\n        self\.voters\[voter\]\.disk = DiskImage::default\(\);/let founders = (0..VOTERS as u64).map(NodeId).collect();\n        self.voters[voter].disk = LogReplica::founding_image(founders);/' fuzz $log
 gate=outcomes_memory_and_runs_are_true
-mutant memory-freed-at-order src/admission/ledger.rs 's/hold\.phase = ModelPhase::Unloading;\n            hold\.stamp = stamp;/hold.phase = ModelPhase::Unloading;\n            hold.mib = 0;\n            hold.stamp = stamp;/' fuzz $gate
+mutant memory-freed-at-order src/admission/ledger.rs 's/used\.phase = ModelPhase::Unloading;\n            used\.stamp = stamp;/used.phase = ModelPhase::Unloading;\n            used.mib = 0;\n            used.stamp = stamp;/' fuzz $gate
 mutant unanswered-load-not-counted src/admission/ledger.rs 's/None => !settled,/None => false,/' fuzz $gate
 mutant account-open-at-once src/admission/ledger.rs 's/OrderCheck::Fenced => report\.fence\.life == life,/OrderCheck::Fenced => true,/' fuzz $gate
 mutant no-wait-for-late-orders src/admission/controller.rs 's/let open_after_ms = now_ms \+ policy\.lease_ms \+ late_ms;/let open_after_ms = 0 * (now_ms + policy.lease_ms + late_ms);/' fuzz $gate
