--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -12,11 +12,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-use crate::admission::gate::{
-    AttemptWord, EngineOrder, GatePolicy, RunAsk, RunDispatch, RunEvent, TargetGate,
+use crate::admission::controller::{
+    AttemptStatus, EngineOrder, AdmissionPolicy, RunRequest, RunDispatch, RunEvent, AdmissionController,
 };
-use crate::admission::ledger::HoldPhase;
-use crate::admission::lost_runs::EndedLife;
+use crate::admission::ledger::ModelPhase;
+use crate::admission::lost_runs::CrashedIncarnation;
 use crate::agent::engine::{EngineClient, EngineError, EngineStream, StreamPart};
 use crate::clock;
 use crate::consensus::crashes::CrashReport;
@@ -53,7 +53,7 @@
     settings: AgentSettings,
     link: Arc<ControlLink>,
     follower: SiteFollower,
-    gate: Mutex<TargetGate>,
+    gate: Mutex<AdmissionController>,
     life: Incarnation,
     address: String,
     wake: Notify,
@@ -61,7 +61,7 @@
 }
 
 impl AgentShared {
-    fn gate(&self) -> MutexGuard<'_, TargetGate> {
+    fn gate(&self) -> MutexGuard<'_, AdmissionController> {
         self.gate
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
@@ -90,7 +90,7 @@
         }
     }
 
-    fn word(&self, status: AttemptWord) -> AgentReply {
+    fn word(&self, status: AttemptStatus) -> AgentReply {
         // The copy's lock is never taken under the gate's.
         let position = self.follower.position();
         let gate = self.gate();
@@ -125,13 +125,13 @@
         let follower = SiteFollower::new(link.clone());
         follower.start().await?;
         let services = settings.services.iter().cloned().collect();
-        let policy = GatePolicy {
+        let policy = AdmissionPolicy {
             capacity_mib: settings.memory_mib,
             check: settings.check,
             lease_ms: settings.lease_ms,
             queue: settings.queue.policy(),
         };
-        let gate = TargetGate::new(life, policy, services, clock::monotonic_ms());
+        let gate = AdmissionController::new(life, policy, services, clock::monotonic_ms());
         let engine = EngineClient::new(&settings.target_url).await;
         let shared = Arc::new(AgentShared {
             settings,
@@ -158,7 +158,7 @@
     /// Turns new work away, ends what is in flight, and leaves the site.
     pub async fn stop(&self) {
         let shared = &self.shared;
-        shared.gate().leave();
+        shared.gate().drain();
         let drained = async {
             // Entries learn of it from control meanwhile.
             tokio::time::sleep(LEAVE_NOTICE).await;
@@ -198,7 +198,7 @@
 fn learn_rows(agent: &AgentShared, view: &SiteView) {
     let mut gate = agent.gate();
     for (id, row) in &view.rows {
-        gate.learn_row(id, row.version);
+        gate.record_row_version(id, row.version);
     }
 }
 
@@ -219,8 +219,8 @@
     let fixed = agent.settings.services.iter();
     let fixed = fixed.map(|service| (service.clone(), true));
     let loaded = ledger.models();
-    let loaded = loaded.map(|(model, phase)| (model.clone(), phase == HoldPhase::Resident));
-    let known = ledger.is_open() || agent.settings.memory_mib == 0;
+    let loaded = loaded.map(|(model, phase)| (model.clone(), phase == ModelPhase::Resident));
+    let known = ledger.is_initialized() || agent.settings.memory_mib == 0;
     AgentHeartbeat {
         host: agent.settings.common.host.clone(),
         incarnation: agent.life,
@@ -228,7 +228,7 @@
         plan: gate.plan_position(),
         holds: known.then(|| loaded.chain(fixed).collect()),
         busy: gate.busy(),
-        leaving: gate.is_leaving(),
+        leaving: gate.is_draining(),
         stopped,
     }
 }
@@ -251,7 +251,7 @@
         let asked_ms = clock::monotonic_ms();
         // Without its engine, the target is as good as lost: its models are
         // wanted elsewhere. It rejoins with the same life once it is back.
-        let blind = agent.gate().is_blind(asked_ms);
+        let blind = agent.gate().is_engine_silent(asked_ms);
         let beat = make_beat(agent, blind);
         match send_beat(agent, beat).await {
             Ok(_) if blind => {}
@@ -279,7 +279,7 @@
                 Ok(true) => tracing::info!("was taken for lost, and is back"),
                 Ok(false) => {
                     tracing::error!("another process keeps this target: takes no more work");
-                    agent.gate().leave();
+                    agent.gate().drain();
                 }
                 Err(error) => tracing::debug!(%error, "cannot rejoin"),
             }
@@ -306,7 +306,7 @@
 }
 
 /// Tells the log of an end of the engine, until it holds it.
-async fn report_crash(agent: Arc<AgentShared>, ended: EndedLife) {
+async fn report_crash(agent: Arc<AgentShared>, ended: CrashedIncarnation) {
     let report = CrashReport {
         replica: ReplicaIncarnation {
             id: ReplicaId::from(agent.settings.common.host.as_str()),
@@ -410,7 +410,9 @@
 
 fn note(agent: &AgentShared, attempt: AttemptId, event: RunEvent) -> Option<u32> {
     let ended = !matches!(event, RunEvent::Piece { .. });
-    let resume = agent.gate().on_run(clock::monotonic_ms(), attempt, event);
+    let resume = agent
+        .gate()
+        .on_run_event(clock::monotonic_ms(), attempt, event);
     agent.tell(attempt);
     if ended {
         agent.wake.notify_one();
@@ -425,7 +427,7 @@
 }
 
 impl AgentWire for AgentServer {
-    async fn start(self, _: Context, position: Position, ask: RunAsk) -> AgentReply {
+    async fn start(self, _: Context, position: Position, ask: RunRequest) -> AgentReply {
         let agent = &self.shared;
         agent.follower.observe_position(position);
         let word = agent.gate().start(clock::monotonic_ms(), ask);
@@ -477,10 +479,10 @@
     }
 }
 
-fn is_empty(word: &AttemptWord) -> bool {
+fn is_empty(word: &AttemptStatus) -> bool {
     match word {
-        AttemptWord::Page(page) => page.pieces.is_empty() && page.end.is_none(),
-        AttemptWord::Unseen | AttemptWord::OtherLife(_) => false,
+        AttemptStatus::Page(page) => page.pieces.is_empty() && page.end.is_none(),
+        AttemptStatus::Unseen | AttemptStatus::OtherIncarnation(_) => false,
     }
 }
 
@@ -533,7 +535,7 @@
         ("dunlinspring_memory_used_mib", gate.ledger().used_mib()),
         ("dunlinspring_memory_free_mib", gate.ledger().free_mib()),
         ("dunlinspring_attempts_remembered", gate.remembered() as u64),
-        ("dunlinspring_leaving", u64::from(gate.is_leaving())),
+        ("dunlinspring_leaving", u64::from(gate.is_draining())),
     ];
     let mut book = MetricRegistry::default();
     for (name, value) in gauges {
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -29,7 +29,7 @@
     self, AccountStatus, AgentHeartbeatReply, ControlRefusal, ControlStatus, EntryHeartbeatReply,
     LimitStatus, PositionUpdate, TableStatus,
 };
-use crate::routing::authority::FreshnessProof;
+use crate::routing::freshness::FreshnessProof;
 use crate::routing::view::{self, SyncPage};
 use crate::table::accounts::{AccountList, AccountSpec};
 use crate::table::quota::QuotaGrantor;
--- a/src/placement/target_controller.rs
+++ b/src/placement/target_controller.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::admission::gate::TargetPlan;
+use crate::admission::controller::TargetPlan;
 use crate::consensus::state::{Command, HomePhase, HomeReport, SiteState};
 use crate::ids::{HostName, Incarnation, ModelName, Position, RowId, TargetName, Term};
 use crate::placement::moves::{self, DemandTracker, PlacementPolicy};
@@ -244,8 +244,8 @@
         TargetPlan {
             term: self.term,
             position: state.position,
-            life: heartbeat.incarnation,
-            want: planned_models(state, target, heartbeat),
+            incarnation: heartbeat.incarnation,
+            desired_models: planned_models(state, target, heartbeat),
             lease_ms: self.policy.lease_ms,
         }
     }
--- a/src/process/follow.rs
+++ b/src/process/follow.rs
@@ -15,7 +15,7 @@
 use crate::ids::{HallName, Position};
 use crate::process::peers::{self, ControlLink, PeerError};
 use crate::process::wire::{ControlRefusal, PositionUpdate};
-use crate::routing::authority::ProofBook;
+use crate::routing::freshness::ProofCache;
 use crate::routing::view::SiteView;
 
 /// Longest time for which a control host may hold back its position, in milliseconds.
@@ -55,7 +55,7 @@
     /// Held during a pull.
     pull_lock: tokio::sync::Mutex<()>,
     leader_seen_ms: AtomicU64,
-    proofs: Mutex<ProofBook>,
+    proofs: Mutex<ProofCache>,
     changed: Notify,
     proof_received: Notify,
 }
@@ -107,7 +107,7 @@
     /// Returns the age of the latest proof that no configuration newer than `version` had been
     /// acknowledged, in milliseconds; `None` without a proof.
     pub fn proof_age_ms(&self, version: u64) -> Option<u64> {
-        let proven_ms = peers::lock(&self.proofs).proven_ms(version)?;
+        let proven_ms = peers::lock(&self.proofs).fresh_at_ms(version)?;
         Some(clock::monotonic_ms().saturating_sub(proven_ms))
     }
 
@@ -137,7 +137,7 @@
         self.leader_seen_ms
             .fetch_max(leader_seen_ms, Ordering::SeqCst);
         if let Some(proof) = notice.proof {
-            peers::lock(&self.proofs).hear(proof, asked_ms);
+            peers::lock(&self.proofs).record(proof, asked_ms);
             self.proof_received.notify_waiters();
         }
     }
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -260,7 +260,7 @@
     /// Returns the policy of the retry budget.
     pub fn retries(&self) -> RetryPolicy {
         RetryPolicy {
-            earned: self.retry_earned,
+            earned_hundredths: self.retry_earned,
             burst: self.retry_burst,
         }
     }
--- a/src/process/wire.rs
+++ b/src/process/wire.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::admission::gate::{AttemptWord, RunAsk, TargetPlan};
+use crate::admission::controller::{AttemptStatus, RunRequest, TargetPlan};
 use crate::consensus::claims::ClaimRecord;
 use crate::consensus::crashes::CrashStore;
 use crate::consensus::directory::{HeartbeatStatus, ReplicaRecord};
@@ -24,7 +24,7 @@
     SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
 };
 use crate::placement::target_controller::{AgentHeartbeat, EntryHeartbeat};
-use crate::routing::authority::FreshnessProof;
+use crate::routing::freshness::FreshnessProof;
 use crate::routing::view::SyncPage;
 use crate::table::accounts::QuotaSpec;
 use crate::table::configuration::ConfigurationRecord;
@@ -252,7 +252,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentReply {
     /// Status of the attempt.
-    pub status: AttemptWord,
+    pub status: AttemptStatus,
     /// Number of queued and running requests.
     pub load: u32,
     /// Log position of the agent, so that an entry that is behind catches up.
@@ -264,7 +264,7 @@
 #[tarpc::service]
 pub trait AgentWire {
     /// Starts an attempt, at most once.
-    async fn start(position: Position, request: RunAsk) -> AgentReply;
+    async fn start(position: Position, request: RunRequest) -> AgentReply;
     /// Returns the output from a piece on, and waits up to `wait_ms` for one.
     async fn pull(
         attempt: AttemptId,
--- a/src/routing/suspects.rs
+++ b/src/routing/suspects.rs
@@ -1,56 +1,57 @@
-//! What a member knows of contents under which replicas ended: what the log holds, and what
-//! it has seen itself and does not follow in the log yet.
+//! Tracks contents during which replicas crashed: the counts in the log, and crashes that this
+//! member observed and has not yet followed in the log.
 
 use std::collections::BTreeMap;
 
 use crate::consensus::crashes::{ContentStanding, CrashCounts, CrashReport};
 use crate::ids::{ContentDigest, Position, ReplicaIncarnation};
 
-/// When a caller comes back whose content is sent no more, in milliseconds: nothing it could
-/// do helps, and an operator needs minutes to look at it.
-pub const BARRED_RETRY_MS: u64 = 60_000;
+/// Retry delay reported for a quarantined content, in milliseconds. A caller cannot resolve it, and
+/// an operator needs minutes to examine it.
+pub const QUARANTINE_RETRY_MS: u64 = 60_000;
 
-/// Where in the log an end stands; none while the log was not told.
-type ToldAt = Option<Position>;
+/// Log position of a crash report; `None` until the log holds it.
+type LoggedAt = Option<Position>;
 
-/// A member's knowledge.
+/// Suspect contents known to one member.
 #[derive(Debug, Default)]
-pub struct SuspectBook {
-    followed: CrashCounts,
-    /// Ends that this member saw and does not follow in the log yet.
-    seen: BTreeMap<ContentDigest, BTreeMap<ReplicaIncarnation, ToldAt>>,
+pub struct SuspectIndex {
+    logged: CrashCounts,
+    /// Crashes that this member observed and has not followed in the log yet.
+    observed: BTreeMap<ContentDigest, BTreeMap<ReplicaIncarnation, LoggedAt>>,
 }
 
-impl SuspectBook {
-    /// Whether all contents are harmless: then nobody needs a request's digest.
+impl SuspectIndex {
+    /// Whether no content is suspect, so that no request needs a digest.
     pub fn is_empty(&self) -> bool {
-        self.followed.is_empty() && self.seen.is_empty()
+        self.logged.is_empty() && self.observed.is_empty()
     }
 
-    /// Takes over what the log holds at a position.
+    /// Takes over the counts of the log at a position.
     pub fn follow(&mut self, position: Position, counts: &CrashCounts) {
-        if self.followed != *counts {
-            self.followed = counts.clone();
+        if self.logged != *counts {
+            self.logged = counts.clone();
         }
-        self.seen.retain(|_, lives| {
-            lives.retain(|_, told| told.is_none_or(|at| at > position));
-            !lives.is_empty()
+        self.observed.retain(|_, replicas| {
+            replicas.retain(|_, logged_at| logged_at.is_none_or(|at| at > position));
+            !replicas.is_empty()
         });
     }
 
-    /// Notes an end that this member saw, and where the log holds it, if it does.
-    pub fn note(&mut self, report: &CrashReport, told: ToldAt) {
+    /// Records a crash that this member observed, and its log position if the log holds it.
+    pub fn record_crash(&mut self, report: &CrashReport, logged_at: LoggedAt) {
         for content in &report.contents {
-            let lives = self.seen.entry(*content).or_default();
-            lives.insert(report.replica.clone(), told);
+            let replicas = self.observed.entry(*content).or_default();
+            replicas.insert(report.replica.clone(), logged_at);
         }
     }
 
-    /// What is to be made of a content. Where both this member and others know of ends, they
-    /// may be the same ones: the leader, who is asked before a suspect runs, knows all.
+    /// Returns the standing of a content. Observed and logged crashes may be the same ones, so the
+    /// higher count is used; the leader, which is asked before a suspect content runs, knows all of
+    /// them.
     pub fn standing(&self, content: &ContentDigest) -> ContentStanding {
-        let followed = self.followed.get(content).copied().unwrap_or(0);
-        let seen = self.seen.get(content).map_or(0, BTreeMap::len);
-        ContentStanding::of(followed.max(seen as u8))
+        let logged = self.logged.get(content).copied().unwrap_or(0);
+        let observed = self.observed.get(content).map_or(0, BTreeMap::len);
+        ContentStanding::of(logged.max(observed as u8))
     }
 }
