--- a/benches/core.rs
+++ b/benches/core.rs
@@ -12,7 +12,7 @@
 use dunlinspring::consensus::state::*;
 use dunlinspring::ids::*;
 use dunlinspring::placement::moves::{self, DemandTracker, PlacementPolicy};
-use dunlinspring::routing::route::{self, LoadTracker, RouteRequest, HomeCandidate, RoutePolicy};
+use dunlinspring::routing::route::{self, HomeCandidate, LoadTracker, RoutePolicy, RouteRequest};
 use dunlinspring::routing::view;
 use dunlinspring::table::accounts::{AccountList, AccountSpec, QuotaSpec, QuotaUnit};
 use dunlinspring::table::limits::{LimitClaim, LimitPolicy, ShareGrantor};
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -13,7 +13,8 @@
 use tokio::sync::Notify;
 
 use crate::admission::controller::{
-    AttemptStatus, EngineOrder, AdmissionPolicy, RunRequest, RunDispatch, RunEvent, AdmissionController,
+    AdmissionController, AdmissionPolicy, AttemptStatus, EngineOrder, RunDispatch, RunEvent,
+    RunRequest,
 };
 use crate::admission::ledger::ModelPhase;
 use crate::admission::lost_runs::CrashedIncarnation;
--- a/src/entry/flight_steps.rs
+++ b/src/entry/flight_steps.rs
@@ -7,7 +7,9 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::admission::controller::{AttemptStatus, EngineCall, NotRun, RefuseCause, RunRequest, RunEnd};
+use crate::admission::controller::{
+    AttemptStatus, EngineCall, NotRun, RefuseCause, RunEnd, RunRequest,
+};
 use crate::clock;
 use crate::consensus::claims::{ClaimKey, ClaimRequest, Settlement};
 use crate::consensus::crashes::ContentStanding;
@@ -18,11 +20,11 @@
 use crate::process::{crash_report, member, peers};
 use crate::routing::content::{self, ContentParts};
 use crate::routing::lifecycle::{
-    DEFAULT_RETRY_MS, EndCause, RequestEvent, RequestOutcome, AttemptPolicy, RequestStep, TargetAttempt,
-    RequestLifecycle,
+    AttemptPolicy, DEFAULT_RETRY_MS, EndCause, RequestEvent, RequestLifecycle, RequestOutcome,
+    RequestStep, TargetAttempt,
 };
 use crate::routing::refusals::HomeRequest;
-use crate::routing::route::{self, RouteRequest, HomeCandidate};
+use crate::routing::route::{self, HomeCandidate, RouteRequest};
 use crate::table::rows::Row;
 
 /// Time for an agent to answer a start or a seal.
--- a/src/forward/book/bars.rs
+++ b/src/forward/book/bars.rs
@@ -7,7 +7,7 @@
 use crate::forward::permits::RatePermit;
 use crate::forward::replica_note::ReplicaNote;
 use crate::ids::{HallName, ReplicaId, ReplicaIncarnation, ServiceName};
-use crate::routing::backoff::{RequestedBackoff, SlotOutcome, Blocked, SendSlot};
+use crate::routing::backoff::{Blocked, RequestedBackoff, SendSlot, SlotOutcome};
 use crate::routing::limited_peers::LimitedPeers;
 use crate::routing::permit_throttle::PermitThrottle;
 use crate::table::configuration::ServiceSpec;
@@ -140,7 +140,10 @@
     /// Why nothing may be sent to a replica now.
     pub(super) fn bar(&self, note: &ReplicaNote, now_ms: u64) -> Option<ReplicaBar> {
         let record = &note.record;
-        match self.backoffs.blocked_by(now_ms, &record.id, record.started_ms) {
+        match self
+            .backoffs
+            .blocked_by(now_ms, &record.id, record.started_ms)
+        {
             _ if self.is_evacuated(record) => Some(ReplicaBar::Evacuated),
             Some(bar) => Some(ReplicaBar::Asked(bar)),
             None if self.takes_few(now_ms, record) => {
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -13,7 +13,7 @@
 use crate::ids::ReplicaId;
 use crate::placement::named_limits::PermitStamp;
 use crate::placement::named_rate::AdvertisedRate;
-use crate::routing::backoff::{RequestedBackoff, SlotOutcome, SendSlot};
+use crate::routing::backoff::{RequestedBackoff, SendSlot, SlotOutcome};
 
 use super::Flight;
 
--- a/src/routing/lifecycle.rs
+++ b/src/routing/lifecycle.rs
@@ -2,7 +2,7 @@
 //! performs each [`RequestStep`] and returns the resulting [`RequestEvent`].
 
 use crate::admission::controller::{AnswerPage, AttemptStatus, NotRun, RefuseCause, RunEnd};
-use crate::consensus::claims::{ClaimReply, ClaimRecord, Settlement};
+use crate::consensus::claims::{ClaimRecord, ClaimReply, Settlement};
 use crate::ids::{AttemptId, Incarnation, TargetName};
 use crate::routing::suspects::QUARANTINE_RETRY_MS;
 
--- a/src/routing/limited_peers.rs
+++ b/src/routing/limited_peers.rs
@@ -94,7 +94,11 @@
     }
 
     /// Returns the last limit that a replica advertised to this entry, for the leader.
-    pub fn latest_limit(&self, now_ms: u64, replica: &ReplicaIncarnation) -> Option<LimitObservation> {
+    pub fn latest_limit(
+        &self,
+        now_ms: u64,
+        replica: &ReplicaIncarnation,
+    ) -> Option<LimitObservation> {
         let last = self.peers.get(replica)?.last?;
         Some(LimitObservation {
             replica: replica.clone(),
--- a/tests/flight.rs
+++ b/tests/flight.rs
@@ -3,7 +3,8 @@
 use dunlinspring::consensus::claims::ClaimReply;
 use dunlinspring::ids::{AttemptId, Incarnation, Position, TargetName};
 use dunlinspring::routing::lifecycle::{
-    EndCause, RequestEvent, RequestOutcome, AttemptPolicy, RequestStep, TargetAttempt, RequestLifecycle,
+    AttemptPolicy, EndCause, RequestEvent, RequestLifecycle, RequestOutcome, RequestStep,
+    TargetAttempt,
 };
 
 fn claiming() -> (RequestLifecycle, TargetAttempt) {
