--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -44,7 +44,7 @@
 /// reported at once; where replicas change hundreds of times a second, a member queries and
 /// pulls ten times a second rather than for each change.
 const NOTIFY_INTERVAL_MS: u64 = 100;
-/// Silence after which an even set of voters drops a voter, in milliseconds.
+/// Silence of a voter after which an even set of voters drops it, in milliseconds.
 const SHED_VOTER_MS: u64 = 3_000;
 /// The first term, whose leader has no predecessor.
 const FIRST_TERM: Term = Term(1);
@@ -64,7 +64,7 @@
     answer: WaiterReply,
 }
 
-/// Whether the voter continues to run.
+/// Whether the event loop continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RunState {
     Runs,
