--- a/src/forward/daemon.rs
+++ b/src/forward/daemon.rs
@@ -15,15 +15,15 @@
 
 use crate::clock;
 use crate::consensus::directory::ReplicaRecord;
-use crate::forward::book::{ChoicePolicy, EjectNews, Need, ReplicaBook};
 use crate::forward::budget::{ResendBudget, ResendPolicy};
 use crate::forward::client;
 use crate::forward::crashes::CrashWatch;
-use crate::forward::crowd;
 use crate::forward::dialect::HeaderNames;
 use crate::forward::limits;
-use crate::forward::place::EntryPlace;
+use crate::forward::locality::EntryPlace;
+use crate::forward::queue_reports;
 use crate::forward::quotas::{self, QuotaClient};
+use crate::forward::replica_table::{ChoicePolicy, EjectNews, Need, ReplicaBook};
 use crate::forward::request_log::LineBudget;
 use crate::forward::unknown_headers::UnknownHeaders;
 use crate::forward::upstream::ConnectionPool;
@@ -639,7 +639,7 @@
         daemon::spawn_local(follow(core.clone()));
         daemon::spawn_local(report(core.clone()));
         daemon::spawn_local(quotas::draw_quotas(core.clone()));
-        daemon::spawn_local(crowd::tell_crowd(core.clone()));
+        daemon::spawn_local(queue_reports::tell_crowd(core.clone()));
         daemon::spawn_local(limits::tell_limits(core.clone()));
         daemon::spawn_local(prune(core.clone()));
         daemon::spawn_local(accept(core.clone(), listener));
--- a/src/forward/mod.rs
+++ b/src/forward/mod.rs
@@ -1,32 +1,32 @@
 //! The way of a request straight to a replica that registered itself.
 //!
 //! Data flows one way: [`client`] reads a request, [`request`] decides what
-//! becomes of it by [`book`], and [`upstream`] carries it to a replica; [`own_answer`]
+//! becomes of it by [`replica_table`], and [`upstream`] carries it to a replica; [`own_answer`]
 //! is what a caller gets that no replica answers. Parsing is in [`head`], [`chunked`] and
 //! [`events`], all pure.
 
-pub mod book;
+pub mod answer_separation;
 pub mod budget;
 pub mod caller;
 pub mod chunked;
 pub mod client;
 pub mod crashes;
-pub mod crowd;
 pub mod daemon;
 pub mod dialect;
 pub mod events;
 pub mod head;
 pub mod limits;
+pub mod locality;
+pub mod max_wait;
 pub mod need;
 pub mod own_answer;
-pub mod patience;
 pub mod permits;
-pub mod place;
+pub mod queue_reports;
 pub mod quotas;
-mod replica_note;
+mod replica_state;
+pub mod replica_table;
 pub mod request;
 pub mod request_log;
-pub mod separation;
-pub mod turns;
+pub mod suspect_leases;
 pub mod unknown_headers;
 pub mod upstream;
--- a/src/forward/need.rs
+++ b/src/forward/need.rs
@@ -3,7 +3,7 @@
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize};
 
-use crate::forward::place::AllowedRegions;
+use crate::forward::locality::AllowedRegions;
 use crate::ids::{ModelName, ServiceName};
 use crate::table::configuration::SLACK_RANKS;
 
--- a/src/forward/book.rs
+++ b/src/forward/replica_table.rs
@@ -4,18 +4,18 @@
 //! an answer, corrected by this entry's own requests since; what others sent
 //! fades with the report's age.
 
-mod bars;
+mod blocks;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::consensus::directory::{ReplicaPhase, ReplicaRecord};
+use crate::forward::answer_separation::AnswerMix;
+use crate::forward::locality::{EntryPlace, HallDistance};
 use crate::forward::need::URGENCIES;
 pub use crate::forward::need::{ChoicePolicy, Need};
-use crate::forward::place::{EntryPlace, HallDistance};
-use crate::forward::replica_note::{
+use crate::forward::replica_state::{
     CROWD_MS, CrowdNote, PACE_PART, ReadPace, ReplicaNote, ToldLoad,
 };
-use crate::forward::separation::AnswerMix;
 use crate::ids::{HallName, ReplicaId, ServiceName};
 use crate::placement::crowd::WaitingTokens;
 use crate::routing::backoff::{BackoffBook, SendBar};
@@ -23,7 +23,7 @@
 use crate::routing::permit_pace::PermitPace;
 use crate::routing::warm_up::WarmupBook;
 use crate::table::configuration::WarmupSpec;
-pub use bars::ReplicaBar;
+pub use blocks::ReplicaBar;
 
 /// The choice.
 #[derive(Clone, Debug, PartialEq)]
@@ -285,7 +285,7 @@
                 note.record.id,
                 note.slots,
                 note.record.phase,
-                bars::bar_text(self.bar(note, now_ms)),
+                blocks::bar_text(self.bar(note, now_ms)),
                 self.holds_adapter(note, need)
             )
         });
--- a/src/forward/book/bars.rs
+++ b/src/forward/replica_table/blocks.rs
@@ -5,7 +5,7 @@
 
 use crate::consensus::directory::{ReplicaPhase, ReplicaRecord};
 use crate::forward::permits::RatePermit;
-use crate::forward::replica_note::ReplicaNote;
+use crate::forward::replica_state::ReplicaNote;
 use crate::ids::{HallName, ReplicaId, ReplicaLife, ServiceName};
 use crate::routing::backoff::{AskedPause, ClaimEnd, SendBar, SendClaim};
 use crate::routing::limited_peers::LimitedPeers;
--- a/src/forward/request.rs
+++ b/src/forward/request.rs
@@ -5,9 +5,9 @@
 //! to have run or not is a 502 or 504, never a 503.
 
 mod answer_heads;
+mod attempt_guard;
 mod crashes;
 mod placing;
-mod try_guard;
 mod wire_heads;
 
 use std::collections::BTreeSet;
@@ -15,26 +15,26 @@
 use std::time::{Duration, Instant};
 
 use crate::clock;
-use crate::forward::book::{self, EngineBounds, Need, TryEnd};
 use crate::forward::caller::{self, CallerIdentity, CallerRefusal};
 use crate::forward::client::{AfterAnswer, ClientRequest, ClientWriter};
 use crate::forward::crashes::{CrashCase, SentTo};
 use crate::forward::daemon::{EntryCore, Routing};
 use crate::forward::events::EventCutter;
 use crate::forward::head::{self, ResponseHead};
+use crate::forward::locality::AllowedRegions;
 use crate::forward::own_answer::{self, Refusal, UNKNOWN_RETRY, closes, finish, refuse_plainly};
 use crate::forward::permits::RatePermit;
-use crate::forward::place::AllowedRegions;
 use crate::forward::quotas::QuotaRefusal;
+use crate::forward::replica_table::{self, EngineBounds, Need, TryEnd};
 use crate::forward::request_log::{Outcome, RequestLog};
-use crate::forward::turns::TurnGuard;
+use crate::forward::suspect_leases::TurnGuard;
 use crate::forward::upstream::{Connection, Exchange, ExchangeError, Outgoing};
 use crate::ids::{ContentDigest, ReplicaId};
 use crate::routing::backoff::ClaimEnd;
 use crate::routing::suspects::BARRED_RETRY_MS;
 use crate::table::configuration::{RouteKind, RouteSpec};
 
-use try_guard::TryGuard;
+use attempt_guard::TryGuard;
 
 /// Largest answer that is held until it is whole, in bytes.
 const MAX_HELD: usize = 1024 * 1024;
@@ -510,7 +510,7 @@
         writer: &mut ClientWriter,
     ) -> Tried {
         let core = self.core;
-        let load = head::find(&head.headers, core.names.load).and_then(book::parse_load);
+        let load = head::find(&head.headers, core.names.load).and_then(replica_table::parse_load);
         if let Some(load) = load {
             let now_ms = clock::monotonic_ms();
             core.book.borrow_mut().tell(now_ms, &guard.replica, load);
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -5,11 +5,11 @@
 use std::rc::Rc;
 
 use crate::clock;
-use crate::forward::book::ReplicaBar;
 use crate::forward::crashes::SentTo;
 use crate::forward::daemon::EntryCore;
 use crate::forward::head::{self, ResponseHead};
 use crate::forward::permits::RatePermit;
+use crate::forward::replica_table::ReplicaBar;
 use crate::ids::ReplicaId;
 use crate::placement::named_limits::PermitStamp;
 use crate::placement::named_rate::NamedRate;
--- a/src/forward/request/try_guard.rs
+++ b/src/forward/request/attempt_guard.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use crate::clock;
-use crate::forward::book::{Need, TryEnd};
 use crate::forward::daemon::EntryCore;
+use crate::forward::replica_table::{Need, TryEnd};
 use crate::ids::ReplicaId;
 use crate::placement::named_limits::PermitStamp;
 use crate::routing::backoff::{ClaimEnd, SendClaim};
--- a/src/forward/request/crashes.rs
+++ b/src/forward/request/crashes.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use crate::consensus::crashes::ContentStanding;
 use crate::forward::own_answer::Refusal;
-use crate::forward::turns::Clearance;
+use crate::forward::suspect_leases::Clearance;
 use crate::forward::upstream::ExchangeError;
 use crate::ids::{ContentDigest, ReplicaId};
 use crate::placement::turns::TurnAsk;
--- a/src/forward/request/placing.rs
+++ b/src/forward/request/placing.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, Instant};
 
 use crate::clock;
-use crate::forward::book::Choice;
+use crate::forward::max_wait;
 use crate::forward::own_answer::Refusal;
-use crate::forward::patience;
-use crate::forward::turns::Clearance;
+use crate::forward::replica_table::Choice;
+use crate::forward::suspect_leases::Clearance;
 use crate::ids::ReplicaId;
 
 use super::{Flight, LEAST_LEFT};
@@ -61,7 +61,7 @@
                 }
                 Choice::Evacuated => return Err(Refusal::Evacuated),
                 Choice::Absent => {
-                    let wait = patience::wait_for_load(self.load_time(), waited, self.left());
+                    let wait = max_wait::wait_for_load(self.load_time(), waited, self.left());
                     (Refusal::Absent, wait)
                 }
             };
@@ -102,7 +102,7 @@
     }
 
     fn room_wait(&self) -> Duration {
-        patience::wait_for_room(self.aim(), self.core.choice().room_part)
+        max_wait::wait_for_room(self.aim(), self.core.choice().room_part)
     }
 
     fn choose(&self, now_ms: u64) -> Choice {
--- a/src/forward/request/wire_heads.rs
+++ b/src/forward/request/wire_heads.rs
@@ -1,9 +1,9 @@
 //! What a request's headers say of its need, and the heads that go on: the request's to a
 //! replica, and the answer's to the client.
 
-use crate::forward::book::Need;
 use crate::forward::daemon::EntryCore;
 use crate::forward::head::{self, Framing, ResponseHead};
+use crate::forward::replica_table::Need;
 use crate::ids::{ModelName, ReplicaId, ServiceName};
 
 use super::{Flight, draw};
--- a/src/forward/request_log.rs
+++ b/src/forward/request_log.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use crate::clock;
-use crate::forward::book::Need;
 use crate::forward::caller::CallerIdentity;
 use crate::forward::daemon::EntryCore;
+use crate::forward::replica_table::Need;
 use crate::ids::{ContentDigest, ReplicaId};
 use crate::process::metrics::MetricKey;
 use crate::table::configuration::RouteSpec;
--- a/tests/ahead.rs
+++ b/tests/ahead.rs
@@ -9,8 +9,8 @@
 
 use dunlinspring::consensus::directory::ReplicaRecord;
 use dunlinspring::consensus::state::{Command, SiteState};
-use dunlinspring::forward::book::{Choice, EngineBounds, Need, ReplicaBook};
 use dunlinspring::forward::need::ChoicePolicy;
+use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaBook};
 use dunlinspring::ids::{HallName, HostName, ModelName, ReplicaId, ServiceName, Term};
 use dunlinspring::placement::ahead::{AheadReplica, MissingAdapters, SPARE_PLACES, plan_ahead};
 use dunlinspring::placement::fleet::{FleetDuties, FleetPolicy};
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use dunlinspring::consensus::directory::{ReplicaPhase, ReplicaRecord};
-use dunlinspring::forward::book::{Choice, ChoicePolicy, EngineBounds, Need, ReplicaBook};
+use dunlinspring::forward::replica_table::{Choice, ChoicePolicy, EngineBounds, Need, ReplicaBook};
 use dunlinspring::ids::{ReplicaId, ServiceName};
 use dunlinspring::routing::backoff::{
     AskedPause, BackoffBook, ClaimEnd, LONGEST_PAUSE_MS, SendBar,
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use dunlinspring::consensus::directory::ReplicaRecord;
-use dunlinspring::forward::book::{
+use dunlinspring::forward::replica_table::{
     Choice, ChoicePolicy, EngineBounds, LoadReport, Need, ReplicaBook, TryEnd,
 };
 use dunlinspring::ids::{HallName, HostName, ModelName, ReplicaId, ServiceName};
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -11,8 +11,8 @@
 use dunlinspring::consensus::state::{
     Change, Command, HallStanding, HomeReport, MemberRole, MoveKind, SiteState,
 };
-use dunlinspring::forward::book::{Choice, EngineBounds, Need, ReplicaBar, ReplicaBook};
 use dunlinspring::forward::need::ChoicePolicy;
+use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaBar, ReplicaBook};
 use dunlinspring::ids::{
     EditId, HallName, HostName, ModelName, PartnerName, Position, ReplicaId, RowId, ServiceName,
     TargetName, Term,
--- a/tests/forward_parts.rs
+++ b/tests/forward_parts.rs
@@ -6,13 +6,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunlinspring::consensus::directory::{ReplicaPhase, ReplicaRecord};
-use dunlinspring::forward::book::{
-    Choice, ChoicePolicy, EngineBounds, LoadReport, Need, ReplicaBook, TryEnd, parse_load,
-};
 use dunlinspring::forward::budget::{ResendBudget, ResendPolicy};
 use dunlinspring::forward::chunked::ChunkDecoder;
 use dunlinspring::forward::events::EventCutter;
 use dunlinspring::forward::head::{self, Framing, HeadError};
+use dunlinspring::forward::replica_table::{
+    Choice, ChoicePolicy, EngineBounds, LoadReport, Need, ReplicaBook, TryEnd, parse_load,
+};
 use dunlinspring::ids::{HallName, ModelName, ReplicaId, ServiceName};
 use dunlinspring::placement::crowd::WaitingTokens;
 use dunlinspring::table::configuration::{
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -102,8 +102,8 @@
 mutant snapshot-with-each-heartbeat src/consensus/raft.rs 's/progress\.installing_ms = now_ms \+ INSTALL_MS;/progress.installing_ms = 0;/' raft a_snapshot_is_sent_once_until_it_may_be_lost
 mutant no-entries-before-the-snapshot src/consensus/raft.rs 's/self\.past\.extend\(self\.entries\.drain\(\.\.kept\)\);/self.entries.drain(..kept);/' raft a_follower_that_lags_across_a_compaction_is_sent_entries
 mutant lone-leader-waits src/consensus/raft.rs 's/(peers\.contains\(node\)\);)\n        self\.advance_commit\(\);/$1/' raft a_leader_that_is_its_own_quorum_commits_what_a_heartbeat_sends_first
-mutant crowd-not-heeded src/forward/book.rs 's/tokens: tokens\.saturating_sub\(own/tokens: 0 * tokens.saturating_sub(own/' crowd entries_that_know_of_each_other_keep_no_queue_that_makes_all_late
-mutant own-counted-as-crowd src/forward/book.rs 's/own\.get\(id\)\.copied\(\)\.unwrap_or\(0\)/0 * own.get(id).copied().unwrap_or(0)/' forward_parts a_home_that_others_crowd_takes_no_more
+mutant crowd-not-heeded src/forward/replica_table.rs 's/tokens: tokens\.saturating_sub\(own/tokens: 0 * tokens.saturating_sub(own/' crowd entries_that_know_of_each_other_keep_no_queue_that_makes_all_late
+mutant own-counted-as-crowd src/forward/replica_table.rs 's/own\.get\(id\)\.copied\(\)\.unwrap_or\(0\)/0 * own.get(id).copied().unwrap_or(0)/' forward_parts a_home_that_others_crowd_takes_no_more
 mutant silent-entry-counts src/placement/crowd.rs 's/        self\.lapse\(now_ms, bound\);\n//' crowd an_entry_that_falls_silent_counts_no_more
 mutant third-end-bars-nothing src/consensus/crashes.rs 's/MAX_CRASHES\.\. => Self::Barred,/MAX_CRASHES.. => Self::Suspect(2),/' crashes the_third_end_bars_a_content_whoever_tells_of_each
 mutant one-end-counts-twice src/consensus/crashes.rs 's/ \&\& !record\.crashes\.contains\(\&report\.replica\)//' crashes the_third_end_bars_a_content_whoever_tells_of_each
--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dunlinspring::forward::patience::{wait_for_load, wait_for_room};
+use dunlinspring::forward::max_wait::{wait_for_load, wait_for_room};
 
 const LOAD: Duration = Duration::from_millis(8_600);
 
--- a/tests/regions.rs
+++ b/tests/regions.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunlinspring::consensus::directory::ReplicaRecord;
-use dunlinspring::forward::book::{Choice, EngineBounds, Need, ReplicaBook};
+use dunlinspring::forward::locality::{AllowedRegions, EntryPlace, HallDistance};
 use dunlinspring::forward::need::ChoicePolicy;
-use dunlinspring::forward::place::{AllowedRegions, EntryPlace, HallDistance};
+use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaBook};
 use dunlinspring::ids::{HallName, RegionName, ReplicaId, ServiceName};
 use support_replicas::ready_replica;
 
--- a/tests/separation.rs
+++ b/tests/separation.rs
@@ -1,7 +1,7 @@
 //! Which homes of a model are for its long answers.
 
-use dunlinspring::forward::book::Need;
-use dunlinspring::forward::separation::{AnswerMix, HomeRange};
+use dunlinspring::forward::answer_separation::{AnswerMix, HomeRange};
+use dunlinspring::forward::replica_table::Need;
 
 fn need(prompt_tokens: u64, answer_tokens: u64) -> Need {
     Need {
--- a/tests/support_place/mod.rs
+++ b/tests/support_place/mod.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dunlinspring::forward::place::EntryPlace;
+use dunlinspring::forward::locality::EntryPlace;
 use dunlinspring::ids::HallName;
 
 /// An entry in a hall of a site without regions.
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -9,8 +9,8 @@
 
 use dunlinspring::consensus::directory::{BeatNews, ReplicaPhase, ReplicaRecord};
 use dunlinspring::consensus::state::{Change, Command, SiteState};
-use dunlinspring::forward::book::{Choice, EngineBounds, Need, ReplicaBar, ReplicaBook};
 use dunlinspring::forward::need::ChoicePolicy;
+use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaBar, ReplicaBook};
 use dunlinspring::ids::{HallName, ReplicaId, ReplicaLife, ServiceName};
 use dunlinspring::placement::rate_limit::{PERMIT_MS, RateLimiter};
 use dunlinspring::placement::replica_rates::PermitRefusal;
