--- a/src/control/orderer.rs
+++ b/src/control/orderer.rs
@@ -8,7 +8,7 @@
 //! is reset at the permit's end unless that is renewed before. A leader that stood still, was
 //! cut off, or whose link holds its bytes, would else have it arrive beside the next one's.
 //! Where the process itself stands still, its kernel gives up soon after: see
-//! [`Connection::bound_sending`].
+//! [`Connection::limit_send_time`].
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
 use crate::clock;
 use crate::control::event::{ControlEvent, ControlHandle, SendPermit};
 use crate::forward::head;
-use crate::forward::upstream::{Connection, Exchange, ExchangeError, Outgoing};
+use crate::forward::upstream::{Connection, Exchange, ExchangeError, OutgoingRequest};
 use crate::ids::{ModelName, ReplicaId, ReplicaLife};
 use crate::placement::order::{EngineOrder, OrderKind, OrderOutcome};
 use crate::process::daemon;
@@ -334,7 +334,7 @@
     };
     let permit = permission.ask().await.ok_or(CallError::Deposed)?;
     let left = rest_of(permit).ok_or(CallError::CutOff)?;
-    connection.bound_sending(left)?;
+    connection.limit_send_time(left)?;
     permission.note_sent(left);
     tokio::select! {
         // The clock is looked at right before the first write, and again first of all where
@@ -366,7 +366,7 @@
     method: &str,
     text: &str,
 ) -> Result<(u16, Vec<u8>), CallError> {
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         bytes: text.as_bytes(),
         method,
         identity: None,
--- a/src/forward/answer_separation.rs
+++ b/src/forward/answer_separation.rs
@@ -13,25 +13,25 @@
 use crate::forward::need::Need;
 
 /// An answer is long from this multiple of the mean answer on.
-const LONG_FACTOR: f64 = 1.5;
+const LONG_ANSWER_FACTOR: f64 = 1.5;
 /// How much less a home for long answers is to read than the mean home.
-const QUIET_FACTOR: f64 = 2.0;
+const LIGHT_PREFILL_FACTOR: f64 = 2.0;
 /// Most part of the homes that is for long answers: where these are most of what is read,
 /// keeping them apart would crowd the few others.
-const MOST_PART: f64 = 0.5;
+const MAX_LONG_FRACTION: f64 = 0.5;
 /// Weight of the newest request in what is known of all: about the last hundred.
-const STEP: f64 = 0.01;
+const MEAN_WEIGHT: f64 = 0.01;
 /// Requests that are seen before homes are set apart.
-const LEAST_SEEN: u32 = 30;
+const MIN_REQUESTS: u32 = 30;
 
 /// What the answers of a service are like, as this entry sees its requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct AnswerMix {
-    seen: u32,
+pub struct AnswerStats {
+    requests: u32,
     mean_answer: f64,
     /// Tokens of a mean prompt, and those of them that belong to long answers.
-    read: f64,
-    read_long: f64,
+    prompt_mean: f64,
+    long_prompt_mean: f64,
 }
 
 /// Which of a model's homes a request is for, in the order that all entries know.
@@ -47,11 +47,11 @@
 
 impl HomeRange {
     /// Whether the home at a place is meant.
-    pub fn holds(self, place: usize) -> bool {
+    pub fn contains(self, index: usize) -> bool {
         match self {
             Self::All => true,
-            Self::Before(end) => place < end,
-            Self::From(start) => place >= start,
+            Self::Before(end) => index < end,
+            Self::From(start) => index >= start,
         }
     }
 }
@@ -60,36 +60,36 @@
     need.tokens.saturating_sub(need.prompt_tokens) as f64
 }
 
-impl AnswerMix {
+impl AnswerStats {
     /// Takes a request into account.
-    pub fn note(&mut self, need: &Need) {
-        self.seen = self.seen.saturating_add(1);
+    pub fn observe(&mut self, need: &Need) {
+        self.requests = self.requests.saturating_add(1);
         // The first ones count alike, so that the mean is right soon.
-        let step = STEP.max(1.0 / f64::from(self.seen));
+        let step = MEAN_WEIGHT.max(1.0 / f64::from(self.requests));
         let long = self.is_long(need);
-        let read = need.prompt_tokens as f64;
+        let prompt = need.prompt_tokens as f64;
         self.mean_answer += (answer_tokens(need) - self.mean_answer) * step;
-        self.read += (read - self.read) * step;
-        let read_long = if long { read } else { 0.0 };
-        self.read_long += (read_long - self.read_long) * step;
+        self.prompt_mean += (prompt - self.prompt_mean) * step;
+        let long_prompt = if long { prompt } else { 0.0 };
+        self.long_prompt_mean += (long_prompt - self.long_prompt_mean) * step;
     }
 
     fn is_long(&self, need: &Need) -> bool {
-        answer_tokens(need) > self.mean_answer * LONG_FACTOR
+        answer_tokens(need) > self.mean_answer * LONG_ANSWER_FACTOR
     }
 
     /// The homes that a request is for, of so many.
     pub fn homes_for(&self, need: &Need, homes: usize) -> HomeRange {
-        if self.seen < LEAST_SEEN || self.read <= 0.0 {
+        if self.requests < MIN_REQUESTS || self.prompt_mean <= 0.0 {
             return HomeRange::All;
         }
-        let part = self.read_long / self.read * QUIET_FACTOR;
-        let quiet = (homes as f64 * part) as usize;
-        match (quiet, self.is_long(need)) {
+        let fraction = self.long_prompt_mean / self.prompt_mean * LIGHT_PREFILL_FACTOR;
+        let reserved = (homes as f64 * fraction) as usize;
+        match (reserved, self.is_long(need)) {
             (0, _) => HomeRange::All,
-            _ if part > MOST_PART => HomeRange::All,
-            (quiet, true) => HomeRange::Before(quiet),
-            (quiet, false) => HomeRange::From(quiet),
+            _ if fraction > MAX_LONG_FRACTION => HomeRange::All,
+            (reserved, true) => HomeRange::Before(reserved),
+            (reserved, false) => HomeRange::From(reserved),
         }
     }
 }
--- a/src/forward/budget.rs
+++ b/src/forward/budget.rs
@@ -27,14 +27,14 @@
 }
 
 /// Entries assumed until the leader has told how many there are.
-const ASSUMED_ENTRIES: u32 = 8;
+const DEFAULT_ENTRIES: u32 = 8;
 
 /// The budgets of one entry, by service.
 #[derive(Clone, Debug)]
 pub struct ResendBudget {
     policy: ResendPolicy,
     entries: u32,
-    saved: BTreeMap<ServiceName, f64>,
+    balances: BTreeMap<ServiceName, f64>,
 }
 
 impl ResendBudget {
@@ -42,35 +42,35 @@
     pub fn new(policy: ResendPolicy) -> Self {
         Self {
             policy,
-            entries: ASSUMED_ENTRIES,
-            saved: BTreeMap::new(),
+            entries: DEFAULT_ENTRIES,
+            balances: BTreeMap::new(),
         }
     }
 
     /// How many entries share the slack.
-    pub fn share_among(&mut self, entries: u32) {
+    pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    fn most(&self) -> f64 {
+    fn capacity(&self) -> f64 {
         // Less than one would never allow any.
         (self.policy.slack / f64::from(self.entries)).max(1.0)
     }
 
     /// Earns for a request.
     pub fn earn(&mut self, service: &ServiceName) {
-        let most = self.most();
-        let saved = self.saved.entry(service.clone()).or_insert(most);
-        *saved = (*saved + self.policy.earned).min(most);
+        let capacity = self.capacity();
+        let balance = self.balances.entry(service.clone()).or_insert(capacity);
+        *balance = (*balance + self.policy.earned).min(capacity);
     }
 
     /// Spends one resend, if there is one.
     pub fn spend(&mut self, service: &ServiceName) -> bool {
-        let most = self.most();
-        let saved = self.saved.entry(service.clone()).or_insert(most);
-        let enough = *saved >= 1.0;
+        let capacity = self.capacity();
+        let balance = self.balances.entry(service.clone()).or_insert(capacity);
+        let enough = *balance >= 1.0;
         if enough {
-            *saved -= 1.0;
+            *balance -= 1.0;
         }
         enough
     }
--- a/src/forward/caller.rs
+++ b/src/forward/caller.rs
@@ -15,9 +15,9 @@
 use crate::table::configuration::RouteSpec;
 
 /// What stands before a key, with one space.
-const SCHEME: &str = "Bearer ";
+const AUTH_SCHEME: &str = "Bearer ";
 /// Longest key, in bytes: nobody digests more for a caller that is not known.
-const MAX_KEY: usize = 512;
+const MAX_KEY_BYTES: usize = 512;
 
 /// Why a caller may not act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,17 +75,17 @@
 
 /// The key that a request shows: one header, of the one scheme, with a key that is
 /// neither empty nor overlong.
-pub fn shown_key(headers: &[Header], name: &str) -> Option<KeyDigest> {
-    let mut shown = headers
+pub fn presented_key(headers: &[Header], name: &str) -> Option<KeyDigest> {
+    let mut matching = headers
         .iter()
         .filter(|(other, _)| other.eq_ignore_ascii_case(name));
-    let (Some((_, value)), None) = (shown.next(), shown.next()) else {
+    let (Some((_, value)), None) = (matching.next(), matching.next()) else {
         return None;
     };
-    let key = value.strip_prefix(SCHEME)?;
-    let sound =
-        !key.is_empty() && key.len() <= MAX_KEY && key.bytes().all(|b| b.is_ascii_graphic());
-    sound.then(|| KeyDigest::of(key))
+    let key = value.strip_prefix(AUTH_SCHEME)?;
+    let valid =
+        !key.is_empty() && key.len() <= MAX_KEY_BYTES && key.bytes().all(|b| b.is_ascii_graphic());
+    valid.then(|| KeyDigest::of(key))
 }
 
 /// Lets a request in. None where nobody has to say who it is: there are no accounts, or
@@ -95,38 +95,41 @@
     routing: &Routing,
     route: &RouteSpec,
     headers: &[Header],
-    patience: Duration,
+    max_wait: Duration,
 ) -> Result<Option<CallerIdentity>, CallerRefusal> {
     if routing.configuration.accounts.is_none() {
         return Ok(None);
     }
-    let key = shown_key(headers, core.names.key);
-    let known = key.and_then(|key| identity(routing, key));
+    let key = presented_key(headers, core.names.key);
+    let known = key.and_then(|key| find_caller(routing, key));
     match (known, key) {
         (None, _) if route.public => Ok(None),
         (None, None) => Err(CallerRefusal::Key),
         // The key may be newer than what is known here.
-        (None, Some(_)) if !core.await_authority(patience).await => Err(CallerRefusal::Stale),
+        (None, Some(_)) if !core.await_authority(max_wait).await => Err(CallerRefusal::Stale),
         (None, Some(key)) => {
             core.catch_up();
             let newest = core.routing().ok_or(CallerRefusal::Stale)?;
-            let caller = identity(&newest, key).ok_or(CallerRefusal::Key)?;
+            let caller = find_caller(&newest, key).ok_or(CallerRefusal::Key)?;
             Ok(Some(caller))
         }
-        (Some(_), _) if !core.await_authority(patience).await => Err(CallerRefusal::Stale),
+        (Some(_), _) if !core.await_authority(max_wait).await => Err(CallerRefusal::Stale),
         (Some(caller), _) => Ok(Some(caller)),
     }
 }
 
 /// Whether a caller that was let in may still act, at the last moment before its request
 /// leaves: it may have waited, or this process may have stood still.
-pub fn may_act(core: &EntryCore, caller: Option<&CallerIdentity>) -> Result<(), CallerRefusal> {
+pub fn recheck_caller(
+    core: &EntryCore,
+    caller: Option<&CallerIdentity>,
+) -> Result<(), CallerRefusal> {
     match caller {
         None => Ok(()),
         Some(_) if !core.has_authority() => Err(CallerRefusal::Stale),
         Some(caller) => {
             let newest = core.routing().ok_or(CallerRefusal::Key)?;
-            let holder = holder(&newest, &caller.key);
+            let holder = find_holder(&newest, &caller.key);
             match holder.is_some_and(|account| account.name == caller.account) {
                 true => Ok(()),
                 false => Err(CallerRefusal::Key),
@@ -136,12 +139,12 @@
 }
 
 /// The caller that shows a key, by one configuration.
-fn identity(routing: &Routing, key: KeyDigest) -> Option<CallerIdentity> {
-    holder(routing, &key).map(|account| CallerIdentity::new(key, account))
+fn find_caller(routing: &Routing, key: KeyDigest) -> Option<CallerIdentity> {
+    find_holder(routing, &key).map(|account| CallerIdentity::new(key, account))
 }
 
 /// Who holds a key by one configuration.
-fn holder<'a>(routing: &'a Routing, key: &KeyDigest) -> Option<&'a AccountSpec> {
-    let book = routing.configuration.accounts.as_ref()?;
-    book.accounts.get(routing.keys.find(key)?)
+fn find_holder<'a>(routing: &'a Routing, key: &KeyDigest) -> Option<&'a AccountSpec> {
+    let accounts = routing.configuration.accounts.as_ref()?;
+    accounts.accounts.get(routing.keys.find(key)?)
 }
--- a/src/forward/chunked.rs
+++ b/src/forward/chunked.rs
@@ -3,9 +3,9 @@
 use snafu::Snafu;
 
 /// Longest line of a chunk's size or of a trailer.
-const MAX_LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 /// Longest trailers.
-const MAX_TRAILERS: usize = 16 * 1024;
+const MAX_TRAILER_BYTES: usize = 16 * 1024;
 
 /// The chunks do not have the form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
@@ -78,7 +78,7 @@
             },
             Step::DataEnd if text.is_empty() => Ok(Step::Size),
             Step::Trailers(_) if text.is_empty() => Ok(Step::Done),
-            Step::Trailers(so_far) if so_far + len <= MAX_TRAILERS => {
+            Step::Trailers(so_far) if so_far + len <= MAX_TRAILER_BYTES => {
                 Ok(Step::Trailers(so_far + len))
             }
             _ => Err(ChunkError),
@@ -91,7 +91,7 @@
     match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) if end > 0 && bytes[end - 1] == b'\r' => Ok(Some((&bytes[..end - 1], end + 1))),
         Some(_) => Err(ChunkError),
-        None if bytes.len() > MAX_LINE => Err(ChunkError),
+        None if bytes.len() > MAX_LINE_BYTES => Err(ChunkError),
         None => Ok(None),
     }
 }
--- a/src/forward/client.rs
+++ b/src/forward/client.rs
@@ -22,10 +22,10 @@
 /// Bytes read at once.
 const READ_SIZE: usize = 16 * 1024;
 /// Bytes of later requests that are read while one is answered.
-const MAX_AHEAD: usize = 64 * 1024;
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 /// How long a refused client's bytes are read before its connection is closed,
 /// so that it can read why.
-const LINGER: Duration = Duration::from_millis(300);
+const LINGER_TIME: Duration = Duration::from_millis(300);
 
 /// A whole request.
 #[derive(Debug)]
@@ -76,7 +76,7 @@
 
 /// What becomes of the connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AfterAnswer {
+pub enum AfterResponse {
     /// It may carry another request.
     Keep,
     /// It is closed in good order.
@@ -87,7 +87,7 @@
 
 enum ReadError {
     /// The client closed, or was idle for too long.
-    Gone,
+    Disconnected,
     /// The entry stops, and no request has come.
     Idle,
     /// The request is refused with this status, and nothing more is read.
@@ -105,15 +105,15 @@
     async fn fill(&mut self) -> Result<(), ReadError> {
         self.buffer.reserve(READ_SIZE);
         match self.stream.read_buf(&mut self.buffer).await {
-            Ok(0) | Err(_) => Err(ReadError::Gone),
+            Ok(0) | Err(_) => Err(ReadError::Disconnected),
             Ok(_) => Ok(()),
         }
     }
 
     /// Returns when the client has left.
-    async fn gone(&mut self) {
+    async fn disconnected(&mut self) {
         loop {
-            if self.buffer.len() > MAX_AHEAD {
+            if self.buffer.len() > MAX_PIPELINED_BYTES {
                 return std::future::pending().await;
             }
             if self.fill().await.is_err() {
@@ -135,13 +135,13 @@
                 // A request that has come already is taken before the connection is closed.
                 biased;
                 first = tokio::time::timeout(idle, self.fill()) => {
-                    first.map_err(|_| ReadError::Gone)??;
+                    first.map_err(|_| ReadError::Disconnected)??;
                 }
-                () = core.closes_resting(served) => return Err(ReadError::Idle),
+                () = core.idle_close_due(served) => return Err(ReadError::Idle),
             }
         }
         first_byte();
-        let whole = async {
+        let complete = async {
             loop {
                 match head::parse_request(&self.buffer) {
                     Ok(Some((head, len))) => {
@@ -165,8 +165,10 @@
             }
         };
         let limit = Duration::from_millis(limits.header_ms);
-        let late = ReadError::Refused(408, "the head took too long");
-        tokio::time::timeout(limit, whole).await.map_err(|_| late)?
+        let timed_out = ReadError::Refused(408, "the head took too long");
+        tokio::time::timeout(limit, complete)
+            .await
+            .map_err(|_| timed_out)?
     }
 
     async fn read_body(
@@ -211,7 +213,7 @@
                 self.buffer.clear();
             }
         };
-        let _ = tokio::time::timeout(LINGER, drain).await;
+        let _ = tokio::time::timeout(LINGER_TIME, drain).await;
     }
 }
 
@@ -232,13 +234,13 @@
     loop {
         let after = serve_one(&core, &mut reader, &mut writer).await;
         match after {
-            AfterAnswer::Keep => reader.served = true,
-            AfterAnswer::Close => {
+            AfterResponse::Keep => reader.served = true,
+            AfterResponse::Close => {
                 let _ = writer.stream.shutdown().await;
                 reader.linger().await;
                 return;
             }
-            AfterAnswer::Cut => return,
+            AfterResponse::Cut => return,
         }
     }
 }
@@ -247,26 +249,26 @@
     core: &Rc<EntryCore>,
     reader: &mut ClientReader,
     writer: &mut ClientWriter,
-) -> AfterAnswer {
+) -> AfterResponse {
     writer.begun = false;
     let limits = core.limits();
-    let busy = core.busy();
+    let busy = core.busy_guard();
     let request = match read_request(core, reader, writer, &limits, &|| busy.mark()).await {
         Ok(request) => request,
-        Err(ReadError::Gone) => return AfterAnswer::Cut,
-        Err(ReadError::Idle) => return AfterAnswer::Close,
+        Err(ReadError::Disconnected) => return AfterResponse::Cut,
+        Err(ReadError::Idle) => return AfterResponse::Close,
         Err(ReadError::Refused(status, reason)) => {
             core.count_refused_read(status);
             let answer = own_answer::own_answer(core, status, reason, None, None, true);
             let _ = writer.write(&answer).await;
-            return AfterAnswer::Close;
+            return AfterResponse::Close;
         }
     };
     let answered = request::answer(core, &request, writer);
     tokio::select! {
         after = answered => after,
         // Dropping the answer closes the connection to the replica.
-        () = reader.gone() => AfterAnswer::Cut,
+        () = reader.disconnected() => AfterResponse::Cut,
     }
 }
 
@@ -282,15 +284,15 @@
     let expects = head::names_token(&head.headers, "expect", "100-continue");
     if expects && reader.buffer.is_empty() && head.framing != Framing::Length(0) {
         let sent = writer.write(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        sent.map_err(|_| ReadError::Gone)?;
+        sent.map_err(|_| ReadError::Disconnected)?;
         writer.begun = false;
     }
     let limit = Duration::from_millis(limits.idle_ms);
     let body = reader.read_body(head.framing, limits);
-    let late = ReadError::Refused(408, "the body took too long");
+    let timed_out = ReadError::Refused(408, "the body took too long");
     let body = tokio::time::timeout(limit, body)
         .await
-        .map_err(|_| late)??;
+        .map_err(|_| timed_out)??;
     Ok(ClientRequest {
         head,
         body,
--- a/src/forward/daemon.rs
+++ b/src/forward/daemon.rs
@@ -17,14 +17,14 @@
 use crate::consensus::directory::ReplicaRecord;
 use crate::forward::budget::{ResendBudget, ResendPolicy};
 use crate::forward::client;
-use crate::forward::crashes::CrashWatch;
+use crate::forward::crashes::CrashTracker;
 use crate::forward::dialect::HeaderNames;
 use crate::forward::limits;
-use crate::forward::locality::EntryPlace;
+use crate::forward::locality::EntryLocation;
 use crate::forward::queue_reports;
 use crate::forward::quotas::{self, QuotaClient};
-use crate::forward::replica_table::{ChoicePolicy, EjectNews, Need, ReplicaBook};
-use crate::forward::request_log::LineBudget;
+use crate::forward::replica_table::{ChoicePolicy, Ejection, Need, ReplicaTable};
+use crate::forward::request_log::LogLineLimit;
 use crate::forward::unknown_headers::UnknownHeaders;
 use crate::forward::upstream::ConnectionPool;
 use crate::ids::{HallName, HostName, ModelName, RegionName, ReplicaId};
@@ -41,20 +41,20 @@
 use crate::table::quota::{EntryLife, QuotaHolder};
 
 /// Time between two reports to the leader.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for a report or a wish.
 const REPORT_TIME: Duration = Duration::from_millis(1_000);
 /// Least time between two wishes for the same adapter, in milliseconds.
-const WISH_EVERY_MS: u64 = 150;
+const ADAPTER_REQUEST_INTERVAL_MS: u64 = 150;
 /// Time between two looks whether a configuration that was proven has come.
-const AUTHORITY_LOOK: Duration = Duration::from_millis(50);
+const AUTHORITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Most lines on replicas, each way, for one step of the copy: an entry that has just started
 /// learns of thousands at once.
-const MAX_REPLICA_LINES: usize = 32;
+const MAX_REPLICA_LOG_LINES: usize = 32;
 /// Time between two looks at idle connections.
-const PRUNE_EVERY: Duration = Duration::from_millis(500);
+const PRUNE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two looks at whether a stopping entry is done.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Default of [`ForwardSettings::connect_ms`].
 pub const CONNECT_MS: u64 = 400;
@@ -167,7 +167,7 @@
     /// Names of headers.
     pub names: HeaderNames,
     /// What is known of replicas.
-    pub book: RefCell<ReplicaBook>,
+    pub replicas: RefCell<ReplicaTable>,
     /// Idle connections.
     pub pool: RefCell<ConnectionPool>,
     /// The budget for sending again.
@@ -175,37 +175,37 @@
     /// Woken when a replica may have room, or another one may be there.
     pub changed: Notify,
     /// What is known of contents under which replicas ended.
-    pub crashes: CrashWatch,
+    pub crashes: CrashTracker,
     settings: ForwardSettings,
     follower: Arc<ControlFollower>,
     routing: RefCell<Option<Rc<Routing>>>,
-    busy: RefCell<BTreeMap<ModelName, u32>>,
-    lately: RefCell<BTreeMap<ModelName, f64>>,
+    in_flight: RefCell<BTreeMap<ModelName, u32>>,
+    recent_demand: RefCell<BTreeMap<ModelName, f64>>,
     adapters: RefCell<BTreeSet<AdapterPlace>>,
-    wishes: RefCell<BTreeMap<AdapterPlace, u64>>,
+    adapter_requests: RefCell<BTreeMap<AdapterPlace, u64>>,
     /// What is drawn of accounts' quotas.
     pub quotas: QuotaClient,
     /// A replica is crowded, as far as this entry sees.
-    pub crowd_seen: Notify,
+    pub congestion_seen: Notify,
     /// Something of replicas' limits is to be told to the leader.
-    pub limit_heard: Notify,
+    pub limit_changed: Notify,
     active: Cell<usize>,
     stopping: Arc<AtomicBool>,
-    stop_told: Notify,
+    stop_requested: Notify,
     stopped_at: Cell<Option<Instant>>,
     ready: Arc<AtomicBool>,
     pub(super) metrics: Arc<Mutex<MetricBook>>,
-    pub(super) lines: RefCell<LineBudget>,
+    pub(super) lines: RefCell<LogLineLimit>,
     pub(super) unknown_headers: RefCell<UnknownHeaders>,
 }
 
 /// Counts a client's connection as busy from the first byte of a request on.
-pub struct BusyMark<'a> {
+pub struct BusyGuard<'a> {
     core: &'a EntryCore,
     marked: Cell<bool>,
 }
 
-impl BusyMark<'_> {
+impl BusyGuard<'_> {
     /// A request has begun to come.
     pub fn mark(&self) {
         if !self.marked.replace(true) {
@@ -214,7 +214,7 @@
     }
 }
 
-impl Drop for BusyMark<'_> {
+impl Drop for BusyGuard<'_> {
     fn drop(&mut self) {
         if self.marked.get() {
             self.core.active.set(self.core.active.get() - 1);
@@ -223,36 +223,36 @@
 }
 
 /// Counts a request for its model.
-pub struct ModelMark<'a> {
+pub struct DemandGuard<'a> {
     core: &'a EntryCore,
     model: Option<ModelName>,
     since: Instant,
     refused: Cell<bool>,
 }
 
-impl ModelMark<'_> {
+impl DemandGuard<'_> {
     /// The request is refused: what it would have taken counts.
     pub fn refuse(&self) {
         self.refused.set(true);
     }
 }
 
-impl Drop for ModelMark<'_> {
+impl Drop for DemandGuard<'_> {
     fn drop(&mut self) {
         let Some(model) = &self.model else {
             return;
         };
-        if let Some(count) = self.core.busy.borrow_mut().get_mut(model) {
+        if let Some(count) = self.core.in_flight.borrow_mut().get_mut(model) {
             *count = count.saturating_sub(1);
         }
         // The time it was here, as a part of the time between two reports. One
         // that was refused would have been here for longer.
         let part = match self.refused.get() {
             true => 1.0,
-            false => self.since.elapsed().as_secs_f64() / REPORT_EVERY.as_secs_f64(),
+            false => self.since.elapsed().as_secs_f64() / REPORT_INTERVAL.as_secs_f64(),
         };
-        let mut lately = self.core.lately.borrow_mut();
-        *lately.entry(model.clone()).or_default() += part.min(1.0);
+        let mut recent_demand = self.core.recent_demand.borrow_mut();
+        *recent_demand.entry(model.clone()).or_default() += part.min(1.0);
     }
 }
 
@@ -264,15 +264,15 @@
 
     /// The configuration in force, waiting for the first one. A stopping entry does
     /// not wait.
-    pub async fn await_routing(&self, patience: Duration) -> Option<Rc<Routing>> {
-        let give_up = Instant::now() + patience;
+    pub async fn await_routing(&self, max_wait: Duration) -> Option<Rc<Routing>> {
+        let deadline = Instant::now() + max_wait;
         loop {
             let changed = self.changed.notified();
             let routing = self.routing();
-            if routing.is_some() || self.is_stopping() || Instant::now() >= give_up {
+            if routing.is_some() || self.is_stopping() || Instant::now() >= deadline {
                 return routing;
             }
-            let _ = tokio::time::timeout_at(give_up.into(), changed).await;
+            let _ = tokio::time::timeout_at(deadline.into(), changed).await;
         }
     }
 
@@ -283,16 +283,16 @@
     }
 
     /// Waits for word of the newest configuration, for so long at the most.
-    pub async fn await_authority(&self, patience: Duration) -> bool {
-        let give_up = Instant::now() + patience;
+    pub async fn await_authority(&self, max_wait: Duration) -> bool {
+        let deadline = Instant::now() + max_wait;
         loop {
             let proven = self.follower.proven();
             let known = self.has_authority();
-            if known || self.is_stopping() || Instant::now() >= give_up {
+            if known || self.is_stopping() || Instant::now() >= deadline {
                 return known;
             }
             // A proof may be for a configuration that is still on its way here.
-            let until = give_up.min(Instant::now() + AUTHORITY_LOOK);
+            let until = deadline.min(Instant::now() + AUTHORITY_POLL_INTERVAL);
             let _ = tokio::time::timeout_at(until.into(), proven).await;
         }
     }
@@ -332,27 +332,27 @@
 
     /// Returns once the entry stops and a resting connection is to be closed: at
     /// once where it has been served, else when no new ones are taken either.
-    pub async fn closes_resting(&self, served: bool) {
+    pub async fn idle_close_due(&self, served: bool) {
         match served {
-            true => self.stops().await,
-            false => self.closes_listener().await,
+            true => self.stop_begins().await,
+            false => self.listener_close_due().await,
         }
     }
 
     /// Returns once the entry was asked to stop.
-    async fn stops(&self) {
+    async fn stop_begins(&self) {
         loop {
-            let told = self.stop_told.notified();
+            let notified = self.stop_requested.notified();
             if self.is_stopping() {
                 return;
             }
-            told.await;
+            notified.await;
         }
     }
 
     /// Returns once callers must have noticed that the entry stops.
-    async fn closes_listener(&self) {
-        self.stops().await;
+    async fn listener_close_due(&self) {
+        self.stop_begins().await;
         // By the time of the stop: a connection may have come at any moment since.
         let since = self.stopped_at.get().unwrap_or_else(Instant::now);
         let until = since + Duration::from_millis(self.settings.stop_ms);
@@ -390,19 +390,23 @@
     }
 
     /// Marks a connection as busy once a request begins to come.
-    pub fn busy(&self) -> BusyMark<'_> {
-        BusyMark {
+    pub fn busy_guard(&self) -> BusyGuard<'_> {
+        BusyGuard {
             core: self,
             marked: Cell::new(false),
         }
     }
 
     /// Counts a request for its model while it is here.
-    pub fn track(&self, need: &Need) -> ModelMark<'_> {
+    pub fn track_demand(&self, need: &Need) -> DemandGuard<'_> {
         if let Some(model) = &need.model {
-            *self.busy.borrow_mut().entry(model.clone()).or_default() += 1;
+            *self
+                .in_flight
+                .borrow_mut()
+                .entry(model.clone())
+                .or_default() += 1;
         }
-        ModelMark {
+        DemandGuard {
             core: self,
             model: need.model.clone(),
             since: Instant::now(),
@@ -411,25 +415,25 @@
     }
 
     /// Notes that an adapter is used on a replica, for the next report.
-    pub fn note_adapter(&self, replica: &ReplicaId, need: &Need) {
-        if let Some(place) = adapter_place(replica, need) {
+    pub fn record_adapter_use(&self, replica: &ReplicaId, need: &Need) {
+        if let Some(place) = adapter_slot(replica, need) {
             self.adapters.borrow_mut().insert(place);
         }
     }
 
     /// Asks the leader for an adapter on a replica.
-    pub fn wish(self: &Rc<Self>, replica: &ReplicaId, need: &Need) {
-        let Some(wish) = adapter_place(replica, need) else {
+    pub fn request_adapter(self: &Rc<Self>, replica: &ReplicaId, need: &Need) {
+        let Some(request) = adapter_slot(replica, need) else {
             return;
         };
         let now_ms = clock::monotonic_ms();
-        let mut wishes = self.wishes.borrow_mut();
-        wishes.retain(|_, at_ms| *at_ms + WISH_EVERY_MS > now_ms);
-        if wishes.contains_key(&wish) {
+        let mut recent = self.adapter_requests.borrow_mut();
+        recent.retain(|_, at_ms| *at_ms + ADAPTER_REQUEST_INTERVAL_MS > now_ms);
+        if recent.contains_key(&request) {
             return;
         }
-        wishes.insert(wish.clone(), now_ms);
-        daemon::spawn_local(ask_adapter(self.clone(), wish));
+        recent.insert(request.clone(), now_ms);
+        daemon::spawn_local(send_adapter_request(self.clone(), request));
     }
 
     /// Counts a connection opened to a replica.
@@ -459,14 +463,14 @@
     }
 
     /// Logs replicas that are passed over from now on.
-    pub fn log_ejected(&self, news: &[EjectNews]) {
-        for ejected in news {
+    pub fn log_ejected(&self, ejections: &[Ejection]) {
+        for ejection in ejections {
             self.count("dunlinspring_ejections_total", &[]);
             tracing::warn!(
-                replica = %ejected.replica,
-                failing = ejected.failing,
-                pause_ms = ejected.pause_ms,
-                end = ?ejected.end,
+                replica = %ejection.replica,
+                failing = ejection.failure_rate,
+                pause_ms = ejection.duration_ms,
+                end = ?ejection.end,
                 "replica passed over"
             );
         }
@@ -483,15 +487,15 @@
     /// Takes over what the log holds.
     fn follow(self: &Rc<Self>) {
         let view = self.follower.view();
-        self.follow_crashes(&view);
+        self.update_crashes(&view);
         self.log_replicas(&view);
-        let mut book = self.book.borrow_mut();
-        if book.follow_halls(&view.evacuated) {
+        let mut replicas = self.replicas.borrow_mut();
+        if replicas.update_evacuated(&view.evacuated) {
             let (evacuated, position) = (&view.evacuated, view.position);
             tracing::info!(?evacuated, %position, "evacuated halls");
         }
-        book.follow(clock::monotonic_ms(), &view.replicas);
-        drop(book);
+        replicas.update_records(clock::monotonic_ms(), &view.replicas);
+        drop(replicas);
         let held = self.version();
         let newer = view.configuration.as_ref().filter(|c| c.version > held);
         if let Some(configuration) = newer {
@@ -500,7 +504,7 @@
             let routes = configuration.routes.len();
             let configuration = (**configuration).clone();
             let services = &configuration.services;
-            self.book.borrow_mut().follow_services(services);
+            self.replicas.borrow_mut().update_services(services);
             let accounts = configuration.accounts.as_ref();
             let keys = accounts.map(KeyIndex::new).unwrap_or_default();
             let slack_ranks = slack_ranks(&configuration.routes);
@@ -516,29 +520,29 @@
             tracing::info!(version, held, routes, %position, "configuration in force");
         }
         drop(view);
-        self.look_ready();
+        self.update_readiness();
         self.changed.notify_waiters();
     }
 
     /// Logs what is new of replicas: phase and models; adapters come and go too often.
     fn log_replicas(&self, view: &SiteView) {
-        let book = self.book.borrow();
+        let replicas = self.replicas.borrow();
         let position = view.position;
         let is_new = |(id, record): &(&ReplicaId, &ReplicaRecord)| {
-            let known = book.record(id);
+            let known = replicas.record(id);
             let same = known.is_some_and(|known| {
                 known.phase == record.phase && known.models.keys().eq(record.models.keys())
             });
             !same
         };
         let mut known = view.replicas.iter().filter(is_new);
-        for (id, record) in known.by_ref().take(MAX_REPLICA_LINES) {
+        for (id, record) in known.by_ref().take(MAX_REPLICA_LOG_LINES) {
             let models: Vec<&str> = record.models.keys().map(ModelName::as_str).collect();
             let models = models.join(",");
             tracing::info!(replica = %id, phase = ?record.phase, models, %position, "replica known");
         }
-        let mut gone = book.ids().filter(|id| !view.replicas.contains_key(*id));
-        for id in gone.by_ref().take(MAX_REPLICA_LINES) {
+        let mut gone = replicas.ids().filter(|id| !view.replicas.contains_key(*id));
+        for id in gone.by_ref().take(MAX_REPLICA_LOG_LINES) {
             tracing::info!(replica = %id, %position, "replica gone");
         }
         let (more_known, more_gone) = (known.count(), gone.count());
@@ -547,7 +551,7 @@
         }
     }
 
-    fn look_ready(&self) {
+    fn update_readiness(&self) {
         let routing = self.routing();
         let known = routing.is_some();
         let fresh = self.follower.stale_ms() < self.settings.stale_ms;
@@ -561,16 +565,16 @@
     }
 
     fn report(&self) -> EntryReport {
-        let mut busy = std::mem::take(&mut *self.lately.borrow_mut());
-        for (model, count) in self.busy.borrow().iter() {
+        let mut busy = std::mem::take(&mut *self.recent_demand.borrow_mut());
+        for (model, count) in self.in_flight.borrow().iter() {
             *busy.entry(model.clone()).or_default() += f64::from(*count);
         }
-        self.busy.borrow_mut().retain(|_, count| *count > 0);
+        self.in_flight.borrow_mut().retain(|_, count| *count > 0);
         EntryReport {
             host: self.settings.host.0.clone(),
             busy,
             adapters: std::mem::take(&mut *self.adapters.borrow_mut()),
-            limits: self.book.borrow().limits().cursor(),
+            limits: self.replicas.borrow().limits().cursor(),
         }
     }
 }
@@ -605,26 +609,26 @@
         };
         let core = Rc::new(EntryCore {
             names,
-            book: RefCell::new(ReplicaBook::new(
+            replicas: RefCell::new(ReplicaTable::new(
                 settings.choice,
-                EntryPlace::new(settings.hall.clone(), settings.regions.clone()),
+                EntryLocation::new(settings.hall.clone(), settings.regions.clone()),
             )),
             pool: RefCell::default(),
             budget: RefCell::new(ResendBudget::new(settings.resend)),
             changed: Notify::new(),
-            crashes: CrashWatch::default(),
+            crashes: CrashTracker::default(),
             follower: follower.clone(),
             routing: RefCell::default(),
-            busy: RefCell::default(),
-            lately: RefCell::default(),
+            in_flight: RefCell::default(),
+            recent_demand: RefCell::default(),
             adapters: RefCell::default(),
-            wishes: RefCell::default(),
+            adapter_requests: RefCell::default(),
             quotas: QuotaClient::new(QuotaHolder::new(life, clock::monotonic_ms())),
-            crowd_seen: Notify::new(),
-            limit_heard: Notify::new(),
+            congestion_seen: Notify::new(),
+            limit_changed: Notify::new(),
             active: Cell::new(0),
             stopping: Arc::default(),
-            stop_told: Notify::new(),
+            stop_requested: Notify::new(),
             stopped_at: Cell::default(),
             ready: Arc::default(),
             metrics: Arc::default(),
@@ -639,8 +643,8 @@
         daemon::spawn_local(follow(core.clone()));
         daemon::spawn_local(report(core.clone()));
         daemon::spawn_local(quotas::draw_quotas(core.clone()));
-        daemon::spawn_local(queue_reports::tell_crowd(core.clone()));
-        daemon::spawn_local(limits::tell_limits(core.clone()));
+        daemon::spawn_local(queue_reports::report_queued_tokens(core.clone()));
+        daemon::spawn_local(limits::report_limits(core.clone()));
         daemon::spawn_local(prune(core.clone()));
         daemon::spawn_local(accept(core.clone(), listener));
         tracing::info!(clients = %address, "entry started");
@@ -649,7 +653,7 @@
 
     /// Whether the entry knows a replica in this life.
     pub fn knows(&self, replica: &ReplicaId) -> bool {
-        self.core.book.borrow().record(replica).is_some()
+        self.core.replicas.borrow().record(replica).is_some()
     }
 
     /// Watches further control hosts, after a change of the settings.
@@ -665,18 +669,18 @@
         let since = Instant::now();
         core.stopped_at.set(Some(since));
         core.stopping.store(true, Ordering::SeqCst);
-        core.stop_told.notify_waiters();
-        core.look_ready();
+        core.stop_requested.notify_waiters();
+        core.update_readiness();
         let least = Duration::from_millis(core.settings.stop_ms);
         let most = Duration::from_millis(core.settings.grace_ms);
         tracing::info!(active = core.active.get(), "stopping");
         loop {
-            let idle = core.active.get() == 0 && since.elapsed() > least + STOP_LOOK;
+            let idle = core.active.get() == 0 && since.elapsed() > least + STOP_POLL_INTERVAL;
             if idle || since.elapsed() >= most {
                 tracing::info!(active = core.active.get(), "stopped");
                 return;
             }
-            tokio::time::sleep(STOP_LOOK).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
     }
 }
@@ -686,22 +690,22 @@
     let metrics = core.metrics.clone();
     let read = move || {
         let ready = ready.load(Ordering::SeqCst);
-        let book = metrics.lock().unwrap_or_else(|b| b.into_inner());
+        let registry = metrics.lock().unwrap_or_else(|b| b.into_inner());
         let page = daemon::WatchPage {
             ready,
-            metrics: book.render(),
+            metrics: registry.render(),
         };
         Box::pin(async move { page }) as daemon::WatchRead
     };
     daemon::serve_watch(core.settings.watch, Arc::new(read)).await
 }
 
-/// Accepts clients until some time after the entry was asked to stop.
+/// Accepts clients until some time after the entry was reply to stop.
 async fn accept(core: Rc<EntryCore>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = core.closes_listener() => return,
+            () = core.listener_close_due() => return,
         };
         match accepted {
             Ok((stream, _)) => daemon::spawn_local(client::serve(core.clone(), stream)),
@@ -723,9 +727,9 @@
 
 async fn report(core: Rc<EntryCore>) {
     loop {
-        tokio::time::sleep(REPORT_EVERY).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
         let report = core.report();
-        let told = core
+        let reply = core
             .follower
             .link()
             .decide("report", REPORT_TIME, |client, context| {
@@ -733,17 +737,17 @@
                 async move { client.report(context, report).await }
             })
             .await;
-        match told {
+        match reply {
             Ok(reply) => {
-                core.budget.borrow_mut().share_among(reply.entries);
-                core.follow_limits(&reply.limits);
+                core.budget.borrow_mut().set_entries(reply.entries);
+                core.apply_limits(&reply.limits);
             }
             Err(error) => tracing::debug!(%error, "a report was not heard"),
         }
     }
 }
 
-fn adapter_place(replica: &ReplicaId, need: &Need) -> Option<AdapterPlace> {
+fn adapter_slot(replica: &ReplicaId, need: &Need) -> Option<AdapterPlace> {
     Some(AdapterPlace {
         replica: replica.clone(),
         model: need.model.clone()?,
@@ -751,21 +755,23 @@
     })
 }
 
-async fn ask_adapter(core: Rc<EntryCore>, wish: AdapterPlace) {
+async fn send_adapter_request(core: Rc<EntryCore>, request: AdapterPlace) {
     let link = core.follower.link();
-    let asked = link
+    let reply = link
         .decide("wish", REPORT_TIME, |client, context| {
-            let wish = wish.clone();
-            async move { client.wish(context, wish).await }
+            let request = request.clone();
+            async move { client.wish(context, request).await }
         })
         .await;
-    let (replica, model, adapter) = (&wish.replica, &wish.model, &wish.adapter);
-    match asked {
+    let (replica, model, adapter) = (&request.replica, &request.model, &request.adapter);
+    match reply {
         Ok(soon) => {
             tracing::info!(%replica, %model, adapter, soon, "wish for an adapter");
             if !soon {
                 let now_ms = clock::monotonic_ms();
-                core.book.borrow_mut().refuse_fetch(now_ms, replica);
+                core.replicas
+                    .borrow_mut()
+                    .record_fetch_refusal(now_ms, replica);
                 core.changed.notify_waiters();
             }
         }
@@ -777,10 +783,10 @@
 
 async fn prune(core: Rc<EntryCore>) {
     loop {
-        tokio::time::sleep(PRUNE_EVERY).await;
-        let mut book = core.book.borrow_mut();
-        book.prune(clock::monotonic_ms());
+        tokio::time::sleep(PRUNE_INTERVAL).await;
+        let mut replicas = core.replicas.borrow_mut();
+        replicas.prune(clock::monotonic_ms());
         let mut pool = core.pool.borrow_mut();
-        pool.prune(|id| book.record(id).is_some());
+        pool.prune(|id| replicas.record(id).is_some());
     }
 }
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -10,50 +10,55 @@
 use crate::placement::named_rate::NamedRate;
 
 /// Least time between two reports.
-const PAUSE: Duration = Duration::from_millis(50);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause after a report that was not heard, or not by a leader that knows all limits.
-const DUE_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// Time for a report.
-const REPORT_TIME: Duration = Duration::from_millis(250);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Reports at once what is heard of limits. The first report is empty: it brings what others
 /// heard before this entry started.
-pub async fn tell_limits(core: Rc<EntryCore>) {
+pub async fn report_limits(core: Rc<EntryCore>) {
     let mut due = true;
     loop {
-        let heard = core.limit_heard.notified();
-        if !due && !core.book.borrow().limits().has_news() {
-            heard.await;
+        let changed = core.limit_changed.notified();
+        if !due && !core.replicas.borrow().limits().has_news() {
+            changed.await;
         }
-        let told = tell_once(&core).await;
+        let reply = report_once(&core).await;
         // A new leader that still gathers what entries know has told nothing yet.
-        due = !told || !core.book.borrow().limits().follows();
-        tokio::time::sleep(if due { DUE_PAUSE } else { PAUSE }).await;
+        due = !reply || !core.replicas.borrow().limits().follows();
+        tokio::time::sleep(if due {
+            RETRY_INTERVAL
+        } else {
+            MIN_REPORT_INTERVAL
+        })
+        .await;
     }
 }
 
 /// Returns whether the leader heard it.
-async fn tell_once(core: &EntryCore) -> bool {
-    let asked_ms = clock::monotonic_ms();
-    let report = core.book.borrow_mut().limits_mut().report(asked_ms);
-    let told = core
+async fn report_once(core: &EntryCore) -> bool {
+    let sent_ms = clock::monotonic_ms();
+    let report = core.replicas.borrow_mut().limits_mut().report(sent_ms);
+    let reply = core
         .link()
-        .decide("limits", REPORT_TIME, |client, context| {
+        .decide("limits", REPORT_TIMEOUT, |client, context| {
             let report = report.clone();
             async move { client.limits(context, report).await }
         })
         .await;
-    match told {
+    match reply {
         Ok(page) => {
-            let mut book = core.book.borrow_mut();
-            book.limits_mut().confirm(asked_ms, &report);
-            drop(book);
-            core.follow_limits(&page);
+            let mut replicas = core.replicas.borrow_mut();
+            replicas.limits_mut().confirm(sent_ms, &report);
+            drop(replicas);
+            core.apply_limits(&page);
             true
         }
         Err(error) => {
             tracing::debug!(%error, "limits of replicas were not told");
-            core.book.borrow_mut().limits_mut().miss();
+            core.replicas.borrow_mut().limits_mut().miss();
             false
         }
     }
@@ -61,44 +66,51 @@
 
 impl EntryCore {
     /// An answer of a replica names a limit.
-    pub fn hear_limit(&self, replica: &ReplicaLife, rate: NamedRate, permit: Option<PermitStamp>) {
+    pub fn record_limit(
+        &self,
+        replica: &ReplicaLife,
+        rate: NamedRate,
+        permit: Option<PermitStamp>,
+    ) {
         let now_ms = clock::monotonic_ms();
-        let mut book = self.book.borrow_mut();
-        if book.limits_mut().hear(now_ms, replica, rate, permit) {
+        let mut replicas = self.replicas.borrow_mut();
+        if replicas.limits_mut().hear(now_ms, replica, rate, permit) {
             self.count("dunlinspring_limits_named_total", &[]);
             tracing::info!(%replica, per_s = rate.per_s(), "replica names a limit");
-            self.limit_heard.notify_one();
+            self.limit_changed.notify_one();
         }
     }
 
     /// An answer of a replica, to a request that needed a permit, names no limit.
-    pub fn hear_no_limit(&self, replica: &ReplicaLife, permit: PermitStamp) {
-        let mut book = self.book.borrow_mut();
-        if book.limits_mut().hear_none(replica, permit) {
+    pub fn record_limit_end(&self, replica: &ReplicaLife, permit: PermitStamp) {
+        let mut replicas = self.replicas.borrow_mut();
+        if replicas.limits_mut().hear_none(replica, permit) {
             tracing::info!(%replica, "replica names no limit any more");
-            self.limit_heard.notify_one();
+            self.limit_changed.notify_one();
         }
     }
 
     /// Takes over the leader's changes of limits.
-    pub fn follow_limits(&self, page: &LimitPage) {
-        let mut book = self.book.borrow_mut();
+    pub fn apply_limits(&self, page: &LimitPage) {
+        let mut replicas = self.replicas.borrow_mut();
         for state in &page.limits {
-            if book.limits().is_news(state) {
+            if replicas.limits().is_news(state) {
                 let per_s = state.rate.map(|rate| rate.per_s());
                 tracing::info!(replica = %state.replica, per_s, "limit of a replica");
-                book.pace_mut().follow(&state.replica.id, state.rate);
+                replicas
+                    .permit_pace_mut()
+                    .follow(&state.replica.id, state.rate);
             }
         }
-        let limits = book.limits_mut();
+        let limits = replicas.limits_mut();
         let ended = limits.follow(clock::monotonic_ms(), page);
         let has_news = limits.has_news();
-        drop(book);
+        drop(replicas);
         if ended {
             self.changed.notify_waiters();
         }
         if has_news {
-            self.limit_heard.notify_one();
+            self.limit_changed.notify_one();
         }
     }
 }
--- a/src/forward/locality.rs
+++ b/src/forward/locality.rs
@@ -8,21 +8,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HallDistance {
     /// The entry's own.
-    Here,
+    SameHall,
     /// Another one in its region.
-    Region,
+    SameRegion,
     /// In another region: links between regions are long, narrow and dear.
-    Away,
+    OtherRegion,
 }
 
 /// An entry's data hall, and the regions of all halls.
 #[derive(Clone, Debug, Default)]
-pub struct EntryPlace {
+pub struct EntryLocation {
     hall: Option<HallName>,
     regions: BTreeMap<HallName, RegionName>,
 }
 
-impl EntryPlace {
+impl EntryLocation {
     /// The place of an entry in `hall`.
     pub fn new(hall: HallName, regions: BTreeMap<HallName, RegionName>) -> Self {
         Self {
@@ -36,9 +36,9 @@
         let own = self.hall.as_ref();
         let region = |hall: &HallName| self.regions.get(hall);
         match own.is_some_and(|own| region(own) == region(hall)) {
-            _ if own == Some(hall) => HallDistance::Here,
-            true => HallDistance::Region,
-            false => HallDistance::Away,
+            _ if own == Some(hall) => HallDistance::SameHall,
+            true => HallDistance::SameRegion,
+            false => HallDistance::OtherRegion,
         }
     }
 
--- a/src/forward/need.rs
+++ b/src/forward/need.rs
@@ -8,7 +8,7 @@
 use crate::table::configuration::SLACK_RANKS;
 
 /// Degrees of urgency.
-pub(super) const URGENCIES: usize = 10;
+pub(super) const URGENCY_LEVELS: usize = 10;
 
 /// What a request needs of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// Regions in which it may be served.
     pub regions: AllowedRegions,
     /// Drawn for the request: spreads requests of different entries evenly.
-    pub draw: u64,
+    pub id_hash: u64,
 }
 
 /// How replicas are weighed against each other. Costs are in requests that wait.
@@ -91,7 +91,7 @@
 }
 
 /// The last of the ten places in the order at a replica.
-const LAST_URGENCY: u32 = URGENCIES as u32 - 1;
+const LAST_URGENCY: u32 = URGENCY_LEVELS as u32 - 1;
 
 impl ChoicePolicy {
     /// A request's place in the order at a replica: by the rank of its account, or of its
--- a/src/forward/own_answer.rs
+++ b/src/forward/own_answer.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::forward::caller::CallerRefusal;
-use crate::forward::client::{AfterAnswer, ClientRequest, ClientWriter};
+use crate::forward::client::{AfterResponse, ClientRequest, ClientWriter};
 use crate::forward::daemon::EntryCore;
 use crate::forward::head;
 use crate::forward::quotas::QuotaRefusal;
@@ -31,15 +31,15 @@
     /// The adapter did not come in time.
     Adapter,
     /// Time ran out before it was sent.
-    Late,
+    DeadlinePassed,
     /// Replicas refused it, and the budget for sending it again is spent.
     Budget,
     /// This entry stops before such a stream is likely to end.
     Stopping,
     /// A replica ended under it, and another attempt of it is being tried.
-    Turn,
+    Suspect,
     /// Too many replicas ended under it.
-    Barred,
+    Quarantined,
     /// The caller may not act, or not any more.
     Caller(CallerRefusal),
     /// Its account does not pay for it.
@@ -57,11 +57,11 @@
             Self::RateLimited => "all replicas take few requests, and have got them",
             Self::Absent => "no replica holds the model",
             Self::Adapter => "the adapter did not come in time",
-            Self::Late => "time ran out before it was sent",
+            Self::DeadlinePassed => "time ran out before it was sent",
             Self::Budget => "replicas refused it",
             Self::Stopping => "this entry stops before it would end",
-            Self::Turn => "a replica ended under it, and another attempt of it is tried first",
-            Self::Barred => "replicas ended under it each time: it is sent no more",
+            Self::Suspect => "a replica ended under it, and another attempt is tried",
+            Self::Quarantined => "replicas ended under it each time: it is sent no more",
             Self::Caller(refusal) => refusal.text(),
             Self::Quota(QuotaRefusal::Over(_)) => "the account is at its limit",
             Self::Quota(QuotaRefusal::Unknown) => "what is left of the limit is not known",
@@ -79,15 +79,15 @@
 }
 
 /// Refuses a request that got no further than its route.
-pub(super) async fn refuse_plainly(
+pub(super) async fn refuse_unrouted(
     core: &Rc<EntryCore>,
     request: &ClientRequest,
     writer: &mut ClientWriter,
     status: u16,
     reason: &str,
-) -> AfterAnswer {
+) -> AfterResponse {
     let id = head::find(&request.head.headers, core.names.request_id);
-    let close = closes(core, request);
+    let close = closes_connection(core, request);
     let retry = (status == 503).then_some(UNKNOWN_RETRY);
     let bytes = own_answer(core, status, reason, id, retry, close);
     core.log_plain(id.unwrap_or_default(), status, reason);
@@ -95,16 +95,16 @@
 }
 
 /// Writes an answer's last bytes.
-pub(super) async fn finish(writer: &mut ClientWriter, bytes: &[u8], close: bool) -> AfterAnswer {
+pub(super) async fn finish(writer: &mut ClientWriter, bytes: &[u8], close: bool) -> AfterResponse {
     match (writer.write(bytes).await, close) {
-        (Err(_), _) => AfterAnswer::Cut,
-        (Ok(()), true) => AfterAnswer::Close,
-        (Ok(()), false) => AfterAnswer::Keep,
+        (Err(_), _) => AfterResponse::Cut,
+        (Ok(()), true) => AfterResponse::Close,
+        (Ok(()), false) => AfterResponse::Keep,
     }
 }
 
 /// Whether the connection ends after this request.
-pub(super) fn closes(core: &EntryCore, request: &ClientRequest) -> bool {
+pub(super) fn closes_connection(core: &EntryCore, request: &ClientRequest) -> bool {
     let headers = &request.head.headers;
     !request.head.is_http11
         || head::names_token(headers, "connection", "close")
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -15,7 +15,7 @@
 
 /// What stands for an answer that nobody gave: other replicas are sent to
 /// meanwhile.
-const SILENT: PermitRefusal = PermitRefusal {
+const NO_REPLY: PermitRefusal = PermitRefusal {
     wait_ms: 300,
     rate: None,
 };
@@ -23,7 +23,7 @@
 /// The permit to send one request to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RatePermit {
-    /// The replica, in the life that was meant.
+    /// The replica, in the incarnation that was meant.
     pub replica: ReplicaLife,
     /// Until when it may be used, in milliseconds of the steady clock.
     pub until_ms: u64,
@@ -33,25 +33,28 @@
 
 impl RatePermit {
     /// Whether it may still be used for a replica.
-    pub fn holds(&self, now_ms: u64, replica: &ReplicaLife) -> bool {
+    pub fn is_valid_for(&self, now_ms: u64, replica: &ReplicaLife) -> bool {
         now_ms < self.until_ms && self.replica == *replica
     }
 }
 
 impl EntryCore {
     /// The record of a replica that takes few requests; none where it takes any number.
-    pub fn limited_record(&self, replica: &ReplicaId) -> Option<ReplicaRecord> {
-        let book = self.book.borrow();
-        let limited = book.needs_permit(clock::monotonic_ms(), replica);
-        book.record(replica).filter(|_| limited).cloned()
+    pub fn rate_limited_record(&self, replica: &ReplicaId) -> Option<ReplicaRecord> {
+        let replicas = self.replicas.borrow();
+        let limited = replicas.needs_permit(clock::monotonic_ms(), replica);
+        replicas.record(replica).filter(|_| limited).cloned()
     }
 
     /// Asks whether one request may go to a replica that takes few.
-    pub async fn ask_permit(&self, record: &ReplicaRecord) -> Option<RatePermit> {
-        let asked_ms = clock::monotonic_ms();
-        let request = self.permit_request(asked_ms, record);
-        self.book.borrow_mut().pace_mut().ask(asked_ms, &record.id);
-        let asked = self
+    pub async fn request_permit(&self, record: &ReplicaRecord) -> Option<RatePermit> {
+        let sent_ms = clock::monotonic_ms();
+        let request = self.permit_request(sent_ms, record);
+        self.replicas
+            .borrow_mut()
+            .permit_pace_mut()
+            .ask(sent_ms, &record.id);
+        let reply = self
             .link()
             .decide(
                 "permit",
@@ -62,40 +65,40 @@
                 },
             )
             .await;
-        let granted = self.take_reply(asked_ms, &request.replica, asked);
+        let granted = self.handle_reply(sent_ms, &request.replica, reply);
         // Others wait for the answer to ask for themselves.
         self.changed.notify_waiters();
         granted.map(|stamp| RatePermit {
             replica: request.replica,
-            until_ms: asked_ms + PERMIT_MS,
+            until_ms: sent_ms + PERMIT_MS,
             stamp,
         })
     }
 
-    fn take_reply(
+    fn handle_reply(
         &self,
-        asked_ms: u64,
+        sent_ms: u64,
         replica: &ReplicaLife,
-        asked: Result<PermitReply, PeerError>,
+        reply: Result<PermitReply, PeerError>,
     ) -> Option<PermitStamp> {
         let now_ms = clock::monotonic_ms();
-        let mut book = self.book.borrow_mut();
-        if asked.is_ok() {
-            book.limits_mut().confirm_notice(asked_ms, replica);
+        let mut replicas = self.replicas.borrow_mut();
+        if reply.is_ok() {
+            replicas.limits_mut().confirm_notice(sent_ms, replica);
         }
-        let pace = book.pace_mut();
-        let (answer, granted) = match asked {
+        let pace = replicas.permit_pace_mut();
+        let (answer, granted) = match reply {
             Ok(PermitReply::Granted(stamp)) => {
-                pace.grant(asked_ms, &replica.id);
+                pace.grant(sent_ms, &replica.id);
                 ("granted", Some(stamp))
             }
             Ok(PermitReply::Refused(refusal)) => {
-                pace.refuse(now_ms, asked_ms, &replica.id, refusal);
+                pace.refuse(now_ms, sent_ms, &replica.id, refusal);
                 ("wait", None)
             }
             Err(error) => {
                 tracing::debug!(%error, %replica, "a permit to send was not asked for");
-                pace.refuse(now_ms, asked_ms, &replica.id, SILENT);
+                pace.refuse(now_ms, sent_ms, &replica.id, NO_REPLY);
                 ("none", None)
             }
         };
@@ -104,11 +107,11 @@
     }
 
     fn permit_request(&self, now_ms: u64, record: &ReplicaRecord) -> PermitRequest {
-        let book = self.book.borrow();
-        let (limits, replica) = (book.limits(), record.life());
+        let replicas = self.replicas.borrow();
+        let (limits, replica) = (replicas.limits(), record.life());
         PermitRequest {
             service: record.service.clone(),
-            is_cold: book.is_cold(now_ms, &record.id),
+            is_cold: replicas.is_cold(now_ms, &record.id),
             is_limited: limits.is_limited(&replica),
             named: limits.last_notice(now_ms, &replica),
             cursor: limits.cursor(),
--- a/src/forward/quotas.rs
+++ b/src/forward/quotas.rs
@@ -12,12 +12,12 @@
 use crate::table::quota::{QuotaAsk, QuotaCharge, QuotaGrants, QuotaHolder};
 
 /// Longest time between two questions of an entry whose accounts have demand.
-const REGULAR: Duration = Duration::from_millis(500);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait for an answer on quotas: a call to the leader takes two round trips and its
 /// batch of events; much longer, and it is lost.
-const ASK_TIME: Duration = Duration::from_millis(150);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 /// Least time between two questions for quotas: what comes meanwhile shares the next.
-const PAUSE: Duration = Duration::from_millis(10);
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why an account does not pay for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,8 +31,8 @@
 /// What an entry holds of all quotas, and who waits for more.
 pub struct QuotaClient {
     held: RefCell<QuotaHolder>,
-    asked: Notify,
-    told: Notify,
+    demand: Notify,
+    updated: Notify,
 }
 
 impl QuotaClient {
@@ -40,8 +40,8 @@
     pub fn new(held: QuotaHolder) -> Self {
         Self {
             held: RefCell::new(held),
-            asked: Notify::new(),
-            told: Notify::new(),
+            demand: Notify::new(),
+            updated: Notify::new(),
         }
     }
 
@@ -49,13 +49,13 @@
     /// drawn is spent. Returns how long the account is short where it is.
     pub async fn pay(&self, account: &AccountName, cost: u64) -> Result<(), QuotaRefusal> {
         self.held.borrow_mut().note(account, cost);
-        let give_up = Instant::now() + ASK_TIME;
+        let until = Instant::now() + REQUEST_TIMEOUT;
         loop {
-            let told = self.told.notified();
+            let updated = self.updated.notified();
             let now_ms = clock::monotonic_ms();
             let charge = self.held.borrow_mut().charge(now_ms, account, cost);
             if self.held.borrow().is_hungry() {
-                self.asked.notify_one();
+                self.demand.notify_one();
             }
             match charge {
                 QuotaCharge::Paid => return Ok(()),
@@ -63,9 +63,9 @@
                     return Err(QuotaRefusal::Over(Duration::from_millis(ms)));
                 }
                 QuotaCharge::Unknown => return Err(QuotaRefusal::Unknown),
-                QuotaCharge::Ask if Instant::now() >= give_up => return Err(QuotaRefusal::Unknown),
+                QuotaCharge::Ask if Instant::now() >= until => return Err(QuotaRefusal::Unknown),
                 QuotaCharge::Ask => {
-                    let _ = tokio::time::timeout_at(give_up.into(), told).await;
+                    let _ = tokio::time::timeout_at(until.into(), updated).await;
                 }
             }
         }
@@ -87,16 +87,16 @@
 /// requests wait for it.
 pub async fn draw_quotas(core: Rc<EntryCore>) {
     loop {
-        let hungry = core.quotas.asked.notified();
-        let _ = tokio::time::timeout(REGULAR, hungry).await;
-        let asked_ms = clock::monotonic_ms();
-        let Some(ask) = core.quotas.held.borrow_mut().ask(asked_ms) else {
+        let demand = core.quotas.demand.notified();
+        let _ = tokio::time::timeout(REQUEST_INTERVAL, demand).await;
+        let sent_ms = clock::monotonic_ms();
+        let Some(ask) = core.quotas.held.borrow_mut().ask(sent_ms) else {
             continue;
         };
         let number = ask.number;
         let granted = core
             .link()
-            .decide("quota", ASK_TIME, |client, context| {
+            .decide("quota", REQUEST_TIMEOUT, |client, context| {
                 let ask = ask.clone();
                 async move { client.quota(context, ask).await }
             })
@@ -104,22 +104,22 @@
         match granted {
             Ok(grants) => {
                 let now_ms = clock::monotonic_ms();
-                log_short(&core, &ask, &grants);
+                log_short_accounts(&core, &ask, &grants);
                 let mut quotas = core.quotas.held.borrow_mut();
-                quotas.take(number, asked_ms, now_ms, &grants);
+                quotas.take(number, sent_ms, now_ms, &grants);
             }
             Err(error) => {
                 tracing::debug!(%error, "quotas were not drawn");
                 core.quotas.held.borrow_mut().miss();
             }
         }
-        core.quotas.told.notify_waiters();
-        tokio::time::sleep(PAUSE).await;
+        core.quotas.updated.notify_waiters();
+        tokio::time::sleep(MIN_REQUEST_INTERVAL).await;
     }
 }
 
 /// Logs accounts that are at their limit.
-fn log_short(core: &EntryCore, ask: &QuotaAsk, grants: &QuotaGrants) {
+fn log_short_accounts(core: &EntryCore, ask: &QuotaAsk, grants: &QuotaGrants) {
     let short = grants.accounts.iter();
     for (account, grant) in short.filter(|(_, grant)| grant.again_ms > 0) {
         core.count("dunlinspring_short_accounts_total", &[]);
--- a/src/forward/replica_table.rs
+++ b/src/forward/replica_table.rs
@@ -9,12 +9,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::consensus::directory::{ReplicaPhase, ReplicaRecord};
-use crate::forward::answer_separation::AnswerMix;
-use crate::forward::locality::{EntryPlace, HallDistance};
-use crate::forward::need::URGENCIES;
+use crate::forward::answer_separation::AnswerStats;
+use crate::forward::locality::{EntryLocation, HallDistance};
+use crate::forward::need::URGENCY_LEVELS;
 pub use crate::forward::need::{ChoicePolicy, Need};
 use crate::forward::replica_state::{
-    CROWD_MS, CrowdNote, PACE_PART, ReadPace, ReplicaNote, ToldLoad,
+    CONGESTION_TTL_MS, CongestionSample, PrefillTime, ReplicaState, ReportedLoad, START_FRACTION,
 };
 use crate::ids::{HallName, ReplicaId, ServiceName};
 use crate::placement::crowd::WaitingTokens;
@@ -23,7 +23,7 @@
 use crate::routing::permit_pace::PermitPace;
 use crate::routing::warm_up::WarmupBook;
 use crate::table::configuration::WarmupSpec;
-pub use blocks::ReplicaBar;
+pub use blocks::SendBlock;
 
 /// The choice.
 #[derive(Clone, Debug, PartialEq)]
@@ -87,7 +87,7 @@
 
 /// How a try at a replica ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum AttemptResult {
     /// A proper answer.
     Good,
     /// The replica said that it is full.
@@ -102,44 +102,44 @@
 
 /// What an entry has come to believe of a replica.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EjectNews {
+pub struct Ejection {
     /// The replica.
     pub replica: ReplicaId,
     /// Its failure rate, from 0 to 1.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// It is passed over for so long, in milliseconds.
-    pub pause_ms: u64,
+    pub duration_ms: u64,
     /// How it failed last.
-    pub end: TryEnd,
+    pub end: AttemptResult,
 }
 
 /// Part of the time limit from which a predicted beginning is told to the leader.
-const CROWDING_PART: f64 = 0.3;
+const CONGESTION_FRACTION: f64 = 0.3;
 /// Replicas that one log line describes.
-const MAX_DESCRIBED: usize = 4;
+const MAX_DESCRIBED_REPLICAS: usize = 4;
 /// Shared starts remembered for each replica.
 const MAX_PREFIXES: usize = 256;
 /// Weight of the newest outcome in the failure rate.
-const FAIL_STEP: f64 = 0.25;
+const FAILURE_WEIGHT: f64 = 0.25;
 /// Failure rate from which a replica is passed over for a while.
-const EJECT_RATE: f64 = 0.55;
+const EJECT_FAILURE_RATE: f64 = 0.55;
 /// How long a replica is passed over for adapters after a refusal, in milliseconds.
-const NO_FETCH_MS: u64 = 500;
+const FETCH_REFUSED_MS: u64 = 500;
 /// How long a replica that said so is taken for full, in milliseconds.
-const FULL_MS: u64 = 100;
+const FULL_BACKOFF_MS: u64 = 100;
 
 /// All replicas that an entry knows.
 #[derive(Clone, Debug, Default)]
-pub struct ReplicaBook {
+pub struct ReplicaTable {
     policy: ChoicePolicy,
-    place: EntryPlace,
-    notes: BTreeMap<ReplicaId, ReplicaNote>,
-    news: Vec<EjectNews>,
-    mixes: BTreeMap<ServiceName, AnswerMix>,
+    location: EntryLocation,
+    states: BTreeMap<ReplicaId, ReplicaState>,
+    new_ejections: Vec<Ejection>,
+    answer_stats: BTreeMap<ServiceName, AnswerStats>,
     /// Over the replicas of a service, for those of which nothing is known.
-    paces: BTreeMap<ServiceName, ReadPace>,
+    prefill_times: BTreeMap<ServiceName, PrefillTime>,
     /// Until when the leader's word on crowded replicas counts.
-    crowd_until_ms: u64,
+    congestion_until_ms: u64,
     /// What replicas asked for in their answers.
     backoffs: BackoffBook<ReplicaId>,
     /// Which replicas warm up.
@@ -154,17 +154,17 @@
     evacuated: BTreeSet<HallName>,
 }
 
-impl ReplicaBook {
+impl ReplicaTable {
     /// An empty book of an entry at a place.
-    pub fn new(policy: ChoicePolicy, place: EntryPlace) -> Self {
+    pub fn new(policy: ChoicePolicy, location: EntryLocation) -> Self {
         Self {
             policy,
-            place,
-            notes: BTreeMap::new(),
-            news: Vec::new(),
-            mixes: BTreeMap::new(),
-            paces: BTreeMap::new(),
-            crowd_until_ms: 0,
+            location,
+            states: BTreeMap::new(),
+            new_ejections: Vec::new(),
+            answer_stats: BTreeMap::new(),
+            prefill_times: BTreeMap::new(),
+            congestion_until_ms: 0,
             backoffs: BackoffBook::default(),
             warm_ups: WarmupBook::default(),
             limits: LimitedPeers::default(),
@@ -175,92 +175,100 @@
     }
 
     /// What it has come to believe since the last call, to be logged.
-    pub fn take_news(&mut self) -> Vec<EjectNews> {
-        std::mem::take(&mut self.news)
+    pub fn take_ejections(&mut self) -> Vec<Ejection> {
+        std::mem::take(&mut self.new_ejections)
     }
 
     /// Takes over the records that are in force.
-    pub fn follow(&mut self, now_ms: u64, records: &BTreeMap<ReplicaId, ReplicaRecord>) {
-        self.notes.retain(|id, _| records.contains_key(id));
+    pub fn update_records(&mut self, now_ms: u64, records: &BTreeMap<ReplicaId, ReplicaRecord>) {
+        self.states.retain(|id, _| records.contains_key(id));
         for (id, record) in records {
-            let note = self.notes.get_mut(id);
-            let known = note.as_ref().map(|note| &note.record);
+            let state = self.states.get_mut(id);
+            let known = state.as_ref().map(|state| &state.record);
             if known == Some(record) {
                 continue;
             }
             if known.is_none_or(|known| known.warm_up_word() != record.warm_up_word()) {
                 self.warm_ups.tell(now_ms, id, record.cold_ms);
             }
-            match note {
-                Some(note) if note.record.born_ms != record.born_ms => note.begin_life(record),
-                Some(note) => note.record = record.clone(),
+            match state {
+                Some(state) if state.record.born_ms != record.born_ms => state.restart(record),
+                Some(state) => state.record = record.clone(),
                 None => {
-                    let note = ReplicaNote::new(record.clone());
-                    self.notes.insert(id.clone(), note);
+                    let state = ReplicaState::new(record.clone());
+                    self.states.insert(id.clone(), state);
                 }
             }
         }
     }
 
     /// What own requests have waiting, by replica.
-    pub fn waiting(&self) -> WaitingTokens {
-        let tokens = |note: &ReplicaNote| note.waiting_tokens.iter().sum::<u64>();
-        let all = self.notes.iter().map(|(id, note)| (id, tokens(note)));
+    pub fn queued_tokens(&self) -> WaitingTokens {
+        let tokens = |state: &ReplicaState| state.waiting_tokens.iter().sum::<u64>();
+        let all = self.states.iter().map(|(id, state)| (id, tokens(state)));
         let waiting = all.filter(|(_, tokens)| *tokens > 0);
         waiting.map(|(id, tokens)| (id.clone(), tokens)).collect()
     }
 
     /// Takes the leader's word on crowded replicas; `own` is what this entry had told.
-    pub fn follow_crowd(&mut self, now_ms: u64, own: &WaitingTokens, crowded: &WaitingTokens) {
-        self.crowd_until_ms = now_ms + CROWD_MS;
-        for (id, note) in &mut self.notes {
-            let told = crowded.get(id).map(|tokens| CrowdNote {
+    pub fn update_congestion(
+        &mut self,
+        now_ms: u64,
+        own: &WaitingTokens,
+        congested: &WaitingTokens,
+    ) {
+        self.congestion_until_ms = now_ms + CONGESTION_TTL_MS;
+        for (id, state) in &mut self.states {
+            let reported = congested.get(id).map(|tokens| CongestionSample {
                 tokens: tokens.saturating_sub(own.get(id).copied().unwrap_or(0)),
                 at_ms: now_ms,
             });
-            note.crowd = told.unwrap_or_default();
+            state.congestion = reported.unwrap_or_default();
         }
     }
 
     /// Whether a request that was just sent makes a replica worth telling of: its answer
     /// begins late, or nothing is known of the replica yet.
-    pub fn is_crowding(&self, id: &ReplicaId, need: &Need, ahead: u64) -> bool {
-        let note = self.notes.get(id).filter(|_| need.model.is_some());
-        note.is_some_and(|note| match note.pace.smooth_ms {
-            Some(pace_ms) => pace_ms * ahead as f64 > need.limit_ms as f64 * CROWDING_PART,
+    pub fn causes_congestion(&self, id: &ReplicaId, need: &Need, tokens_ahead: u64) -> bool {
+        let state = self.states.get(id).filter(|_| need.model.is_some());
+        state.is_some_and(|state| match state.prefill.smoothed_ms {
+            Some(ms) => ms * tokens_ahead as f64 > need.limit_ms as f64 * CONGESTION_FRACTION,
             None => true,
         })
     }
 
     /// The replicas that are known.
     pub fn ids(&self) -> impl Iterator<Item = &ReplicaId> {
-        self.notes.keys()
+        self.states.keys()
     }
 
     /// When a replica is likely to have room for a need, in milliseconds from now;
     /// none where no replica holds what is needed.
-    pub fn room_in_ms(&self, now_ms: u64, need: &Need) -> Option<u64> {
+    pub fn capacity_in_ms(&self, now_ms: u64, need: &Need) -> Option<u64> {
         let fade_ms = self.policy.fade_ms;
-        let suited = self.notes.values().filter(|note| self.suits(note, need));
-        let waits = suited.filter_map(|note| {
-            let paused_ms = match self.bar(note, now_ms) {
-                Some(ReplicaBar::Evacuated | ReplicaBar::Asked(SendBar::Leaving)) => return None,
+        let candidates = self
+            .states
+            .values()
+            .filter(|state| self.can_serve(state, need));
+        let waits = candidates.filter_map(|state| {
+            let paused_ms = match self.block(state, now_ms) {
+                Some(SendBlock::Evacuated | SendBlock::Asked(SendBar::Leaving)) => return None,
                 Some(
-                    ReplicaBar::Asked(SendBar::Paused { left_ms })
-                    | ReplicaBar::RateLimited { left_ms },
+                    SendBlock::Asked(SendBar::Paused { left_ms })
+                    | SendBlock::RateLimited { left_ms },
                 ) => left_ms as f64,
-                Some(ReplicaBar::Asked(SendBar::Reopening)) | None => 0.0,
+                Some(SendBlock::Asked(SendBar::Reopening)) | None => 0.0,
             };
-            let (waiting, running) = note.loads(now_ms, fade_ms);
-            let full = waiting + running >= f64::from(note.slots);
-            let ahead = note.ahead(need, now_ms, fade_ms);
-            let begin_ms = self.pace_ms(note, need, now_ms) * ahead as f64;
-            let over_ms = begin_ms - need.limit_ms as f64 * PACE_PART;
-            let room_ms = match full {
-                true => over_ms.max(need.limit_ms as f64),
-                false => over_ms.max(0.0),
+            let (waiting, running) = state.loads(now_ms, fade_ms);
+            let full = waiting + running >= f64::from(state.slots);
+            let tokens_ahead = state.tokens_ahead(need, now_ms, fade_ms);
+            let predicted_ms = self.ms_per_token(state, need, now_ms) * tokens_ahead as f64;
+            let excess_ms = predicted_ms - need.limit_ms as f64 * START_FRACTION;
+            let capacity_ms = match full {
+                true => excess_ms.max(need.limit_ms as f64),
+                false => excess_ms.max(0.0),
             };
-            Some(room_ms.max(paused_ms))
+            Some(capacity_ms.max(paused_ms))
         });
         let least = waits.min_by(f64::total_cmp)?;
         Some(least as u64)
@@ -270,23 +278,26 @@
     /// load, predicted beginning, the age of the report, and what is against them.
     pub fn describe(&self, now_ms: u64, need: &Need) -> String {
         let fade_ms = self.policy.fade_ms;
-        let suited = self.notes.values().filter(|note| self.suits(note, need));
-        let lines = suited.take(MAX_DESCRIBED).map(|note| {
-            let (waiting, running) = note.loads(now_ms, fade_ms);
-            let ahead = note.ahead(need, now_ms, fade_ms) as f64;
-            let begin_ms = self.pace_ms(note, need, now_ms) * ahead;
-            let age_ms = now_ms.saturating_sub(note.told.at_ms);
-            let ejected_ms = note.ejected_until_ms.saturating_sub(now_ms);
-            let pause_ms = note.pause.at(now_ms);
-            let others = note.crowd.at(now_ms);
+        let candidates = self
+            .states
+            .values()
+            .filter(|state| self.can_serve(state, need));
+        let lines = candidates.take(MAX_DESCRIBED_REPLICAS).map(|state| {
+            let (waiting, running) = state.loads(now_ms, fade_ms);
+            let tokens_ahead = state.tokens_ahead(need, now_ms, fade_ms) as f64;
+            let predicted_ms = self.ms_per_token(state, need, now_ms) * tokens_ahead;
+            let age_ms = now_ms.saturating_sub(state.reported.at_ms);
+            let ejected_ms = state.ejected_until_ms.saturating_sub(now_ms);
+            let gap_ms = state.event_gap.at(now_ms);
+            let others = state.congestion.at(now_ms);
             format!(
-                "{} waiting {waiting:.1} running {running:.1} of {} begins in {begin_ms:.0} ms, \
-                 others have {others} tokens waiting, pauses {pause_ms:.0} ms, told {age_ms} ms ago, {:?}, passed over for {ejected_ms} ms, {}, adapter {}",
-                note.record.id,
-                note.slots,
-                note.record.phase,
-                blocks::bar_text(self.bar(note, now_ms)),
-                self.holds_adapter(note, need)
+                "{} waiting {waiting:.1} running {running:.1} of {} begins in {predicted_ms:.0} ms, \
+                 others have {others} tokens waiting, pauses {gap_ms:.0} ms, told {age_ms} ms ago, {:?}, passed over for {ejected_ms} ms, {}, adapter {}",
+                state.record.id,
+                state.slots,
+                state.record.phase,
+                blocks::block_text(self.block(state, now_ms)),
+                self.holds_adapter(state, need)
             )
         });
         lines.collect::<Vec<String>>().join("; ")
@@ -294,69 +305,73 @@
 
     /// The longest time between two events that streams of a need now show, in
     /// milliseconds; 0 where this entry has seen none lately.
-    pub fn pause_ms(&self, now_ms: u64, need: &Need) -> f64 {
-        let suited = self.notes.values().filter(|note| self.suits(note, need));
-        let pauses = suited.map(|note| note.pause.at(now_ms));
+    pub fn event_gap_ms(&self, now_ms: u64, need: &Need) -> f64 {
+        let candidates = self
+            .states
+            .values()
+            .filter(|state| self.can_serve(state, need));
+        let pauses = candidates.map(|state| state.event_gap.at(now_ms));
         pauses.fold(0.0, f64::max)
     }
 
     /// The record of a replica.
     pub fn record(&self, id: &ReplicaId) -> Option<&ReplicaRecord> {
-        self.notes.get(id).map(|note| &note.record)
+        self.states.get(id).map(|state| &state.record)
     }
 
-    /// Chooses a replica for a need. `passed` names those that this request has
+    /// Chooses a replica for a need. `attempted` names those that this request has
     /// tried already.
     pub fn choose(
         &self,
         now_ms: u64,
         need: &Need,
-        passed: &BTreeSet<ReplicaId>,
+        attempted: &BTreeSet<ReplicaId>,
         bounds: EngineBounds,
     ) -> Choice {
-        let all = self.notes.values();
-        let suited: Vec<&ReplicaNote> = all.filter(|note| self.suits(note, need)).collect();
+        let all = self.states.values();
+        let candidates: Vec<&ReplicaState> =
+            all.filter(|state| self.can_serve(state, need)).collect();
         // Before anything that falls back on what is left: what a replica asked for holds
         // also where it is the last one.
-        let open = match self.unbarred(&suited, now_ms) {
+        let open = match self.unblocked(&candidates, now_ms) {
             Ok(open) => open,
             // What a replica loads can be loaded elsewhere.
             Err(Choice::Evacuated) if need.model.is_some() => return Choice::Absent,
             Err(choice) => return choice,
         };
-        let apart = self.set_apart(&suited, need);
-        let mut suited = open;
-        let fresh = |note: &ReplicaNote| !passed.contains(&note.record.id);
-        if suited.iter().any(|note| fresh(note)) {
-            suited.retain(|note| fresh(note));
+        let reserved = self.reserved_for_others(&candidates, need);
+        let mut candidates = open;
+        let untried = |state: &ReplicaState| !attempted.contains(&state.record.id);
+        if candidates.iter().any(|state| untried(state)) {
+            candidates.retain(|state| untried(state));
         }
-        let sound = |note: &ReplicaNote| self.is_sound(note, now_ms);
-        if suited.iter().any(|note| sound(note)) {
-            suited.retain(|note| sound(note));
+        let healthy = |state: &ReplicaState| self.is_healthy(state, now_ms);
+        if candidates.iter().any(|state| healthy(state)) {
+            candidates.retain(|state| healthy(state));
         }
         // A replica that this request could not reach, or that failed it, is not tried again
         // before its pause is over: with one home it would dial without end.
-        suited.retain(|note| fresh(note) || sound(note));
-        suited.retain(|note| self.has_room(note, need, now_ms, bounds.memory));
-        let Some(best) = self.cheapest(suited.iter().copied(), need, &apart, now_ms) else {
+        candidates.retain(|state| untried(state) || healthy(state));
+        candidates.retain(|state| self.has_capacity(state, need, now_ms, bounds.memory));
+        let Some(best) = self.cheapest(candidates.iter().copied(), need, &reserved, now_ms) else {
             return Choice::Full;
         };
         if self.holds_adapter(best, need) {
             return Choice::Send(best.record.id.clone());
         }
-        let ready = suited.iter().copied();
-        let ready = ready.filter(|note| self.holds_adapter(note, need));
-        let holder = self.cheapest(ready, need, &apart, now_ms);
-        let open = |note: &&ReplicaNote| note.no_fetch_until_ms <= now_ms;
-        let open = suited.iter().copied().filter(open);
+        let ready = candidates.iter().copied();
+        let ready = ready.filter(|state| self.holds_adapter(state, need));
+        let holder = self.cheapest(ready, need, &reserved, now_ms);
+        let open = |state: &&ReplicaState| state.fetch_refused_until_ms <= now_ms;
+        let open = candidates.iter().copied().filter(open);
         let (full, free): (Vec<_>, Vec<_>) =
-            open.partition(|note| note.adapters() >= bounds.adapter_slots as usize);
+            open.partition(|state| state.adapters() >= bounds.adapter_slots as usize);
         let fetcher = self
-            .cheapest(free.into_iter(), need, &apart, now_ms)
-            .or_else(|| self.cheapest(full.into_iter(), need, &apart, now_ms));
+            .cheapest(free.into_iter(), need, &reserved, now_ms)
+            .or_else(|| self.cheapest(full.into_iter(), need, &reserved, now_ms));
         match (holder, fetcher) {
             // A second home of an adapter is worth its load only where the first is busy.
-            (Some(holder), _) if self.is_slack(holder, now_ms) => {
+            (Some(holder), _) if self.is_lightly_loaded(holder, now_ms) => {
                 Choice::Send(holder.record.id.clone())
             }
             (_, Some(fetcher)) => Choice::Fetch(fetcher.record.id.clone()),
@@ -367,243 +382,270 @@
 
     fn cheapest<'a>(
         &self,
-        notes: impl Iterator<Item = &'a ReplicaNote>,
+        states: impl Iterator<Item = &'a ReplicaState>,
         need: &Need,
-        apart: &BTreeSet<&ReplicaId>,
+        reserved: &BTreeSet<&ReplicaId>,
         now_ms: u64,
-    ) -> Option<&'a ReplicaNote> {
+    ) -> Option<&'a ReplicaState> {
         // Entries that know nothing of each other's requests find the same replica cheapest:
         // each request has its own order among those that cost the same, so that they spread.
-        let costs = notes.map(|note| {
-            let other = apart.contains(&note.record.id);
+        let costs = states.map(|state| {
+            let other = reserved.contains(&state.record.id);
             let other_cost = if other { self.policy.apart_cost } else { 0.0 };
-            let cost = self.cost(note, need, now_ms) + other_cost;
-            (cost, drawn_rank(need.draw, &note.record.id), note)
+            let cost = self.cost(state, need, now_ms) + other_cost;
+            (cost, hash_rank(need.id_hash, &state.record.id), state)
         });
         let least = costs.min_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
-        least.map(|(_, _, note)| note)
+        least.map(|(_, _, state)| state)
     }
 
     /// Of the replicas that suit a need, those that are for requests of the other kind.
-    fn set_apart<'a>(&self, suited: &[&'a ReplicaNote], need: &Need) -> BTreeSet<&'a ReplicaId> {
-        let mix = need.service.as_ref().and_then(|s| self.mixes.get(s));
-        let (Some(mix), Some(model)) = (mix, &need.model) else {
+    fn reserved_for_others<'a>(
+        &self,
+        candidates: &[&'a ReplicaState],
+        need: &Need,
+    ) -> BTreeSet<&'a ReplicaId> {
+        let answers = need.service.as_ref().and_then(|s| self.answer_stats.get(s));
+        let (Some(answers), Some(model)) = (answers, &need.model) else {
             return BTreeSet::new();
         };
         // By the directory alone: other entries must come to the same order.
-        let ready = |note: &&&ReplicaNote| note.record.phase == ReplicaPhase::Ready;
-        let ids = suited.iter().filter(ready).map(|note| &note.record.id);
-        let draw = u64::from(crc32fast::hash(model.as_str().as_bytes()));
-        let mut homes: Vec<(u64, &ReplicaId)> = ids.map(|id| (drawn_rank(draw, id), id)).collect();
+        let ready = |state: &&&ReplicaState| state.record.phase == ReplicaPhase::Ready;
+        let ids = candidates
+            .iter()
+            .filter(ready)
+            .map(|state| &state.record.id);
+        let id_hash = u64::from(crc32fast::hash(model.as_str().as_bytes()));
+        let mut homes: Vec<(u64, &ReplicaId)> =
+            ids.map(|id| (hash_rank(id_hash, id), id)).collect();
         homes.sort_unstable();
-        let range = mix.homes_for(need, homes.len());
-        let places = homes.into_iter().enumerate();
-        let others = places.filter(|(place, _)| !range.holds(*place));
+        let range = answers.homes_for(need, homes.len());
+        let indexed = homes.into_iter().enumerate();
+        let others = indexed.filter(|(index, _)| !range.contains(*index));
         others.map(|(_, (_, id))| id).collect()
     }
 
     /// Whether a replica serves what is needed, where it may be served, and stays.
-    fn suits(&self, note: &ReplicaNote, need: &Need) -> bool {
-        holds_need(note, need) && self.place.may_serve(&note.record.hall, &need.regions)
+    fn can_serve(&self, state: &ReplicaState, need: &Need) -> bool {
+        serves_need(state, need) && self.location.may_serve(&state.record.hall, &need.regions)
     }
 
-    fn holds_adapter(&self, note: &ReplicaNote, need: &Need) -> bool {
+    fn holds_adapter(&self, state: &ReplicaState, need: &Need) -> bool {
         match (&need.model, &need.adapter) {
             (Some(model), Some(adapter)) => {
-                let adapters = note.record.models.get(model);
+                let adapters = state.record.models.get(model);
                 adapters.is_some_and(|adapters| adapters.contains(adapter))
             }
             _ => true,
         }
     }
 
-    fn is_slack(&self, note: &ReplicaNote, now_ms: u64) -> bool {
-        let (waiting, running) = note.loads(now_ms, self.policy.fade_ms);
-        waiting + running < f64::from(note.slots) / 4.0
+    fn is_lightly_loaded(&self, state: &ReplicaState, now_ms: u64) -> bool {
+        let (waiting, running) = state.loads(now_ms, self.policy.fade_ms);
+        waiting + running < f64::from(state.slots) / 4.0
     }
 
-    fn is_sound(&self, note: &ReplicaNote, now_ms: u64) -> bool {
-        let probing = note.ejections > 0 && note.waiting + note.running > 0;
-        note.record.phase == ReplicaPhase::Ready && note.ejected_until_ms <= now_ms && !probing
+    fn is_healthy(&self, state: &ReplicaState, now_ms: u64) -> bool {
+        let probing = state.ejections > 0 && state.waiting + state.running > 0;
+        state.record.phase == ReplicaPhase::Ready && state.ejected_until_ms <= now_ms && !probing
     }
 
-    fn has_room(&self, note: &ReplicaNote, need: &Need, now_ms: u64, memory: u64) -> bool {
-        let (waiting, running) = note.loads(now_ms, self.policy.fade_ms);
-        let fits = memory == 0 || note.tokens + need.tokens <= memory || note.tokens == 0;
-        let pace_ms = self.pace_ms(note, need, now_ms);
-        let quick = note.is_quick(need, now_ms, self.policy.fade_ms, pace_ms);
-        let room = waiting + running < f64::from(note.slots);
-        fits && quick && room && note.full_until_ms <= now_ms
+    fn has_capacity(&self, state: &ReplicaState, need: &Need, now_ms: u64, memory: u64) -> bool {
+        let (waiting, running) = state.loads(now_ms, self.policy.fade_ms);
+        let fits = memory == 0 || state.tokens + need.tokens <= memory || state.tokens == 0;
+        let ms_per_token = self.ms_per_token(state, need, now_ms);
+        let quick = state.starts_in_time(need, now_ms, self.policy.fade_ms, ms_per_token);
+        let room = waiting + running < f64::from(state.slots);
+        fits && quick && room && state.full_until_ms <= now_ms
     }
 
     /// A replica's pace, or where no answer of it has come, that of its service. While the
     /// leader tells what others have waiting it is that of the replica alone; otherwise the
     /// others are in it.
-    fn pace_ms(&self, note: &ReplicaNote, need: &Need, now_ms: u64) -> f64 {
-        let known = |pace: &ReadPace| match now_ms < self.crowd_until_ms {
-            true => pace.best_ms,
-            false => pace.smooth_ms,
+    fn ms_per_token(&self, state: &ReplicaState, need: &Need, now_ms: u64) -> f64 {
+        let known = |prefill: &PrefillTime| match now_ms < self.congestion_until_ms {
+            true => prefill.best_ms,
+            false => prefill.smoothed_ms,
         };
         let usual = || {
             need.service
                 .as_ref()
-                .and_then(|s| known(self.paces.get(s)?))
+                .and_then(|s| known(self.prefill_times.get(s)?))
         };
-        known(&note.pace).or_else(usual).unwrap_or(0.0)
+        known(&state.prefill).or_else(usual).unwrap_or(0.0)
     }
 
     /// An event of a stream came so long after the one before.
-    pub fn note_pause(&mut self, now_ms: u64, id: &ReplicaId, pause_ms: f64) {
-        if let Some(note) = self.notes.get_mut(id) {
-            note.pause.note(now_ms, pause_ms);
+    pub fn record_event_gap(&mut self, now_ms: u64, id: &ReplicaId, gap_ms: f64) {
+        if let Some(state) = self.states.get_mut(id) {
+            state.event_gap.observe(now_ms, gap_ms);
         }
     }
 
-    fn cost(&self, note: &ReplicaNote, need: &Need, now_ms: u64) -> f64 {
+    fn cost(&self, state: &ReplicaState, need: &Need, now_ms: u64) -> f64 {
         let policy = &self.policy;
-        let (waiting, running) = note.loads(now_ms, policy.fade_ms);
-        let warm = need
+        let (waiting, running) = state.loads(now_ms, policy.fade_ms);
+        let has_prefix = need
             .prefix
-            .is_some_and(|prefix| note.prefixes.contains(&prefix));
-        let way = match self.place.distance(&note.record.hall) {
-            HallDistance::Here => 0.0,
-            HallDistance::Region => policy.hall_cost,
-            HallDistance::Away => policy.region_cost,
+            .is_some_and(|prefix| state.prefixes.contains(&prefix));
+        let distance_cost = match self.location.distance(&state.record.hall) {
+            HallDistance::SameHall => 0.0,
+            HallDistance::SameRegion => policy.hall_cost,
+            HallDistance::OtherRegion => policy.region_cost,
         };
-        let gain = if warm { policy.prefix_gain } else { 0.0 };
+        let gain = if has_prefix { policy.prefix_gain } else { 0.0 };
         let load = waiting + running * policy.running_cost;
-        let slow = note.work.excess(now_ms, policy.work_fade_ms) * policy.work_cost;
-        load + way + slow + note.failing * policy.failure_cost - gain
+        let slowdown_cost = state.slowdown.excess(now_ms, policy.work_fade_ms) * policy.work_cost;
+        load + distance_cost + slowdown_cost + state.failure_rate * policy.failure_cost - gain
     }
 
     /// A request goes to a replica. Returns the tokens that are read before its
     /// answer can begin.
-    pub fn start(&mut self, now_ms: u64, id: &ReplicaId, need: &Need) -> u64 {
+    pub fn record_sent(&mut self, now_ms: u64, id: &ReplicaId, need: &Need) -> u64 {
         let fade_ms = self.policy.fade_ms;
         if let (Some(service), Some(_)) = (&need.service, &need.model) {
-            self.mixes.entry(service.clone()).or_default().note(need);
+            self.answer_stats
+                .entry(service.clone())
+                .or_default()
+                .observe(need);
         }
-        let Some(note) = self.notes.get_mut(id) else {
+        let Some(state) = self.states.get_mut(id) else {
             return 0;
         };
-        let ahead = note.ahead(need, now_ms, fade_ms);
-        note.waiting_tokens[need.urgency.min(URGENCIES - 1)] += need.tokens;
-        note.waiting += 1;
-        note.tokens += need.tokens;
+        let tokens_ahead = state.tokens_ahead(need, now_ms, fade_ms);
+        state.waiting_tokens[need.urgency.min(URGENCY_LEVELS - 1)] += need.tokens;
+        state.waiting += 1;
+        state.tokens += need.tokens;
         if let Some(prefix) = need.prefix {
-            note.prefixes.retain(|known| *known != prefix);
-            note.prefixes.push_back(prefix);
-            if note.prefixes.len() > MAX_PREFIXES {
-                note.prefixes.pop_front();
+            state.prefixes.retain(|known| *known != prefix);
+            state.prefixes.push_back(prefix);
+            if state.prefixes.len() > MAX_PREFIXES {
+                state.prefixes.pop_front();
             }
         }
-        ahead
+        tokens_ahead
     }
 
     /// The answer to a request begins, `took_ms` after it was sent.
-    pub fn begin(&mut self, id: &ReplicaId, need: &Need, ahead: u64, took_ms: f64) {
-        if let Some(note) = self.notes.get_mut(id) {
-            note.stop_waiting(need);
-            note.running += 1;
-            if ahead > 0 {
-                let pace_ms = took_ms / ahead as f64;
-                note.pace.note(pace_ms);
+    pub fn record_response_start(
+        &mut self,
+        id: &ReplicaId,
+        need: &Need,
+        tokens_ahead: u64,
+        took_ms: f64,
+    ) {
+        if let Some(state) = self.states.get_mut(id) {
+            state.stop_waiting(need);
+            state.running += 1;
+            if tokens_ahead > 0 {
+                let ms_per_token = took_ms / tokens_ahead as f64;
+                state.prefill.observe(ms_per_token);
                 if let Some(service) = &need.service {
-                    self.paces.entry(service.clone()).or_default().note(pace_ms);
+                    self.prefill_times
+                        .entry(service.clone())
+                        .or_default()
+                        .observe(ms_per_token);
                 }
             }
         }
     }
 
     /// A replica told its load.
-    pub fn tell(&mut self, now_ms: u64, id: &ReplicaId, report: LoadReport) {
-        if let Some(note) = self.notes.get_mut(id) {
-            let others = |told: u32, own: u32| f64::from(told.saturating_sub(own));
-            note.told = ToldLoad {
-                others_waiting: others(report.waiting, note.waiting),
-                others_running: others(report.running, note.running),
+    pub fn record_load(&mut self, now_ms: u64, id: &ReplicaId, report: LoadReport) {
+        if let Some(state) = self.states.get_mut(id) {
+            let others = |reported: u32, own: u32| f64::from(reported.saturating_sub(own));
+            state.reported = ReportedLoad {
+                others_waiting: others(report.waiting, state.waiting),
+                others_running: others(report.running, state.running),
                 at_ms: now_ms,
             };
-            note.slots = report.slots.max(1);
+            state.slots = report.slots.max(1);
             if let Some(percent) = report.work_percent {
-                note.work.note(now_ms, percent);
+                state.slowdown.observe(now_ms, percent);
             }
         }
     }
 
     /// A request has left a replica. `begun` says whether its answer had begun.
-    pub fn end(&mut self, now_ms: u64, id: &ReplicaId, need: &Need, begun: bool, end: TryEnd) {
+    pub fn record_end(
+        &mut self,
+        now_ms: u64,
+        id: &ReplicaId,
+        need: &Need,
+        begun: bool,
+        end: AttemptResult,
+    ) {
         let policy = self.policy;
-        let Some(note) = self.notes.get_mut(id) else {
+        let Some(state) = self.states.get_mut(id) else {
             return;
         };
         match begun {
-            true => note.running = note.running.saturating_sub(1),
-            false => note.stop_waiting(need),
+            true => state.running = state.running.saturating_sub(1),
+            false => state.stop_waiting(need),
         }
-        note.tokens = note.tokens.saturating_sub(need.tokens);
+        state.tokens = state.tokens.saturating_sub(need.tokens);
         match end {
-            TryEnd::Good => {
-                note.failing *= 1.0 - FAIL_STEP;
-                note.ejections = 0;
+            AttemptResult::Good => {
+                state.failure_rate *= 1.0 - FAILURE_WEIGHT;
+                state.ejections = 0;
             }
-            TryEnd::Full => note.full_until_ms = now_ms + FULL_MS,
-            TryEnd::Failed => {
-                note.failing += (1.0 - note.failing) * FAIL_STEP;
-                if note.failing >= EJECT_RATE {
-                    let news = eject(note, &policy, now_ms, end);
-                    self.news.extend(news);
+            AttemptResult::Full => state.full_until_ms = now_ms + FULL_BACKOFF_MS,
+            AttemptResult::Failed => {
+                state.failure_rate += (1.0 - state.failure_rate) * FAILURE_WEIGHT;
+                if state.failure_rate >= EJECT_FAILURE_RATE {
+                    let new_ejections = eject(state, &policy, now_ms, end);
+                    self.new_ejections.extend(new_ejections);
                 }
             }
-            TryEnd::Unreached => {
-                let news = eject(note, &policy, now_ms, end);
-                self.news.extend(news);
+            AttemptResult::Unreached => {
+                let new_ejections = eject(state, &policy, now_ms, end);
+                self.new_ejections.extend(new_ejections);
             }
-            TryEnd::Neutral => {}
+            AttemptResult::Neutral => {}
         }
     }
 
     /// A replica will not get an adapter soon.
-    pub fn refuse_fetch(&mut self, now_ms: u64, id: &ReplicaId) {
-        if let Some(note) = self.notes.get_mut(id) {
-            note.no_fetch_until_ms = now_ms + NO_FETCH_MS;
+    pub fn record_fetch_refusal(&mut self, now_ms: u64, id: &ReplicaId) {
+        if let Some(state) = self.states.get_mut(id) {
+            state.fetch_refused_until_ms = now_ms + FETCH_REFUSED_MS;
         }
     }
 
     /// A replica says that it does not hold the model or adapter.
-    pub fn correct(&mut self, id: &ReplicaId, need: &Need) {
-        let note = self.notes.get_mut(id);
-        let (Some(note), Some(model)) = (note, &need.model) else {
+    pub fn forget_model(&mut self, id: &ReplicaId, need: &Need) {
+        let state = self.states.get_mut(id);
+        let (Some(state), Some(model)) = (state, &need.model) else {
             return;
         };
         match &need.adapter {
             Some(adapter) => {
-                if let Some(adapters) = note.record.models.get_mut(model) {
+                if let Some(adapters) = state.record.models.get_mut(model) {
                     adapters.remove(adapter);
                 }
             }
             None => {
-                note.record.models.remove(model);
+                state.record.models.remove(model);
             }
         }
     }
 }
 
 /// A replica's place in the order that a request's draw gives.
-fn drawn_rank(draw: u64, id: &ReplicaId) -> u64 {
-    mix(draw ^ u64::from(crc32fast::hash(id.as_str().as_bytes())))
+fn hash_rank(id_hash: u64, id: &ReplicaId) -> u64 {
+    splitmix64(id_hash ^ u64::from(crc32fast::hash(id.as_str().as_bytes())))
 }
 
 /// Spreads close numbers over the whole range: the finalizer of the generator SplitMix64.
-fn mix(number: u64) -> u64 {
+fn splitmix64(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     number ^ (number >> 31)
 }
 
 /// Whether a replica holds what is needed and stays.
-fn holds_need(note: &ReplicaNote, need: &Need) -> bool {
-    let record = &note.record;
+fn serves_need(state: &ReplicaState, need: &Need) -> bool {
+    let record = &state.record;
     let model = need.model.as_ref();
     need.service.as_ref() == Some(&record.service)
         && record.phase != ReplicaPhase::Draining
@@ -611,24 +653,24 @@
 }
 
 fn eject(
-    note: &mut ReplicaNote,
+    state: &mut ReplicaState,
     policy: &ChoicePolicy,
     now_ms: u64,
-    end: TryEnd,
-) -> Option<EjectNews> {
-    if note.ejected_until_ms > now_ms {
+    end: AttemptResult,
+) -> Option<Ejection> {
+    if state.ejected_until_ms > now_ms {
         return None;
     }
-    let pause_ms = policy.eject_ms << note.ejections.min(6);
-    let pause_ms = pause_ms.min(policy.eject_max_ms);
-    let news = EjectNews {
-        replica: note.record.id.clone(),
-        failing: note.failing,
-        pause_ms,
+    let duration_ms = policy.eject_ms << state.ejections.min(6);
+    let duration_ms = duration_ms.min(policy.eject_max_ms);
+    let ejection = Ejection {
+        replica: state.record.id.clone(),
+        failure_rate: state.failure_rate,
+        duration_ms,
         end,
     };
-    note.ejected_until_ms = now_ms + pause_ms;
-    note.ejections += 1;
-    note.failing *= 0.5;
-    Some(news)
+    state.ejected_until_ms = now_ms + duration_ms;
+    state.ejections += 1;
+    state.failure_rate *= 0.5;
+    Some(ejection)
 }
--- a/src/forward/replica_table/blocks.rs
+++ b/src/forward/replica_table/blocks.rs
@@ -5,18 +5,18 @@
 
 use crate::consensus::directory::{ReplicaPhase, ReplicaRecord};
 use crate::forward::permits::RatePermit;
-use crate::forward::replica_state::ReplicaNote;
+use crate::forward::replica_state::ReplicaState;
 use crate::ids::{HallName, ReplicaId, ReplicaLife, ServiceName};
 use crate::routing::backoff::{AskedPause, ClaimEnd, SendBar, SendClaim};
 use crate::routing::limited_peers::LimitedPeers;
 use crate::routing::permit_pace::PermitPace;
 use crate::table::configuration::ServiceSpec;
 
-use super::{Choice, ReplicaBook};
+use super::{Choice, ReplicaTable};
 
 /// Why nothing may be sent to a replica now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplicaBar {
+pub enum SendBlock {
     /// An operator wants nothing sent to its data hall.
     Evacuated,
     /// It warms up or names a limit, and has got what it takes.
@@ -28,22 +28,23 @@
     Asked(SendBar),
 }
 
-impl ReplicaBook {
+impl ReplicaTable {
     /// A replica asks to be left alone.
-    pub fn pause(&mut self, now_ms: u64, id: &ReplicaId, asked: AskedPause) {
-        self.backoffs.pause(now_ms, id, asked);
+    pub fn back_off(&mut self, now_ms: u64, id: &ReplicaId, requested: AskedPause) {
+        self.backoffs.pause(now_ms, id, requested);
     }
 
     /// A replica says that it leaves. Returns whether that is news.
-    pub fn leave(&mut self, now_ms: u64, life: &ReplicaLife) -> bool {
-        let known = self.leaves(life);
-        self.backoffs.leave(now_ms, &life.id, life.born_ms);
+    pub fn record_draining(&mut self, now_ms: u64, incarnation: &ReplicaLife) -> bool {
+        let known = self.is_draining(incarnation);
+        self.backoffs
+            .leave(now_ms, &incarnation.id, incarnation.born_ms);
         !known
     }
 
     /// Whether a replica has said that it leaves.
-    pub fn leaves(&self, life: &ReplicaLife) -> bool {
-        self.backoffs.leaves(&life.id, life.born_ms)
+    pub fn is_draining(&self, incarnation: &ReplicaLife) -> bool {
+        self.backoffs.leaves(&incarnation.id, incarnation.born_ms)
     }
 
     /// The last look, right before a request leaves for a replica; `permit` is the leader's,
@@ -51,29 +52,31 @@
     pub fn claim(
         &mut self,
         now_ms: u64,
-        life: &ReplicaLife,
+        incarnation: &ReplicaLife,
         permit: Option<RatePermit>,
-    ) -> Result<SendClaim, ReplicaBar> {
-        let permit = permit.filter(|permit| permit.holds(now_ms, life));
-        let record = self.record(&life.id);
+    ) -> Result<SendClaim, SendBlock> {
+        let permit = permit.filter(|permit| permit.is_valid_for(now_ms, incarnation));
+        let record = self.record(&incarnation.id);
         if record.is_some_and(|record| self.is_evacuated(record)) {
-            return Err(ReplicaBar::Evacuated);
+            return Err(SendBlock::Evacuated);
         }
         let cold = record.is_some_and(|record| self.warms_up(now_ms, record));
-        if permit.is_none() && (cold || self.limits.is_limited(life)) {
-            return Err(ReplicaBar::RateLimited { left_ms: 0 });
+        if permit.is_none() && (cold || self.limits.is_limited(incarnation)) {
+            return Err(SendBlock::RateLimited { left_ms: 0 });
         }
-        let claimed = self.backoffs.claim(now_ms, &life.id, life.born_ms);
-        claimed.map_err(ReplicaBar::Asked)
+        let claimed = self
+            .backoffs
+            .claim(now_ms, &incarnation.id, incarnation.born_ms);
+        claimed.map_err(SendBlock::Asked)
     }
 
     /// Whether the leader is asked for each request to a replica.
     pub fn needs_permit(&self, now_ms: u64, id: &ReplicaId) -> bool {
         self.record(id)
-            .is_some_and(|record| self.takes_few(now_ms, record))
+            .is_some_and(|record| self.is_rate_limited(now_ms, record))
     }
 
-    fn takes_few(&self, now_ms: u64, record: &ReplicaRecord) -> bool {
+    fn is_rate_limited(&self, now_ms: u64, record: &ReplicaRecord) -> bool {
         self.warms_up(now_ms, record) || self.limits.is_limited(&record.life())
     }
 
@@ -104,13 +107,13 @@
     }
 
     /// When permits for replicas that take few requests may be asked for.
-    pub fn pace_mut(&mut self) -> &mut PermitPace<ReplicaId> {
+    pub fn permit_pace_mut(&mut self) -> &mut PermitPace<ReplicaId> {
         &mut self.permit_pace
     }
 
     /// A replica could not be reached, or broke off: it may be another one by now, that has
     /// just started.
-    pub fn suspect_start(&mut self, now_ms: u64, id: &ReplicaId) {
+    pub fn suspect_restart(&mut self, now_ms: u64, id: &ReplicaId) {
         let record = self.record(id);
         let spec = record.and_then(|record| self.warm_up_specs.get(&record.service));
         if let Some(spec) = spec {
@@ -128,37 +131,37 @@
         self.backoffs.prune(now_ms);
         self.warm_ups.prune(now_ms);
         self.permit_pace.prune(now_ms);
-        let notes = &self.notes;
-        let is_over = |life: &ReplicaLife| {
-            let known = notes.get(&life.id);
-            known.is_some_and(|note| note.record.born_ms > life.born_ms)
+        let states = &self.states;
+        let is_over = |incarnation: &ReplicaLife| {
+            let known = states.get(&incarnation.id);
+            known.is_some_and(|state| state.record.born_ms > incarnation.born_ms)
         };
         self.limits.prune(is_over);
     }
 
     /// Why nothing may be sent to a replica now.
-    pub(super) fn bar(&self, note: &ReplicaNote, now_ms: u64) -> Option<ReplicaBar> {
-        let record = &note.record;
+    pub(super) fn block(&self, state: &ReplicaState, now_ms: u64) -> Option<SendBlock> {
+        let record = &state.record;
         match self.backoffs.bar(now_ms, &record.id, record.born_ms) {
-            _ if self.is_evacuated(record) => Some(ReplicaBar::Evacuated),
-            Some(bar) => Some(ReplicaBar::Asked(bar)),
-            None if self.takes_few(now_ms, record) => {
+            _ if self.is_evacuated(record) => Some(SendBlock::Evacuated),
+            Some(block) => Some(SendBlock::Asked(block)),
+            None if self.is_rate_limited(now_ms, record) => {
                 let left_ms = self.permit_pace.left_ms(now_ms, &record.id)?;
-                Some(ReplicaBar::RateLimited { left_ms })
+                Some(SendBlock::RateLimited { left_ms })
             }
             None => None,
         }
     }
 
     /// Takes over how replicas of services warm up.
-    pub fn follow_services(&mut self, services: &BTreeMap<ServiceName, ServiceSpec>) {
+    pub fn update_services(&mut self, services: &BTreeMap<ServiceName, ServiceSpec>) {
         let specs = services.iter();
         let limited = specs.filter_map(|(name, spec)| Some((name.clone(), spec.warm_up?)));
         self.warm_up_specs = limited.collect();
     }
 
     /// Takes over which data halls are to get nothing. Returns whether that is news.
-    pub fn follow_halls(&mut self, evacuated: &BTreeSet<HallName>) -> bool {
+    pub fn update_evacuated(&mut self, evacuated: &BTreeSet<HallName>) -> bool {
         let is_news = self.evacuated != *evacuated;
         if is_news {
             self.evacuated = evacuated.clone();
@@ -167,17 +170,17 @@
     }
 
     /// Of some replicas, those that nothing bars; else what is left to choose.
-    pub(super) fn unbarred<'a>(
+    pub(super) fn unblocked<'a>(
         &self,
-        suited: &[&'a ReplicaNote],
+        candidates: &[&'a ReplicaState],
         now_ms: u64,
-    ) -> Result<Vec<&'a ReplicaNote>, Choice> {
+    ) -> Result<Vec<&'a ReplicaState>, Choice> {
         let mut open = Vec::new();
         let mut otherwise = Choice::Absent;
-        for &note in suited {
-            match self.bar(note, now_ms) {
-                None => open.push(note),
-                Some(bar) => otherwise = sooner(otherwise, bar),
+        for &state in candidates {
+            match self.block(state, now_ms) {
+                None => open.push(state),
+                Some(block) => otherwise = earlier_choice(otherwise, block),
             }
         }
         match open.is_empty() {
@@ -189,9 +192,9 @@
 
 /// Of what is left to choose without another replica, and with one that is barred, what comes
 /// sooner.
-fn sooner(choice: Choice, bar: ReplicaBar) -> Choice {
-    use ReplicaBar::{Asked, Evacuated, RateLimited};
-    match (choice, bar) {
+fn earlier_choice(choice: Choice, block: SendBlock) -> Choice {
+    use SendBlock::{Asked, Evacuated, RateLimited};
+    match (choice, block) {
         // It shows within some hundred milliseconds whether it has room.
         (Choice::Full, _) | (_, Asked(SendBar::Reopening)) => Choice::Full,
         (Choice::Absent, Evacuated) => Choice::Evacuated,
@@ -205,9 +208,9 @@
     }
 }
 
-pub(super) fn bar_text(bar: Option<ReplicaBar>) -> String {
-    use ReplicaBar::{Asked, Evacuated, RateLimited};
-    match bar {
+pub(super) fn block_text(block: Option<SendBlock>) -> String {
+    use SendBlock::{Asked, Evacuated, RateLimited};
+    match block {
         Some(Evacuated) => "in an evacuated hall".to_owned(),
         Some(RateLimited { left_ms }) => format!("takes few requests, the next in {left_ms} ms"),
         Some(Asked(SendBar::Paused { left_ms })) => format!("asked for {left_ms} ms more of pause"),
--- a/src/forward/request.rs
+++ b/src/forward/request.rs
@@ -16,62 +16,64 @@
 
 use crate::clock;
 use crate::forward::caller::{self, CallerIdentity, CallerRefusal};
-use crate::forward::client::{AfterAnswer, ClientRequest, ClientWriter};
-use crate::forward::crashes::{CrashCase, SentTo};
+use crate::forward::client::{AfterResponse, ClientRequest, ClientWriter};
+use crate::forward::crashes::{CrashInvestigation, SentTo};
 use crate::forward::daemon::{EntryCore, Routing};
-use crate::forward::events::EventCutter;
+use crate::forward::events::EventBuffer;
 use crate::forward::head::{self, ResponseHead};
 use crate::forward::locality::AllowedRegions;
-use crate::forward::own_answer::{self, Refusal, UNKNOWN_RETRY, closes, finish, refuse_plainly};
+use crate::forward::own_answer::{
+    self, Refusal, UNKNOWN_RETRY, closes_connection, finish, refuse_unrouted,
+};
 use crate::forward::permits::RatePermit;
 use crate::forward::quotas::QuotaRefusal;
-use crate::forward::replica_table::{self, EngineBounds, Need, TryEnd};
+use crate::forward::replica_table::{self, AttemptResult, EngineBounds, Need};
 use crate::forward::request_log::{Outcome, RequestLog};
-use crate::forward::suspect_leases::TurnGuard;
-use crate::forward::upstream::{Connection, Exchange, ExchangeError, Outgoing};
+use crate::forward::suspect_leases::SuspectLeaseGuard;
+use crate::forward::upstream::{Connection, Exchange, ExchangeError, OutgoingRequest};
 use crate::ids::{ContentDigest, ReplicaId};
 use crate::routing::backoff::ClaimEnd;
 use crate::routing::suspects::BARRED_RETRY_MS;
 use crate::table::configuration::{RouteKind, RouteSpec};
 
-use attempt_guard::TryGuard;
+use attempt_guard::AttemptGuard;
 
 /// Largest answer that is held until it is whole, in bytes.
-const MAX_HELD: usize = 1024 * 1024;
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 /// Part of the aim after which a refused request comes back at the soonest.
-const RETURN_PART: u32 = 4;
+const RETRY_DIVISOR: u32 = 4;
 /// Refusals by replicas that one request takes before it is refused itself.
-const MAX_REFUSALS: u32 = 4;
+const MAX_REPLICA_REFUSALS: u32 = 4;
 /// Part of its time that a request waits for the first configuration.
-const CONFIG_WAIT_PART: u32 = 4;
+const CONFIG_WAIT_DIVISOR: u32 = 4;
 /// Least time between two events of a stream that a stopping entry counts with, in
 /// milliseconds: what engines show that are half full.
-const LEAST_PAUSE_MS: f64 = 50.0;
+const MIN_EVENT_GAP_MS: f64 = 50.0;
 /// How much longer than predicted a stream may last: pauses grow while demand moves.
-const STREAM_MARGIN: f64 = 2.0;
+const STREAM_TIME_FACTOR: f64 = 2.0;
 /// When a request comes back whose replicas are all in evacuated halls.
 const EVACUATED_RETRY: Duration = Duration::from_millis(1_000);
 /// Time that is left for a request to be worth sending.
-const LEAST_LEFT: Duration = Duration::from_millis(20);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
 /// How a try at one replica ended.
-enum Tried {
+enum AttemptOutcome {
     /// The client has its answer.
-    Answered(AfterAnswer),
+    Answered(AfterResponse),
     /// The replica did not run it.
     NotRun,
     /// The replica does not hold what is asked for, or is another one.
     Misplaced,
     /// Nothing was sent.
-    Unsent,
+    NotSent,
     /// It may have run; the client has nothing yet.
     Unknown,
     /// It may have run; the client has a part of the answer.
-    Begun,
+    PartlyAnswered,
     /// The replica was too slow for a request that may be repeated.
-    Slow,
+    TimedOut,
     /// Nothing was sent: the caller may not act any more.
-    Barred(CallerRefusal),
+    CallerRefused(CallerRefusal),
 }
 
 /// Answers one request.
@@ -79,57 +81,58 @@
     core: &Rc<EntryCore>,
     request: &ClientRequest,
     writer: &mut ClientWriter,
-) -> AfterAnswer {
-    let patience = config_wait(core, request);
-    let Some(routing) = core.await_routing(patience).await else {
-        return refuse_plainly(core, request, writer, 503, "no configuration yet").await;
+) -> AfterResponse {
+    let max_wait = config_wait(core, request);
+    let Some(routing) = core.await_routing(max_wait).await else {
+        return refuse_unrouted(core, request, writer, 503, "no configuration yet").await;
     };
-    let host = asked_host(&request.head.headers);
+    let host = request_host(&request.head.headers);
     let path = request.head.target.split('?').next().unwrap_or_default();
     let routes = &routing.configuration.routes;
     let Some(number) = routing.index.find(routes, host, path) else {
-        return refuse_plainly(core, request, writer, 404, "no such route").await;
+        return refuse_unrouted(core, request, writer, 404, "no such route").await;
     };
     let (route, slack) = (&routes[number], routing.slack_ranks[number]);
     let headers = &request.head.headers;
-    let caller = match caller::identify(core, &routing, route, headers, patience).await {
+    let caller = match caller::identify(core, &routing, route, headers, max_wait).await {
         Ok(caller) => caller,
         Err(refusal) => {
             let (status, reason) = (refusal.status(), refusal.text());
-            return refuse_plainly(core, request, writer, status, reason).await;
+            return refuse_unrouted(core, request, writer, status, reason).await;
         }
     };
-    let mut flight = Flight::new(core, request, &routing, (route, slack), caller);
-    flight.run(writer).await
+    let mut forwarded = ForwardedRequest::new(core, request, &routing, (route, slack), caller);
+    forwarded.run(writer).await
 }
 
 /// The host that is asked for, without a port.
-fn asked_host(headers: &[head::Header]) -> &str {
+fn request_host(headers: &[head::Header]) -> &str {
     let host = head::find(headers, "host").unwrap_or_default();
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
 /// How long the client will wait, by its own word, in milliseconds.
-fn asked_ms(core: &EntryCore, request: &ClientRequest) -> Option<u64> {
-    let asked = head::find(&request.head.headers, core.names.deadline_ms)?;
-    asked.trim().parse().ok()
+fn request_deadline_ms(core: &EntryCore, request: &ClientRequest) -> Option<u64> {
+    let deadline = head::find(&request.head.headers, core.names.deadline_ms)?;
+    deadline.trim().parse().ok()
 }
 
 /// How long a request waits for the first configuration of an entry that has just
 /// started.
 fn config_wait(core: &EntryCore, request: &ClientRequest) -> Duration {
     let longest = core.config_wait();
-    let part = asked_ms(core, request).map(|ms| Duration::from_millis(ms) / CONFIG_WAIT_PART);
+    let part = request_deadline_ms(core, request)
+        .map(|ms| Duration::from_millis(ms) / CONFIG_WAIT_DIVISOR);
     part.map_or(longest, |part| part.min(longest))
 }
 
 /// A number drawn for a request by its id, so that a resend takes the same way.
-fn draw(id: &str) -> u64 {
+fn id_hash(id: &str) -> u64 {
     u64::from(crc32fast::hash(id.as_bytes()))
 }
 
 /// One request on its way.
-struct Flight<'a> {
+struct ForwardedRequest<'a> {
     core: &'a Rc<EntryCore>,
     request: &'a ClientRequest,
     routing: &'a Routing,
@@ -144,35 +147,35 @@
     event_tokens: u32,
     /// When it has to be over, by [`clock::monotonic_ms`].
     until_ms: u64,
-    passed: BTreeSet<ReplicaId>,
+    attempted: BTreeSet<ReplicaId>,
     /// Replicas that may have run it.
     runs: u32,
     refusals: u32,
-    cutter: EventCutter,
+    event_buffer: EventBuffer,
     log: RequestLog,
     /// Its name, once somebody needed it.
     content: Option<ContentDigest>,
     /// Its turn, where its content is suspect.
-    turn: Option<TurnGuard>,
+    lease: Option<SuspectLeaseGuard>,
     /// The leader's permit to send it, where the chosen replica takes few requests.
     permit: Option<RatePermit>,
     /// Where it was sent, while it may run there.
     sent: Option<SentTo>,
     /// What is being found out of a replica that broke off under it.
-    case: Option<Rc<CrashCase>>,
+    investigation: Option<Rc<CrashInvestigation>>,
     /// Replicas where other suspects run; passed as well.
-    shared: BTreeSet<ReplicaId>,
+    shared_with_suspects: BTreeSet<ReplicaId>,
 }
 
-impl Drop for Flight<'_> {
+impl Drop for ForwardedRequest<'_> {
     fn drop(&mut self) {
-        self.leave_run();
+        self.abandon_run();
         self.refund();
-        self.log.end(self.core);
+        self.log.write(self.core);
     }
 }
 
-impl<'a> Flight<'a> {
+impl<'a> ForwardedRequest<'a> {
     fn new(
         core: &'a Rc<EntryCore>,
         request: &'a ClientRequest,
@@ -184,15 +187,15 @@
         let id = head::find(headers, core.names.request_id)
             .unwrap_or_default()
             .to_owned();
-        let service = route.pick(draw(&id)).cloned();
-        let limit_ms = asked_ms(core, request)
+        let service = route.pick(id_hash(&id)).cloned();
+        let limit_ms = request_deadline_ms(core, request)
             .unwrap_or(u64::MAX)
             .min(route.timeout_ms);
         let mut need = wire_heads::need(core, headers, service.clone());
         let rank = caller.as_ref().and_then(|caller| caller.priority);
         need.urgency = core.choice().urgency(rank, route.priority, slack);
         need.limit_ms = route.aim_ms.min(limit_ms);
-        need.draw = draw(&id);
+        need.id_hash = id_hash(&id);
         let regions = caller.as_ref().map(|caller| &caller.regions);
         need.regions = AllowedRegions::of(&route.regions, regions);
         let spec = service
@@ -218,16 +221,16 @@
             }),
             event_tokens: engine.map_or(0, |engine| engine.event_tokens),
             until_ms: request.since_ms.saturating_add(limit_ms),
-            passed: BTreeSet::new(),
+            attempted: BTreeSet::new(),
             runs: 0,
             refusals: 0,
-            cutter: EventCutter::default(),
+            event_buffer: EventBuffer::default(),
             content: None,
-            turn: None,
+            lease: None,
             permit: None,
             sent: None,
-            case: None,
-            shared: BTreeSet::new(),
+            investigation: None,
+            shared_with_suspects: BTreeSet::new(),
         }
     }
 
@@ -239,13 +242,13 @@
         Duration::from_millis(self.route.aim_ms)
     }
 
-    async fn run(&mut self, writer: &mut ClientWriter) -> AfterAnswer {
+    async fn run(&mut self, writer: &mut ClientWriter) -> AfterResponse {
         let core = self.core;
-        if self.outlives_entry() {
+        if self.would_outlive_entry() {
             return self.give_up(Refusal::Stopping, writer).await;
         }
-        if self.is_barred() {
-            return self.give_up(Refusal::Barred, writer).await;
+        if self.is_quarantined() {
+            return self.give_up(Refusal::Quarantined, writer).await;
         }
         if self.need.regions.is_none() {
             return self.give_up(Refusal::NoRegion, writer).await;
@@ -253,24 +256,26 @@
         if let Err(refusal) = self.pay().await {
             return self.give_up(Refusal::Quota(refusal), writer).await;
         }
-        let mark = core.track(&self.need);
+        let mark = core.track_demand(&self.need);
         loop {
-            let replica = match self.place().await {
+            let replica = match self.choose_replica().await {
                 Ok(replica) => replica,
                 Err(refusal) => {
                     mark.refuse();
                     return self.give_up(refusal, writer).await;
                 }
             };
-            let tried = self.try_at(&replica, writer).await;
-            self.end_turn(&tried);
-            self.passed.insert(replica);
-            let again = match tried {
-                Tried::Answered(after) => return after,
-                Tried::Unsent => Ok(()),
-                Tried::NotRun | Tried::Misplaced => self.may_resend(),
-                Tried::Barred(refusal) => Err(Refusal::Caller(refusal)),
-                Tried::Unknown | Tried::Slow | Tried::Begun => {
+            let outcome = self.attempt(&replica, writer).await;
+            self.end_attempt(&outcome);
+            self.attempted.insert(replica);
+            let again = match outcome {
+                AttemptOutcome::Answered(after) => return after,
+                AttemptOutcome::NotSent => Ok(()),
+                AttemptOutcome::NotRun | AttemptOutcome::Misplaced => self.may_resend(),
+                AttemptOutcome::CallerRefused(refusal) => Err(Refusal::Caller(refusal)),
+                AttemptOutcome::Unknown
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::PartlyAnswered => {
                     self.runs += 1;
                     match self.may_rerun() {
                         Ok(()) => self.rerun().await,
@@ -309,7 +314,7 @@
 
     /// Whether this entry stops, and would have to cut the stream off: at the pace of
     /// others it might last for longer than the entry does.
-    fn outlives_entry(&self) -> bool {
+    fn would_outlive_entry(&self) -> bool {
         let Some(left) = self.core.time_to_end() else {
             return false;
         };
@@ -317,17 +322,17 @@
             return false;
         }
         let now_ms = clock::monotonic_ms();
-        let pause_ms = self.core.book.borrow().pause_ms(now_ms, &self.need);
+        let pause_ms = self.core.replicas.borrow().event_gap_ms(now_ms, &self.need);
         let answer_tokens = self.need.tokens.saturating_sub(self.need.prompt_tokens);
         let events = answer_tokens as f64 / f64::from(self.event_tokens);
-        let lasts_ms = events * pause_ms.max(LEAST_PAUSE_MS) * STREAM_MARGIN;
+        let lasts_ms = events * pause_ms.max(MIN_EVENT_GAP_MS) * STREAM_TIME_FACTOR;
         lasts_ms > left.as_millis() as f64
     }
 
     /// Whether a request that did not run may be sent to another replica.
     fn may_resend(&mut self) -> Result<(), Refusal> {
         self.refusals += 1;
-        match self.refusals <= MAX_REFUSALS && self.spend() {
+        match self.refusals <= MAX_REPLICA_REFUSALS && self.spend() {
             true => Ok(()),
             false => Err(Refusal::Budget),
         }
@@ -350,59 +355,59 @@
     }
 
     /// The final answer of a request that no replica has answered.
-    async fn give_up(&mut self, refusal: Refusal, writer: &mut ClientWriter) -> AfterAnswer {
+    async fn give_up(&mut self, refusal: Refusal, writer: &mut ClientWriter) -> AfterResponse {
         if writer.has_begun() {
-            self.log.ends(Outcome::Cut, 0, "broken off midway");
-            return AfterAnswer::Cut;
+            self.log.set_end(Outcome::Cut, 0, "broken off midway");
+            return AfterResponse::Cut;
         }
-        if refusal == Refusal::Barred {
+        if refusal == Refusal::Quarantined {
             self.core.count("dunlinspring_barred_total", &[]);
         }
-        let late = self.left() < LEAST_LEFT;
+        let late = self.left() < MIN_TIME_LEFT;
         let (status, reason) = match (self.runs, late) {
             (0, _) => (refusal.status(), refusal.text()),
             (_, true) => (504, "no answer in time; it may have run"),
             (_, false) => (502, "the replica failed; it may have run"),
         };
         if self.runs == 0 {
-            let book = self.core.book.borrow();
+            let replicas = self.core.replicas.borrow();
             self.log
-                .note(&book.describe(clock::monotonic_ms(), &self.need));
+                .note(&replicas.describe(clock::monotonic_ms(), &self.need));
         }
-        let retry = matches!(status, 429 | 503).then(|| self.come_back(refusal));
+        let retry = matches!(status, 429 | 503).then(|| self.retry_after(refusal));
         let outcome = match self.runs {
             0 => Outcome::Refused,
             _ => Outcome::Unknown,
         };
-        self.log.ends(outcome, status, reason);
-        let close = closes(self.core, self.request);
+        self.log.set_end(outcome, status, reason);
+        let close = closes_connection(self.core, self.request);
         let bytes = own_answer::own_answer(self.core, status, reason, Some(&self.id), retry, close);
         finish(writer, &bytes, close).await
     }
 
     /// When a refused request is worth sending again.
-    fn come_back(&self, refusal: Refusal) -> Duration {
+    fn retry_after(&self, refusal: Refusal) -> Duration {
         match refusal {
             Refusal::Absent => self.load_time(),
             Refusal::Evacuated => EVACUATED_RETRY,
             // Another entry takes it at once.
             Refusal::Stopping => Duration::ZERO,
             // Until an operator changes that.
-            Refusal::Barred | Refusal::NoRegion => Duration::from_millis(BARRED_RETRY_MS),
+            Refusal::Quarantined | Refusal::NoRegion => Duration::from_millis(BARRED_RETRY_MS),
             // About as long as the other attempt takes.
-            Refusal::Turn => self.aim(),
+            Refusal::Suspect => self.aim(),
             Refusal::Quota(QuotaRefusal::Over(short)) => short,
             Refusal::Quota(QuotaRefusal::Unknown) | Refusal::Caller(_) => UNKNOWN_RETRY,
             Refusal::Full
             | Refusal::Paused
             | Refusal::RateLimited
             | Refusal::Adapter
-            | Refusal::Late
+            | Refusal::DeadlinePassed
             | Refusal::Budget => {
                 let now_ms = clock::monotonic_ms();
-                let book = self.core.book.borrow();
-                let room_ms = book.room_in_ms(now_ms, &self.need).unwrap_or(0);
-                Duration::from_millis(room_ms).max(self.aim() / RETURN_PART)
+                let replicas = self.core.replicas.borrow();
+                let room_ms = replicas.capacity_in_ms(now_ms, &self.need).unwrap_or(0);
+                Duration::from_millis(room_ms).max(self.aim() / RETRY_DIVISOR)
             }
         }
     }
@@ -417,7 +422,7 @@
     }
 
     /// Until when a replica may begin its answer.
-    fn try_until_ms(&self) -> u64 {
+    fn attempt_until_ms(&self) -> u64 {
         let more = self.route.is_repeatable() && self.runs + 1 < self.route.attempts;
         let quick_ms = clock::monotonic_ms() + self.route.aim_ms * 2;
         match more {
@@ -426,15 +431,15 @@
         }
     }
 
-    async fn try_at(&mut self, replica: &ReplicaId, writer: &mut ClientWriter) -> Tried {
+    async fn attempt(&mut self, replica: &ReplicaId, writer: &mut ClientWriter) -> AttemptOutcome {
         let core = self.core;
-        let sent = core.book.borrow().record(replica).map(SentTo::new);
+        let sent = core.replicas.borrow().record(replica).map(SentTo::new);
         let Some(sent) = sent else {
-            return Tried::Unsent;
+            return AttemptOutcome::NotSent;
         };
-        let mut guard = TryGuard::start(core, replica, &self.need);
-        core.note_adapter(replica, &self.need);
-        self.log.sent(replica);
+        let mut guard = AttemptGuard::start(core, replica, &self.need);
+        core.record_adapter_use(replica, &self.need);
+        self.log.record_attempt(replica);
         let kept = core.pool.borrow_mut().take(replica);
         let opened = match kept {
             Some(connection) => Ok(connection),
@@ -446,15 +451,15 @@
         let connection = match opened {
             Ok(connection) => connection,
             Err(error) => {
-                guard.end = TryEnd::Unreached;
-                self.suspect_start(replica);
+                guard.end = AttemptResult::Unreached;
+                self.suspect_restart(replica);
                 self.log.failed(&error);
-                return Tried::Unsent;
+                return AttemptOutcome::NotSent;
             }
         };
-        if let Err(refusal) = caller::may_act(core, self.caller.as_ref()) {
+        if let Err(refusal) = caller::recheck_caller(core, self.caller.as_ref()) {
             core.pool.borrow_mut().put(replica, connection);
-            return Tried::Barred(refusal);
+            return AttemptOutcome::CallerRefused(refusal);
         }
         // What the replica asked for may have come since it was chosen: a turn, a connection
         // that was slow to open and a suspension lie between.
@@ -464,7 +469,7 @@
             Ok(claim) => Some(claim),
             Err(_) => {
                 core.pool.borrow_mut().put(replica, connection);
-                return Tried::Unsent;
+                return AttemptOutcome::NotSent;
             }
         };
         let id = self.id.clone();
@@ -473,47 +478,51 @@
         let bytes = self.outgoing(replica);
         let paid = std::mem::take(&mut self.paid);
         let method = self.request.head.method.clone();
-        let outgoing = Outgoing {
+        let outgoing = OutgoingRequest {
             bytes: &bytes,
             method: &method,
             identity: Some((core.names.request_id, &id)),
             on_head: &observer,
         };
         let sent = Exchange::send(connection, &outgoing);
-        let sent = clock::wait_until(self.try_until_ms(), sent).await;
+        let sent = clock::wait_until(self.attempt_until_ms(), sent).await;
         match sent {
             Some(Ok((exchange, head))) => {
-                let tried = self.take_answer(exchange, head, &mut guard, writer).await;
-                if matches!(tried, Tried::NotRun | Tried::Misplaced) {
+                let outcome = self
+                    .handle_response(exchange, head, &mut guard, writer)
+                    .await;
+                if matches!(outcome, AttemptOutcome::NotRun | AttemptOutcome::Misplaced) {
                     self.paid = paid;
                 }
-                tried
+                outcome
             }
             Some(Err(error)) => {
-                guard.end = TryEnd::Failed;
-                self.broke_off(&error);
-                Tried::Unknown
+                guard.end = AttemptResult::Failed;
+                self.handle_connection_lost(&error);
+                AttemptOutcome::Unknown
             }
             None => {
-                guard.end = TryEnd::Failed;
+                guard.end = AttemptResult::Failed;
                 self.log.note("no answer in time");
-                Tried::Slow
+                AttemptOutcome::TimedOut
             }
         }
     }
 
-    async fn take_answer(
+    async fn handle_response(
         &mut self,
         exchange: Exchange,
         head: ResponseHead,
-        guard: &mut TryGuard<'_>,
+        guard: &mut AttemptGuard<'_>,
         writer: &mut ClientWriter,
-    ) -> Tried {
+    ) -> AttemptOutcome {
         let core = self.core;
         let load = head::find(&head.headers, core.names.load).and_then(replica_table::parse_load);
         if let Some(load) = load {
             let now_ms = clock::monotonic_ms();
-            core.book.borrow_mut().tell(now_ms, &guard.replica, load);
+            core.replicas
+                .borrow_mut()
+                .record_load(now_ms, &guard.replica, load);
         }
         let not_executed = head::find(&head.headers, core.names.not_executed).is_some();
         let end = match head.status {
@@ -522,7 +531,7 @@
             _ => ClaimEnd::Taken,
         };
         guard.release(end);
-        self.hear_end_of_limit(&head, guard.permit, end);
+        self.record_end_of_limit(&head, guard.permit, end);
         if head.status == 421 || not_executed {
             return self.not_run(exchange, &head, guard).await;
         }
@@ -532,23 +541,26 @@
         let promise = matches!(head.status, 408 | 421 | 429 | 503);
         let fails = head.status >= 500 || (good && !signed) || promise;
         if fails && (self.route.is_repeatable() || promise || good || !signed) {
-            guard.end = TryEnd::Failed;
+            guard.end = AttemptResult::Failed;
             self.sent = None;
-            self.log
-                .failed_by(&guard.replica, head.status, answer_heads::pause_text(&head));
-            keep(core, &guard.replica, exchange).await;
-            return Tried::Unknown;
+            self.log.failed_by(
+                &guard.replica,
+                head.status,
+                answer_heads::retry_after_text(&head),
+            );
+            drain_and_keep(core, &guard.replica, exchange).await;
+            return AttemptOutcome::Unknown;
         }
         let streams = self.route.kind == RouteKind::Streaming && good;
         if writer.has_begun() && !streams {
-            guard.end = TryEnd::Failed;
+            guard.end = AttemptResult::Failed;
             self.log.note("the stream cannot go on there");
-            return Tried::Begun;
+            return AttemptOutcome::PartlyAnswered;
         }
         guard.begin();
         match streams {
-            true => self.pass_stream(exchange, &head, guard, writer).await,
-            false => self.pass_whole(exchange, &head, guard, writer).await,
+            true => self.forward_stream(exchange, &head, guard, writer).await,
+            false => self.forward_buffered(exchange, &head, guard, writer).await,
         }
     }
 
@@ -556,38 +568,38 @@
         &mut self,
         exchange: Exchange,
         head: &ResponseHead,
-        guard: &mut TryGuard<'_>,
-    ) -> Tried {
+        guard: &mut AttemptGuard<'_>,
+    ) -> AttemptOutcome {
         let misplaced = head.status == 421;
         guard.end = match misplaced {
-            true => TryEnd::Neutral,
-            false => TryEnd::Full,
+            true => AttemptResult::Neutral,
+            false => AttemptResult::Full,
         };
         match misplaced {
             true => self.log.note("misplaced"),
             false => self
                 .log
-                .refused(&guard.replica, answer_heads::pause_text(head)),
+                .refused(&guard.replica, answer_heads::retry_after_text(head)),
         }
-        keep(self.core, &guard.replica, exchange).await;
+        drain_and_keep(self.core, &guard.replica, exchange).await;
         match misplaced {
             true => {
-                let mut book = self.core.book.borrow_mut();
-                book.correct(&guard.replica, &self.need);
-                Tried::Misplaced
+                let mut replicas = self.core.replicas.borrow_mut();
+                replicas.forget_model(&guard.replica, &self.need);
+                AttemptOutcome::Misplaced
             }
-            false => Tried::NotRun,
+            false => AttemptOutcome::NotRun,
         }
     }
 
     /// Passes on an answer once it is whole.
-    async fn pass_whole(
+    async fn forward_buffered(
         &mut self,
         mut exchange: Exchange,
         head: &ResponseHead,
-        guard: &mut TryGuard<'_>,
+        guard: &mut AttemptGuard<'_>,
         writer: &mut ClientWriter,
-    ) -> Tried {
+    ) -> AttemptOutcome {
         let mut body = Vec::new();
         loop {
             let next = clock::wait_until(self.until_ms, exchange.next()).await;
@@ -595,54 +607,54 @@
                 Some(Ok(Some(bytes))) => body.extend_from_slice(&bytes),
                 Some(Ok(None)) => break,
                 Some(Err(error)) => {
-                    guard.end = TryEnd::Failed;
-                    self.broke_off(&error);
-                    return Tried::Unknown;
+                    guard.end = AttemptResult::Failed;
+                    self.handle_connection_lost(&error);
+                    return AttemptOutcome::Unknown;
                 }
                 None => {
                     self.log.note("no whole answer in time");
-                    return Tried::Slow;
+                    return AttemptOutcome::TimedOut;
                 }
             }
-            if body.len() > MAX_HELD {
+            if body.len() > MAX_BUFFERED_BYTES {
                 self.log.note("the answer is too long to be held");
-                guard.end = TryEnd::Failed;
-                return Tried::Unknown;
+                guard.end = AttemptResult::Failed;
+                return AttemptOutcome::Unknown;
             }
         }
         guard.end = if head.status < 500 {
-            TryEnd::Good
+            AttemptResult::Good
         } else {
-            TryEnd::Failed
+            AttemptResult::Failed
         };
         put_back(self.core, &guard.replica, exchange);
-        let close = closes(self.core, self.request);
+        let close = closes_connection(self.core, self.request);
         let length = body.len().to_string();
-        let mut bytes = self.answer_head(head, &[("Content-Length", &length)], close);
+        let mut bytes = self.response_head(head, &[("Content-Length", &length)], close);
         if self.request.head.method != "HEAD" {
             bytes.extend_from_slice(&body);
         }
         self.log.answered(head.status);
-        Tried::Answered(finish(writer, &bytes, close).await)
+        AttemptOutcome::Answered(finish(writer, &bytes, close).await)
     }
 
     /// Passes on the events of a stream as they come whole.
-    async fn pass_stream(
+    async fn forward_stream(
         &mut self,
         mut exchange: Exchange,
         head: &ResponseHead,
-        guard: &mut TryGuard<'_>,
+        guard: &mut AttemptGuard<'_>,
         writer: &mut ClientWriter,
-    ) -> Tried {
+    ) -> AttemptOutcome {
         let core = self.core;
-        let close = closes(core, self.request);
+        let close = closes_connection(core, self.request);
         let chunked = self.request.head.is_http11;
         let mut out = Vec::new();
         if !writer.has_begun() {
             let coding = [("Transfer-Encoding", "chunked")];
-            out = self.answer_head(head, if chunked { &coding } else { &[] }, close);
+            out = self.response_head(head, if chunked { &coding } else { &[] }, close);
         }
-        self.cutter.drop_part();
+        self.event_buffer.discard_partial();
         let mut last: Option<Instant> = None;
         loop {
             let next = clock::wait_until(self.until_ms, exchange.next()).await;
@@ -650,8 +662,8 @@
                 Some(Ok(Some(bytes))) => bytes,
                 Some(Ok(None)) => break,
                 Some(Err(error)) => {
-                    guard.end = TryEnd::Failed;
-                    self.broke_off(&error);
+                    guard.end = AttemptResult::Failed;
+                    self.handle_connection_lost(&error);
                     return self.broken(writer);
                 }
                 None => {
@@ -660,8 +672,8 @@
                     return self.broken(writer);
                 }
             };
-            let Ok(events) = self.cutter.push(&bytes) else {
-                guard.end = TryEnd::Failed;
+            let Ok(events) = self.event_buffer.push(&bytes) else {
+                guard.end = AttemptResult::Failed;
                 self.log.note("an event is too long");
                 return self.broken(writer);
             };
@@ -673,24 +685,24 @@
             if let Some(last) = last.replace(now) {
                 let pause_ms = (now - last).as_secs_f64() * 1000.0;
                 let now_ms = clock::monotonic_ms();
-                let mut book = core.book.borrow_mut();
-                book.note_pause(now_ms, &guard.replica, pause_ms);
-                drop(book);
-                self.log.pause(now - last);
+                let mut replicas = core.replicas.borrow_mut();
+                replicas.record_event_gap(now_ms, &guard.replica, pause_ms);
+                drop(replicas);
+                self.log.record_gap(now - last);
             }
-            push_piece(&mut out, &events, chunked);
+            push_chunk(&mut out, &events, chunked);
             if writer.write(&std::mem::take(&mut out)).await.is_err() {
-                return Tried::Answered(AfterAnswer::Cut);
+                return AttemptOutcome::Answered(AfterResponse::Cut);
             }
         }
-        if !self.cutter.is_between() {
+        if !self.event_buffer.is_at_boundary() {
             // A length or chunks that end inside an event: the replica broke off.
-            guard.end = TryEnd::Failed;
+            guard.end = AttemptResult::Failed;
             self.log.note("the stream ended inside an event");
-            self.suspect_crash();
+            self.investigate_crash();
             return self.broken(writer);
         }
-        guard.end = TryEnd::Good;
+        guard.end = AttemptResult::Good;
         put_back(self.core, &guard.replica, exchange);
         if chunked {
             out.extend_from_slice(b"0\r\n\r\n");
@@ -698,18 +710,18 @@
         self.log.answered(head.status);
         // A stop may have been asked for since the head left.
         let close = close || !chunked || core.is_stopping();
-        Tried::Answered(finish(writer, &out, close).await)
+        AttemptOutcome::Answered(finish(writer, &out, close).await)
     }
 
-    fn broken(&self, writer: &ClientWriter) -> Tried {
+    fn broken(&self, writer: &ClientWriter) -> AttemptOutcome {
         match writer.has_begun() {
-            true => Tried::Begun,
-            false => Tried::Unknown,
+            true => AttemptOutcome::PartlyAnswered,
+            false => AttemptOutcome::Unknown,
         }
     }
 }
 
-fn push_piece(out: &mut Vec<u8>, bytes: &[u8], chunked: bool) {
+fn push_chunk(out: &mut Vec<u8>, bytes: &[u8], chunked: bool) {
     match chunked {
         true => {
             out.extend_from_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
@@ -721,7 +733,7 @@
 }
 
 /// Reads the rest of a short answer, so that its connection can be kept.
-async fn keep(core: &EntryCore, replica: &ReplicaId, mut exchange: Exchange) {
+async fn drain_and_keep(core: &EntryCore, replica: &ReplicaId, mut exchange: Exchange) {
     let rest = async {
         let mut left = 64;
         while let Ok(Some(_)) = exchange.next().await {
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -9,24 +9,24 @@
 use crate::forward::daemon::EntryCore;
 use crate::forward::head::{self, ResponseHead};
 use crate::forward::permits::RatePermit;
-use crate::forward::replica_table::ReplicaBar;
+use crate::forward::replica_table::SendBlock;
 use crate::ids::ReplicaId;
 use crate::placement::named_limits::PermitStamp;
 use crate::placement::named_rate::NamedRate;
 use crate::routing::backoff::{AskedPause, ClaimEnd, SendClaim};
 
-use super::Flight;
+use super::ForwardedRequest;
 
 /// Tells when to come back, in seconds.
 const RETRY_AFTER: &str = "retry-after";
 
 /// The pause that a head asks for, as it words it.
-pub(super) fn pause_text(head: &ResponseHead) -> Option<&str> {
+pub(super) fn retry_after_text(head: &ResponseHead) -> Option<&str> {
     head::find(&head.headers, RETRY_AFTER)
 }
 
 /// The pause that a head asks for. Only who turns a request away asks for one.
-fn asked_pause(head: &ResponseHead) -> Option<AskedPause> {
+fn requested_backoff(head: &ResponseHead) -> Option<AskedPause> {
     let turned_away = matches!(head.status, 429 | 503);
     let values = head::find_all(&head.headers, RETRY_AFTER).filter(|_| turned_away);
     AskedPause::parse(values)
@@ -39,36 +39,41 @@
     request: &'a str,
     permit: Option<PermitStamp>,
 ) -> impl Fn(&ResponseHead) + use<'a> {
-    let life = sent.life.clone();
+    let incarnation = sent.incarnation.clone();
     move |head| {
-        count_unknown(core, &life.id, request, head);
-        if let Some(rate) = named_rate(core, head) {
+        count_unknown(core, &incarnation.id, request, head);
+        if let Some(rate) = advertised_rate(core, head) {
             // The permit proves when the answered request left, not that of a surplus answer.
             let is_due = head::find(&head.headers, core.names.request_id) == Some(request);
-            core.hear_limit(&life, rate, permit.filter(|_| is_due));
+            core.record_limit(&incarnation, rate, permit.filter(|_| is_due));
         }
         let now_ms = clock::monotonic_ms();
-        if let Some(pause) = asked_pause(head) {
-            core.book.borrow_mut().pause(now_ms, &life.id, pause);
+        if let Some(pause) = requested_backoff(head) {
+            core.replicas
+                .borrow_mut()
+                .back_off(now_ms, &incarnation.id, pause);
             core.count("dunlinspring_pauses_asked_total", &[]);
-            let (replica, status) = (&life.id, head.status);
+            let (replica, status) = (&incarnation.id, head.status);
             tracing::info!(%replica, request, status, pause_ms = pause.ms, "replica asks for a pause");
         }
         if head::find(&head.headers, core.names.leaving).is_none() {
             return;
         }
-        let news = core.book.borrow_mut().leave(now_ms, &life);
-        if news {
-            core.pool.borrow_mut().forget(&life.id);
+        let is_new = core
+            .replicas
+            .borrow_mut()
+            .record_draining(now_ms, &incarnation);
+        if is_new {
+            core.pool.borrow_mut().forget(&incarnation.id);
             core.count("dunlinspring_replicas_leaving_total", &[]);
-            let replica = &life.id;
-            tracing::info!(%replica, born_ms = life.born_ms, request, "replica says that it leaves");
+            let replica = &incarnation.id;
+            tracing::info!(%replica, born_ms = incarnation.born_ms, request, "replica says that it leaves");
         }
     }
 }
 
 /// The rate that a head names.
-fn named_rate(core: &EntryCore, head: &ResponseHead) -> Option<NamedRate> {
+fn advertised_rate(core: &EntryCore, head: &ResponseHead) -> Option<NamedRate> {
     NamedRate::parse(head::find_all(&head.headers, core.names.limit))
 }
 
@@ -85,27 +90,27 @@
     }
 }
 
-impl Flight<'_> {
+impl ForwardedRequest<'_> {
     /// The last look at whether the replica may be sent to, right before the request leaves.
     pub(super) fn claim(
         &mut self,
         sent: &SentTo,
         permit: Option<RatePermit>,
-    ) -> Result<SendClaim, ReplicaBar> {
+    ) -> Result<SendClaim, SendBlock> {
         let now_ms = clock::monotonic_ms();
-        let mut book = self.core.book.borrow_mut();
-        let claimed = book.claim(now_ms, &sent.life, permit);
-        drop(book);
+        let mut replicas = self.core.replicas.borrow_mut();
+        let claimed = replicas.claim(now_ms, &sent.incarnation, permit);
+        drop(replicas);
         if let Err(bar) = &claimed {
             self.core.count("dunlinspring_held_back_total", &[]);
             self.log
-                .note(&format!("held back from {}: {bar:?}", sent.life.id));
+                .note(&format!("held back from {}: {bar:?}", sent.incarnation.id));
         }
         claimed
     }
 
     /// Notes where a replica that took the request names no limit any more.
-    pub(super) fn hear_end_of_limit(
+    pub(super) fn record_end_of_limit(
         &self,
         head: &ResponseHead,
         permit: Option<PermitStamp>,
@@ -114,7 +119,7 @@
         let names_limit = head::find(&head.headers, self.core.names.limit).is_some();
         match (permit, &self.sent) {
             (Some(permit), Some(sent)) if end == ClaimEnd::Taken && !names_limit => {
-                self.core.hear_no_limit(&sent.life, permit);
+                self.core.record_limit_end(&sent.incarnation, permit);
             }
             _ => {}
         }
--- a/src/forward/request/attempt_guard.rs
+++ b/src/forward/request/attempt_guard.rs
@@ -5,43 +5,43 @@
 
 use crate::clock;
 use crate::forward::daemon::EntryCore;
-use crate::forward::replica_table::{Need, TryEnd};
+use crate::forward::replica_table::{AttemptResult, Need};
 use crate::ids::ReplicaId;
 use crate::placement::named_limits::PermitStamp;
 use crate::routing::backoff::{ClaimEnd, SendClaim};
 
 /// Reports a try's end to the book, also where the request is dropped midway.
-pub(super) struct TryGuard<'a> {
+pub(super) struct AttemptGuard<'a> {
     core: &'a EntryCore,
     pub(super) replica: ReplicaId,
     need: Need,
     begun: bool,
-    pub(super) end: TryEnd,
+    pub(super) end: AttemptResult,
     since: Instant,
     /// Tokens that had to be read before its answer could begin.
-    ahead: u64,
+    tokens_ahead: u64,
     /// The claim to send, until an answer shows what came of it.
     pub(super) claim: Option<SendClaim>,
     /// When the leader let it go, where the replica takes few requests.
     pub(super) permit: Option<PermitStamp>,
 }
 
-impl<'a> TryGuard<'a> {
+impl<'a> AttemptGuard<'a> {
     pub(super) fn start(core: &'a EntryCore, replica: &ReplicaId, need: &Need) -> Self {
-        let mut book = core.book.borrow_mut();
-        let ahead = book.start(clock::monotonic_ms(), replica, need);
-        if book.is_crowding(replica, need, ahead) {
-            core.crowd_seen.notify_one();
+        let mut replicas = core.replicas.borrow_mut();
+        let tokens_ahead = replicas.record_sent(clock::monotonic_ms(), replica, need);
+        if replicas.causes_congestion(replica, need, tokens_ahead) {
+            core.congestion_seen.notify_one();
         }
-        drop(book);
+        drop(replicas);
         Self {
             since: Instant::now(),
-            ahead,
+            tokens_ahead,
             core,
             replica: replica.clone(),
             need: need.clone(),
             begun: false,
-            end: TryEnd::Neutral,
+            end: AttemptResult::Neutral,
             claim: None,
             permit: None,
         }
@@ -51,8 +51,8 @@
     pub(super) fn release(&mut self, end: ClaimEnd) {
         if let Some(claim) = self.claim.take() {
             let now_ms = clock::monotonic_ms();
-            let mut book = self.core.book.borrow_mut();
-            book.release(now_ms, &self.replica, claim, end);
+            let mut replicas = self.core.replicas.borrow_mut();
+            replicas.release(now_ms, &self.replica, claim, end);
         }
     }
 
@@ -60,21 +60,21 @@
         if !self.begun {
             self.begun = true;
             let took_ms = self.since.elapsed().as_secs_f64() * 1000.0;
-            let mut book = self.core.book.borrow_mut();
-            book.begin(&self.replica, &self.need, self.ahead, took_ms);
+            let mut replicas = self.core.replicas.borrow_mut();
+            replicas.record_response_start(&self.replica, &self.need, self.tokens_ahead, took_ms);
         }
     }
 }
 
-impl Drop for TryGuard<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         self.release(ClaimEnd::Other);
         let now_ms = clock::monotonic_ms();
-        let mut book = self.core.book.borrow_mut();
-        book.end(now_ms, &self.replica, &self.need, self.begun, self.end);
-        let news = book.take_news();
-        drop(book);
-        self.core.log_ejected(&news);
+        let mut replicas = self.core.replicas.borrow_mut();
+        replicas.record_end(now_ms, &self.replica, &self.need, self.begun, self.end);
+        let ejections = replicas.take_ejections();
+        drop(replicas);
+        self.core.log_ejected(&ejections);
         self.core.changed.notify_waiters();
     }
 }
--- a/src/forward/request/crashes.rs
+++ b/src/forward/request/crashes.rs
@@ -14,25 +14,25 @@
 use crate::placement::turns::TurnAsk;
 use crate::routing::content::{self, ContentParts};
 
-use super::{Flight, Tried, asked_host};
+use super::{AttemptOutcome, ForwardedRequest, request_host};
 
 /// Longest time that a further attempt waits for what is found out of the replica that broke
 /// off: one that ended shows within some 15 ms.
-const FINDING: Duration = Duration::from_millis(250);
+const INVESTIGATION_TIMEOUT: Duration = Duration::from_millis(250);
 
-impl Flight<'_> {
+impl ForwardedRequest<'_> {
     /// Gets ready to run once more: first it is found out whether the replica ended under
     /// this request, which would then end the next one as well.
     pub(super) async fn rerun(&mut self) -> Result<(), Refusal> {
-        if let Some(case) = self.case.take() {
-            let _ = tokio::time::timeout(FINDING, case.found()).await;
+        if let Some(investigation) = self.investigation.take() {
+            let _ = tokio::time::timeout(INVESTIGATION_TIMEOUT, investigation.finished()).await;
         }
         self.pay().await.map_err(Refusal::Quota)
     }
 
     /// Whether its content is sent no more.
-    pub(super) fn is_barred(&mut self) -> bool {
-        if self.core.crashes.is_quiet() {
+    pub(super) fn is_quarantined(&mut self) -> bool {
+        if self.core.crashes.has_no_suspects() {
             return false;
         }
         let content = self.content();
@@ -44,8 +44,8 @@
     }
 
     /// Whether it may go to a replica, as far as its content is concerned.
-    pub(super) async fn clear_turn(&mut self, replica: &ReplicaId) -> Clearance {
-        if self.core.crashes.is_quiet() {
+    pub(super) async fn request_suspect_lease(&mut self, replica: &ReplicaId) -> Clearance {
+        if self.core.crashes.has_no_suspects() {
             return Clearance::Go(None);
         }
         let content = self.content();
@@ -55,9 +55,9 @@
             // Another one each time: the end of a turn that it had may still be on its way.
             ticket: rand::rng().random(),
             lasts_ms: self.left().as_millis() as u64,
-            insists: self.shared.contains(replica),
+            insists: self.shared_with_suspects.contains(replica),
         };
-        let clearance = self.core.clear_turn(ask).await;
+        let clearance = self.core.request_suspect_lease(ask).await;
         if !matches!(clearance, Clearance::Go(None)) {
             self.log.content(content);
         }
@@ -65,60 +65,63 @@
     }
 
     /// Notes a run that is given up, as its caller left or its time went by.
-    pub(super) fn leave_run(&mut self) {
+    pub(super) fn abandon_run(&mut self) {
         if let Some(sent) = self.sent.take() {
             let content = self.content();
-            self.core.leave_run(sent, content);
+            self.core.abandon_run(sent, content);
         }
     }
 
     /// Ends its turn, if it had one, by what became of its try.
-    pub(super) fn end_turn(&mut self, tried: &Tried) {
-        let cleared = matches!(tried, Tried::Answered(_)) && self.log.is_answered();
-        match tried {
-            Tried::NotRun | Tried::Misplaced => self.sent = None,
-            _ if cleared => self.sent = None,
-            _ => self.leave_run(),
+    pub(super) fn end_attempt(&mut self, outcome: &AttemptOutcome) {
+        let completed = matches!(outcome, AttemptOutcome::Answered(_)) && self.log.is_answered();
+        match outcome {
+            AttemptOutcome::NotRun | AttemptOutcome::Misplaced => self.sent = None,
+            _ if completed => self.sent = None,
+            _ => self.abandon_run(),
         }
-        match self.turn.take() {
-            Some(mut turn) => {
-                turn.cleared = cleared;
-                turn.case = self.case.clone();
+        match self.lease.take() {
+            Some(mut lease) => {
+                lease.completed = completed;
+                lease.investigation = self.investigation.clone();
             }
-            None if cleared && !self.core.crashes.is_quiet() => {
+            None if completed && !self.core.crashes.has_no_suspects() => {
                 let content = self.content();
-                self.core.ran_to_its_end(content);
+                self.core.clear_suspect(content);
             }
             None => {}
         }
     }
 
     /// The connection to a replica ended under a run.
-    pub(super) fn broke_off(&mut self, error: &ExchangeError) {
+    pub(super) fn handle_connection_lost(&mut self, error: &ExchangeError) {
         self.log.failed(error);
-        if error.broke_off() {
+        if error.connection_lost() {
             if let Some(sent) = &self.sent {
-                self.suspect_start(&sent.life.id);
+                self.suspect_restart(&sent.incarnation.id);
             }
-            self.suspect_crash();
+            self.investigate_crash();
         }
     }
 
     /// A replica may be another one by now, that has just started.
-    pub(super) fn suspect_start(&self, replica: &ReplicaId) {
+    pub(super) fn suspect_restart(&self, replica: &ReplicaId) {
         let now_ms = clock::monotonic_ms();
-        self.core.book.borrow_mut().suspect_start(now_ms, replica);
+        self.core
+            .replicas
+            .borrow_mut()
+            .suspect_restart(now_ms, replica);
     }
 
     /// Has it found out whether the replica ended under this run.
-    pub(super) fn suspect_crash(&mut self) {
+    pub(super) fn investigate_crash(&mut self) {
         let Some(sent) = self.sent.take() else {
             return;
         };
         self.core.count("dunlinspring_broken_runs_total", &[]);
         let content = self.content();
         self.log.content(content);
-        self.case = self.core.suspect_crash(&sent, content);
+        self.investigation = self.core.investigate_crash(&sent, content);
     }
 
     /// What it asks, the same for all its repeats.
@@ -130,7 +133,7 @@
         let caller = self.caller.as_ref().map(|caller| caller.account.as_str());
         let content = content::digest(&ContentParts {
             caller: caller.unwrap_or_default(),
-            host: asked_host(headers),
+            host: request_host(headers),
             target: &self.request.head.target,
             body: &self.request.body,
         });
--- a/src/forward/request/placing.rs
+++ b/src/forward/request/placing.rs
@@ -9,18 +9,18 @@
 use crate::forward::suspect_leases::Clearance;
 use crate::ids::ReplicaId;
 
-use super::{Flight, LEAST_LEFT};
+use super::{ForwardedRequest, MIN_TIME_LEFT};
 
 /// Longest pause between two looks at the replicas while a request waits.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-impl Flight<'_> {
+impl ForwardedRequest<'_> {
     /// Waits until a replica may take the request, or it must be refused.
-    pub(super) async fn place(&mut self) -> Result<ReplicaId, Refusal> {
+    pub(super) async fn choose_replica(&mut self) -> Result<ReplicaId, Refusal> {
         let since = Instant::now();
         loop {
-            if self.left() < LEAST_LEFT {
-                return Err(Refusal::Late);
+            if self.left() < MIN_TIME_LEFT {
+                return Err(Refusal::DeadlinePassed);
             }
             let changed = self.core.changed.notified();
             let now_ms = clock::monotonic_ms();
@@ -28,40 +28,40 @@
             let waited = since.elapsed();
             let (refusal, limit) = match choice {
                 // It is chosen once more, without this replica for a while.
-                Choice::Send(replica) if !self.has_permit(&replica).await => continue,
-                Choice::Send(replica) => match self.clear_turn(&replica).await {
-                    Clearance::Go(turn) => {
-                        self.turn = turn;
-                        self.log.placed(waited);
+                Choice::Send(replica) if !self.obtain_permit(&replica).await => continue,
+                Choice::Send(replica) => match self.request_suspect_lease(&replica).await {
+                    Clearance::Go(lease) => {
+                        self.lease = lease;
+                        self.log.record_wait(waited);
                         return Ok(replica);
                     }
-                    Clearance::Barred => return Err(Refusal::Barred),
-                    Clearance::Elsewhere if self.shared.insert(replica.clone()) => {
-                        self.passed.insert(replica);
+                    Clearance::Quarantined => return Err(Refusal::Quarantined),
+                    Clearance::Elsewhere if self.shared_with_suspects.insert(replica.clone()) => {
+                        self.attempted.insert(replica);
                         continue;
                     }
-                    Clearance::Elsewhere | Clearance::Wait => (Refusal::Turn, self.room_wait()),
+                    Clearance::Elsewhere | Clearance::Wait => (Refusal::Suspect, self.max_wait()),
                 },
                 Choice::Fetch(replica) => {
-                    self.core.wish(&replica, &self.need);
+                    self.core.request_adapter(&replica, &self.need);
                     (Refusal::Adapter, self.aim().min(self.left() / 2))
                 }
                 Choice::Full => {
-                    self.core.crowd_seen.notify_one();
-                    (Refusal::Full, self.room_wait())
+                    self.core.congestion_seen.notify_one();
+                    (Refusal::Full, self.max_wait())
                 }
-                Choice::NoAdapter => (Refusal::Adapter, self.room_wait()),
+                Choice::NoAdapter => (Refusal::Adapter, self.max_wait()),
                 Choice::Paused(left_ms) => {
                     let refusal = Refusal::Paused;
-                    (refusal, self.wait_for(refusal, waited, left_ms)?)
+                    (refusal, self.wait_limit(refusal, waited, left_ms)?)
                 }
                 Choice::RateLimited(left_ms) => {
                     let refusal = Refusal::RateLimited;
-                    (refusal, self.wait_for(refusal, waited, left_ms)?)
+                    (refusal, self.wait_limit(refusal, waited, left_ms)?)
                 }
                 Choice::Evacuated => return Err(Refusal::Evacuated),
                 Choice::Absent => {
-                    let wait = max_wait::wait_for_load(self.load_time(), waited, self.left());
+                    let wait = max_wait::load_wait(self.load_time(), waited, self.left());
                     (Refusal::Absent, wait)
                 }
             };
@@ -69,31 +69,31 @@
             if waited >= limit || self.core.is_stopping() {
                 return Err(refusal);
             }
-            let pause = LOOK_AGAIN.min(limit - waited);
+            let pause = RECHECK_INTERVAL.min(limit - waited);
             let _ = tokio::time::timeout(pause, changed).await;
         }
     }
 
     /// Whether a replica takes any number of requests, or the leader lets this one go to it.
-    async fn has_permit(&mut self, replica: &ReplicaId) -> bool {
+    async fn obtain_permit(&mut self, replica: &ReplicaId) -> bool {
         self.permit = None;
         let core = self.core;
-        let Some(record) = core.limited_record(replica) else {
+        let Some(record) = core.rate_limited_record(replica) else {
             return true;
         };
-        self.permit = core.ask_permit(&record).await;
+        self.permit = core.request_permit(&record).await;
         self.permit.is_some()
     }
 
     /// How long a request waits that has waited for so long, where a replica takes one in
     /// `left_ms`. One that surely comes too late is refused now.
-    fn wait_for(
+    fn wait_limit(
         &self,
         refusal: Refusal,
         waited: Duration,
         left_ms: u64,
     ) -> Result<Duration, Refusal> {
-        let limit = self.room_wait();
+        let limit = self.max_wait();
         let ends = waited + Duration::from_millis(left_ms);
         match ends > limit.min(self.left()) {
             true => Err(refusal),
@@ -101,12 +101,12 @@
         }
     }
 
-    fn room_wait(&self) -> Duration {
-        max_wait::wait_for_room(self.aim(), self.core.choice().room_part)
+    fn max_wait(&self) -> Duration {
+        max_wait::capacity_wait(self.aim(), self.core.choice().room_part)
     }
 
     fn choose(&self, now_ms: u64) -> Choice {
-        let book = self.core.book.borrow();
-        book.choose(now_ms, &self.need, &self.passed, self.bounds)
+        let replicas = self.core.replicas.borrow();
+        replicas.choose(now_ms, &self.need, &self.attempted, self.bounds)
     }
 }
--- a/src/forward/request/wire_heads.rs
+++ b/src/forward/request/wire_heads.rs
@@ -6,11 +6,11 @@
 use crate::forward::replica_table::Need;
 use crate::ids::{ModelName, ReplicaId, ServiceName};
 
-use super::{Flight, draw};
+use super::{ForwardedRequest, id_hash};
 
-impl Flight<'_> {
+impl ForwardedRequest<'_> {
     /// The head that the client gets, with the framing of this hop.
-    pub(super) fn answer_head(
+    pub(super) fn response_head(
         &self,
         head: &ResponseHead,
         framing: &[(&str, &str)],
@@ -48,7 +48,7 @@
             // Who calls is this system's word, and a key is nobody else's.
             drop.extend([names.key, names.account]);
         }
-        let resumed = self.cutter.last_id();
+        let resumed = self.event_buffer.last_id();
         if resumed.is_some() {
             drop.push(names.last_event);
         }
@@ -108,7 +108,7 @@
             model.unwrap_or_default(),
             adapter.as_deref().unwrap_or_default()
         );
-        draw(&text)
+        id_hash(&text)
     });
     Need {
         service,
--- a/src/forward/request_log.rs
+++ b/src/forward/request_log.rs
@@ -12,11 +12,11 @@
 use crate::table::configuration::RouteSpec;
 
 /// Log lines a second for requests that went well.
-const GOOD_LINES: u32 = 10;
+const MAX_SUCCESS_LINES: u32 = 10;
 /// Log lines a second for requests that failed or were refused.
-const BAD_LINES: u32 = 40;
+const MAX_FAILURE_LINES: u32 = 40;
 /// Longest part of a header's value that a line shows, in characters.
-const MAX_SHOWN: usize = 32;
+const MAX_SHOWN_CHARS: usize = 32;
 
 /// How a request ended, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
     gap: Duration,
     since: Instant,
     replica: Option<ReplicaId>,
-    tries: u32,
+    attempts: u32,
     resent: u32,
     waited: Duration,
     first: Option<Duration>,
@@ -91,7 +91,7 @@
             gap: Duration::from_millis(route.gap_ms),
             since,
             replica: None,
-            tries: 0,
+            attempts: 0,
             resent: 0,
             waited: Duration::ZERO,
             first: None,
@@ -103,13 +103,13 @@
     }
 
     /// A replica was found after a wait.
-    pub fn placed(&mut self, waited: Duration) {
+    pub fn record_wait(&mut self, waited: Duration) {
         self.waited += waited;
     }
 
     /// It goes to a replica.
-    pub fn sent(&mut self, replica: &ReplicaId) {
-        self.tries += 1;
+    pub fn record_attempt(&mut self, replica: &ReplicaId) {
+        self.attempts += 1;
         self.replica = Some(replica.clone());
     }
 
@@ -126,18 +126,18 @@
         self.notes.push(text.to_owned());
     }
 
-    /// A replica did not run it, and asked for so long a pause.
+    /// A replica did not run it, and suffix for so long a pause.
     pub fn refused(&mut self, replica: &ReplicaId, pause: Option<&str>) {
-        let asked = asked_text(pause);
+        let suffix = retry_after_suffix(pause);
         self.notes
-            .push(format!("refused by the replica {replica}{asked}"));
+            .push(format!("refused by the replica {replica}{suffix}"));
     }
 
-    /// A replica failed it by a status of its own, and asked for so long a pause.
+    /// A replica failed it by a status of its own, and suffix for so long a pause.
     pub fn failed_by(&mut self, replica: &ReplicaId, status: u16, pause: Option<&str>) {
-        let asked = asked_text(pause);
+        let suffix = retry_after_suffix(pause);
         self.notes
-            .push(format!("the replica {replica} failed: {status}{asked}"));
+            .push(format!("the replica {replica} failed: {status}{suffix}"));
     }
 
     /// What it asks: shown where a replica broke off under it, or it is refused for that.
@@ -152,7 +152,7 @@
     }
 
     /// An event came so long after the one before.
-    pub fn pause(&mut self, pause: Duration) {
+    pub fn record_gap(&mut self, pause: Duration) {
         self.longest_pause = self.longest_pause.max(pause);
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// It ends without a replica's answer.
-    pub fn ends(&mut self, outcome: Outcome, status: u16, reason: &'static str) {
+    pub fn set_end(&mut self, outcome: Outcome, status: u16, reason: &'static str) {
         self.end = (outcome, status, reason);
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// Writes the line and the metrics.
-    pub fn end(&self, core: &EntryCore) {
+    pub fn write(&self, core: &EntryCore) {
         let (outcome, status, reason) = self.end;
         let took = self.since.elapsed();
         let labels = [
@@ -224,7 +224,7 @@
                 prompt_tokens = self.prompt_tokens,
                 version = core.version(),
                 replica = self.replica.as_ref().map_or("", |id| id.as_str()),
-                tries = self.tries,
+                tries = self.attempts,
                 resent = self.resent,
                 waited_ms = millis(self.waited),
                 first_ms = self.first.map(millis),
@@ -243,27 +243,27 @@
 }
 
 /// The pause that came with a refusal, for a line; empty for none.
-fn asked_text(pause: Option<&str>) -> String {
-    let shown = pause.map(|text| text.chars().take(MAX_SHOWN).collect::<String>());
+fn retry_after_suffix(pause: Option<&str>) -> String {
+    let shown = pause.map(|text| text.chars().take(MAX_SHOWN_CHARS).collect::<String>());
     shown.map_or(String::new(), |text| format!(", retry after {text}"))
 }
 
 /// Log lines that may be written in the current second.
 #[derive(Debug, Default)]
-pub(super) struct LineBudget {
+pub(super) struct LogLineLimit {
     second: u64,
     good: u32,
     bad: u32,
-    passed: u32,
+    suppressed: u32,
 }
 
-impl LineBudget {
+impl LogLineLimit {
     /// Whether one more line may be written; what went well has a bound of its own.
     pub(super) fn may_write(&mut self, good: bool) -> bool {
         let second = clock::monotonic_ms() / 1_000;
         if second != self.second {
-            if self.passed > 0 {
-                tracing::info!(lines = self.passed, "request lines passed over");
+            if self.suppressed > 0 {
+                tracing::info!(lines = self.suppressed, "request lines passed over");
             }
             *self = Self {
                 second,
@@ -271,12 +271,12 @@
             };
         }
         let (count, most) = match good {
-            true => (&mut self.good, GOOD_LINES),
-            false => (&mut self.bad, BAD_LINES),
+            true => (&mut self.good, MAX_SUCCESS_LINES),
+            false => (&mut self.bad, MAX_FAILURE_LINES),
         };
         *count += 1;
         let allowed = *count <= most;
-        self.passed += u32::from(!allowed);
+        self.suppressed += u32::from(!allowed);
         allowed
     }
 }
--- a/src/forward/unknown_headers.rs
+++ b/src/forward/unknown_headers.rs
@@ -6,12 +6,12 @@
 use crate::forward::dialect::HeaderNames;
 use crate::forward::head::Header;
 
-/// Names that are told apart; those beyond share [`OTHER_NAMES`].
+/// Names that are told apart; those beyond share [`OVERFLOW_NAME`].
 const MAX_NAMES: usize = 32;
 /// Longest name and value that is told, in bytes.
-const MAX_TOLD: usize = 64;
+const MAX_SHOWN_BYTES: usize = 64;
 /// The name of all headers beyond [`MAX_NAMES`].
-const OTHER_NAMES: &str = "other";
+const OVERFLOW_NAME: &str = "other";
 
 /// Headers of HTTP itself that answers carry for callers and connections.
 const HTTP_HEADERS: [&str; 27] = [
@@ -65,29 +65,29 @@
     /// Of an answer's headers, those that are not known.
     pub fn find(&mut self, names: &HeaderNames, headers: &[Header]) -> Vec<UnknownHeader> {
         let unknown = headers.iter().filter(|(name, _)| !is_known(names, name));
-        let counted = unknown.map(|(name, value)| self.note(name, value));
+        let counted = unknown.map(|(name, value)| self.observe(name, value));
         counted.collect()
     }
 
-    fn note(&mut self, name: &str, value: &str) -> UnknownHeader {
-        let mut name = beginning(name).to_ascii_lowercase();
+    fn observe(&mut self, name: &str, value: &str) -> UnknownHeader {
+        let mut name = truncated(name).to_ascii_lowercase();
         if !self.names.contains(&name) && self.names.len() >= MAX_NAMES {
-            name = OTHER_NAMES.to_owned();
+            name = OVERFLOW_NAME.to_owned();
         }
         let is_new = self.names.insert(name.clone());
         UnknownHeader {
             name,
-            value: beginning(value).to_owned(),
+            value: truncated(value).to_owned(),
             is_new,
         }
     }
 }
 
-fn beginning(text: &str) -> &str {
+fn truncated(text: &str) -> &str {
     let ends = text
         .char_indices()
         .map(|(at, letter)| at + letter.len_utf8());
-    let end = ends.take_while(|end| *end <= MAX_TOLD).last();
+    let end = ends.take_while(|end| *end <= MAX_SHOWN_BYTES).last();
     &text[..end.unwrap_or(0)]
 }
 
--- a/src/forward/upstream.rs
+++ b/src/forward/upstream.rs
@@ -17,17 +17,17 @@
 use crate::ids::ReplicaId;
 
 /// Longest head of an answer, in bytes.
-const MAX_HEAD: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// Bytes read at once.
 const READ_SIZE: usize = 16 * 1024;
 /// Surplus answers that are passed over while the due one is awaited.
-const MAX_SURPLUS: usize = 4;
+const MAX_SURPLUS_RESPONSES: usize = 4;
 /// An idle connection is given up this part of its time before its end.
-const KEEP_PART: f64 = 0.8;
+const KEEP_ALIVE_FRACTION: f64 = 0.8;
 /// Longest rest of a connection whose end was not told.
-const KEEP_UNTOLD: Duration = Duration::from_secs(4);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 /// Idle connections kept to one replica.
-const MAX_IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// Why an exchange with a replica did not go well.
 #[derive(Debug, Snafu)]
@@ -71,7 +71,7 @@
     }
 
     /// Whether the connection ended under a request that may have run.
-    pub fn broke_off(&self) -> bool {
+    pub fn connection_lost(&self) -> bool {
         matches!(self, Self::Broken { .. } | Self::Closed { .. })
     }
 }
@@ -84,8 +84,8 @@
     buffer: Vec<u8>,
     /// Since when it rests, by [`clock::monotonic_ms`]: the replica counts on while this
     /// machine is suspended.
-    rested_ms: u64,
-    keep: Duration,
+    idle_since_ms: u64,
+    keep_alive: Duration,
 }
 
 impl Connection {
@@ -100,8 +100,8 @@
             peer,
             stream,
             buffer: Vec::new(),
-            rested_ms: clock::monotonic_ms(),
-            keep: KEEP_UNTOLD,
+            idle_since_ms: clock::monotonic_ms(),
+            keep_alive: DEFAULT_KEEP_ALIVE,
         })
     }
 
@@ -110,7 +110,7 @@
     /// itself, where it would go on sending for minutes. It looks at the bound only when it
     /// repeats, first some 200 ms after the write, and counts from there: all lost, it gave
     /// up 427 ms after the write with a bound of 1 ms, and 859 ms after it with 425 ms.
-    pub fn bound_sending(&self, left: Duration) -> Result<(), ExchangeError> {
+    pub fn limit_send_time(&self, left: Duration) -> Result<(), ExchangeError> {
         // None stands for the system's own bound.
         let left = left.max(Duration::from_millis(1));
         let socket = SockRef::from(&self.stream);
@@ -123,14 +123,14 @@
 
     /// Whether the connection may carry another request: nothing unasked has
     /// come, and the replica has not closed it.
-    fn is_sound(&self) -> bool {
+    fn is_reusable(&self) -> bool {
         let mut probe = [0; 1];
         let quiet = match self.stream.try_read(&mut probe) {
             Err(error) => error.kind() == io::ErrorKind::WouldBlock,
             Ok(_) => false,
         };
-        let rested_ms = clock::monotonic_ms().saturating_sub(self.rested_ms);
-        quiet && self.buffer.is_empty() && Duration::from_millis(rested_ms) < self.keep
+        let idle_ms = clock::monotonic_ms().saturating_sub(self.idle_since_ms);
+        quiet && self.buffer.is_empty() && Duration::from_millis(idle_ms) < self.keep_alive
     }
 
     async fn fill(&mut self) -> Result<usize, ExchangeError> {
@@ -152,7 +152,7 @@
     pub fn take(&mut self, id: &ReplicaId) -> Option<Connection> {
         let idle = self.idle.get_mut(id)?;
         while let Some(connection) = idle.pop() {
-            if connection.is_sound() {
+            if connection.is_reusable() {
                 return Some(connection);
             }
         }
@@ -166,9 +166,9 @@
 
     /// Keeps a connection for the next request.
     pub fn put(&mut self, id: &ReplicaId, mut connection: Connection) {
-        connection.rested_ms = clock::monotonic_ms();
+        connection.idle_since_ms = clock::monotonic_ms();
         let idle = self.idle.entry(id.clone()).or_default();
-        if idle.len() < MAX_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
@@ -178,7 +178,7 @@
     pub fn prune(&mut self, keep: impl Fn(&ReplicaId) -> bool) {
         self.idle.retain(|id, _| keep(id));
         for idle in self.idle.values_mut() {
-            idle.retain(Connection::is_sound);
+            idle.retain(Connection::is_reusable);
         }
     }
 }
@@ -188,7 +188,7 @@
 pub type HeadObserver<'a> = &'a dyn Fn(&ResponseHead);
 
 /// A request on its way to be sent.
-pub struct Outgoing<'a> {
+pub struct OutgoingRequest<'a> {
     /// Head and body.
     pub bytes: &'a [u8],
     /// The method.
@@ -229,15 +229,15 @@
     /// Sends a request and reads the head of the answer that belongs to it.
     pub async fn send(
         mut connection: Connection,
-        request: &Outgoing<'_>,
+        request: &OutgoingRequest<'_>,
     ) -> Result<(Self, ResponseHead), ExchangeError> {
         let mut written = 0;
-        for _ in 0..=MAX_SURPLUS {
+        for _ in 0..=MAX_SURPLUS_RESPONSES {
             let head = read_head(&mut connection, request, &mut written).await?;
             (request.on_head)(&head);
             let reusable = keeps_alive(&head) && written == request.bytes.len();
-            if let Some(keep) = keep_time(&head) {
-                connection.keep = keep;
+            if let Some(time) = keep_alive_time(&head) {
+                connection.keep_alive = time;
             }
             let body = BodyState::new(head.framing);
             let mut exchange = Self {
@@ -352,19 +352,19 @@
 }
 
 /// How long the connection may rest, by the replica's word.
-fn keep_time(head: &ResponseHead) -> Option<Duration> {
+fn keep_alive_time(head: &ResponseHead) -> Option<Duration> {
     let text = head::find(&head.headers, "keep-alive")?;
     let mut parts = text.split(',').map(str::trim);
     let seconds = parts.find_map(|part| part.strip_prefix("timeout="))?;
     let seconds: f64 = seconds.trim().parse().ok()?;
-    Duration::try_from_secs_f64(seconds * KEEP_PART).ok()
+    Duration::try_from_secs_f64(seconds * KEEP_ALIVE_FRACTION).ok()
 }
 
 /// Writes what is left of the request, and reads until a head is whole. The
 /// answer may come before the request is out.
 async fn read_head(
     connection: &mut Connection,
-    request: &Outgoing<'_>,
+    request: &OutgoingRequest<'_>,
     written: &mut usize,
 ) -> Result<ResponseHead, ExchangeError> {
     let peer = connection.peer;
@@ -376,7 +376,7 @@
                 connection.buffer.drain(..len);
                 return Ok(head);
             }
-            Ok(None) if connection.buffer.len() <= MAX_HEAD => {}
+            Ok(None) if connection.buffer.len() <= MAX_HEAD_BYTES => {}
             Ok(None) => {
                 let reason = "its head is too long".to_owned();
                 return Err(ExchangeError::Malformed { peer, reason });
--- a/tests/accounts.rs
+++ b/tests/accounts.rs
@@ -77,10 +77,10 @@
         "{shown}"
     );
     let header = |value: &str| vec![("authorization".to_owned(), value.to_owned())];
-    let key = caller::shown_key(&header("Bearer k1"), "Authorization");
+    let key = caller::presented_key(&header("Bearer k1"), "Authorization");
     assert_eq!(key, Some(KeyDigest::of("k1")));
     assert_eq!(
-        caller::shown_key(&header("Bearer  k1"), "Authorization"),
+        caller::presented_key(&header("Bearer  k1"), "Authorization"),
         None
     );
 }
--- a/tests/ahead.rs
+++ b/tests/ahead.rs
@@ -10,7 +10,7 @@
 use dunlinspring::consensus::directory::ReplicaRecord;
 use dunlinspring::consensus::state::{Command, SiteState};
 use dunlinspring::forward::need::ChoicePolicy;
-use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaBook};
+use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaTable};
 use dunlinspring::ids::{HallName, HostName, ModelName, ReplicaId, ServiceName, Term};
 use dunlinspring::placement::ahead::{AheadReplica, MissingAdapters, SPARE_PLACES, plan_ahead};
 use dunlinspring::placement::fleet::{FleetDuties, FleetPolicy};
@@ -102,8 +102,8 @@
 
 /// Part of all adapters that an entry could send a request for, without any leader.
 fn served_part(state: &SiteState) -> f64 {
-    let mut book = ReplicaBook::new(ChoicePolicy::default(), flat_place("here"));
-    book.follow(0, state.replicas.records());
+    let mut book = ReplicaTable::new(ChoicePolicy::default(), flat_place("here"));
+    book.update_records(0, state.replicas.records());
     let bounds = EngineBounds {
         memory: 0,
         adapter_slots: SLOTS,
@@ -189,8 +189,8 @@
 #[test]
 fn where_no_replica_gets_the_adapter_none_is_called_full() {
     let state = site(1);
-    let mut book = ReplicaBook::new(ChoicePolicy::default(), flat_place("here"));
-    book.follow(0, state.replicas.records());
+    let mut book = ReplicaTable::new(ChoicePolicy::default(), flat_place("here"));
+    book.update_records(0, state.replicas.records());
     let need = Need {
         service: Some(ServiceName::from("llm")),
         model: Some(model(0)),
@@ -202,8 +202,8 @@
         adapter_slots: SLOTS,
     };
     let id = ReplicaId::from("r0");
-    let choose = |book: &ReplicaBook| book.choose(0, &need, &BTreeSet::new(), bounds);
+    let choose = |book: &ReplicaTable| book.choose(0, &need, &BTreeSet::new(), bounds);
     assert_eq!(choose(&book), Choice::Fetch(id.clone()));
-    book.refuse_fetch(0, &id);
+    book.record_fetch_refusal(0, &id);
     assert_eq!(choose(&book), Choice::NoAdapter);
 }
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -7,7 +7,9 @@
 use std::collections::BTreeMap;
 
 use dunlinspring::consensus::directory::{ReplicaPhase, ReplicaRecord};
-use dunlinspring::forward::replica_table::{Choice, ChoicePolicy, EngineBounds, Need, ReplicaBook};
+use dunlinspring::forward::replica_table::{
+    Choice, ChoicePolicy, EngineBounds, Need, ReplicaTable,
+};
 use dunlinspring::ids::{ReplicaId, ServiceName};
 use dunlinspring::routing::backoff::{
     AskedPause, BackoffBook, ClaimEnd, LONGEST_PAUSE_MS, SendBar,
@@ -149,22 +151,22 @@
         service: Some(ServiceName::from("plain")),
         ..Need::default()
     };
-    let mut book = ReplicaBook::new(ChoicePolicy::default(), flat_place("hall"));
-    book.follow(0, &ready());
+    let mut book = ReplicaTable::new(ChoicePolicy::default(), flat_place("hall"));
+    book.update_records(0, &ready());
     let (a, b) = (ReplicaId::from("a"), ReplicaId::from("b"));
-    book.pause(1_000, &a, AskedPause { ms: 3_000 });
-    book.leave(1_000, &ready()[&b].life());
-    book.follow(0, &BTreeMap::new());
-    book.follow(0, &ready());
-    let choose = |book: &ReplicaBook, at_ms| {
+    book.back_off(1_000, &a, AskedPause { ms: 3_000 });
+    book.record_draining(1_000, &ready()[&b].life());
+    book.update_records(0, &BTreeMap::new());
+    book.update_records(0, &ready());
+    let choose = |book: &ReplicaTable, at_ms| {
         book.choose(at_ms, &need, &Default::default(), EngineBounds::default())
     };
     assert_eq!(choose(&book, 1_500), Choice::Paused(2_500));
-    assert_eq!(book.room_in_ms(1_500, &need), Some(2_500));
+    assert_eq!(book.capacity_in_ms(1_500, &need), Some(2_500));
     assert_eq!(choose(&book, 4_000), Choice::Send(a.clone()));
     // The one that asked is the only one, and is not asked all the same.
     let only = BTreeMap::from([(a.clone(), record("a", ReplicaPhase::Ready))]);
-    book.follow(0, &only);
+    book.update_records(0, &only);
     assert_eq!(choose(&book, 3_999), Choice::Paused(1));
     assert!(book.claim(3_999, &only[&a].life(), None).is_err());
 }
--- a/tests/bounded_sending.rs
+++ b/tests/bounded_sending.rs
@@ -3,7 +3,7 @@
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
-use dunlinspring::forward::upstream::{Connection, Exchange, ExchangeError, Outgoing};
+use dunlinspring::forward::upstream::{Connection, Exchange, ExchangeError, OutgoingRequest};
 use dunlinspring::placement::fleet::FleetPolicy;
 use socket2::{SockFilter, SockRef};
 use tokio::io::AsyncReadExt;
@@ -24,9 +24,9 @@
     let peer = listener.local_addr().unwrap();
     let connection = Connection::open(peer, PATIENCE).await.unwrap();
     let (_unread, _) = listener.accept().await.unwrap();
-    connection.bound_sending(BOUND).unwrap();
+    connection.limit_send_time(BOUND).unwrap();
     let bytes = vec![b'a'; LARGE];
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         bytes: &bytes,
         method: "POST",
         identity: None,
@@ -62,9 +62,9 @@
         let connection = Connection::open(peer, PATIENCE).await.unwrap();
         let (mut far, _) = listener.accept().await.unwrap();
         lose_all(&far);
-        connection.bound_sending(bound).unwrap();
+        connection.limit_send_time(bound).unwrap();
         let begun = Instant::now();
-        let outgoing = Outgoing {
+        let outgoing = OutgoingRequest {
             bytes: b"an order",
             method: "POST",
             identity: None,
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -7,7 +7,7 @@
 
 use dunlinspring::consensus::directory::ReplicaRecord;
 use dunlinspring::forward::replica_table::{
-    Choice, ChoicePolicy, EngineBounds, LoadReport, Need, ReplicaBook, TryEnd,
+    AttemptResult, Choice, ChoicePolicy, EngineBounds, LoadReport, Need, ReplicaTable,
 };
 use dunlinspring::ids::{HallName, HostName, ModelName, ReplicaId, ServiceName};
 use dunlinspring::placement::crowd::{CrowdBound, CrowdReport, CrowdSums, WaitingTokens};
@@ -133,7 +133,7 @@
 
 /// One home of a model behind many entries, with more demand than it can serve.
 struct CrowdedHome {
-    books: Vec<ReplicaBook>,
+    books: Vec<ReplicaTable>,
     /// By entry: when it reported last, and whether it sees a crowd since.
     reported: Vec<(u64, bool)>,
     sums: CrowdSums,
@@ -148,14 +148,14 @@
     ReplicaId::from("home")
 }
 
-fn need(draw: u64) -> Need {
+fn need(id_hash: u64) -> Need {
     Need {
         service: Some(ServiceName::from("llm")),
         model: Some(ModelName::from("m")),
         prompt_tokens: TOKENS,
         tokens: TOKENS,
         limit_ms: AIM_MS,
-        draw,
+        id_hash,
         ..Need::default()
     }
 }
@@ -170,8 +170,8 @@
             ..ready_replica(home(), "llm")
         };
         let records = BTreeMap::from([(home(), record)]);
-        let mut book = ReplicaBook::new(ChoicePolicy::default(), flat_place("here"));
-        book.follow(0, &records);
+        let mut book = ReplicaTable::new(ChoicePolicy::default(), flat_place("here"));
+        book.update_records(0, &records);
         Self {
             books: vec![book; ENTRIES],
             reported: vec![(0, false); ENTRIES],
@@ -184,19 +184,19 @@
         }
     }
 
-    fn ask(&mut self, now_ms: u64, entry: usize, draw: u64) {
+    fn ask(&mut self, now_ms: u64, entry: usize, id_hash: u64) {
         let bounds = EngineBounds {
             memory: 94_000,
             adapter_slots: 8,
         };
-        let (need, none) = (need(draw), BTreeSet::new());
+        let (need, none) = (need(id_hash), BTreeSet::new());
         let book = &mut self.books[entry];
         let Choice::Send(id) = book.choose(now_ms, &need, &none, bounds) else {
             self.reported[entry].1 = true;
             return;
         };
-        let ahead = book.start(now_ms, &id, &need);
-        self.reported[entry].1 |= book.is_crowding(&id, &need, ahead);
+        let ahead = book.record_sent(now_ms, &id, &need);
+        self.reported[entry].1 |= book.causes_congestion(&id, &need, ahead);
         self.queue.push_back(SentRequest {
             entry,
             sent_ms: now_ms,
@@ -228,9 +228,9 @@
             work_percent: None,
         };
         let (book, need) = (&mut self.books[request.entry], need(0));
-        book.begin(&home(), &need, request.ahead, took_ms as f64);
-        book.tell(now_ms, &home(), report);
-        book.end(now_ms, &home(), &need, true, TryEnd::Good);
+        book.record_response_start(&home(), &need, request.ahead, took_ms as f64);
+        book.record_load(now_ms, &home(), report);
+        book.record_end(now_ms, &home(), &need, true, AttemptResult::Good);
     }
 
     fn report(&mut self, now_ms: u64, entry: usize) {
@@ -242,12 +242,12 @@
         }
         self.reported[entry] = (now_ms, false);
         let book = &mut self.books[entry];
-        let waiting = book.waiting();
+        let waiting = book.queued_tokens();
         let crowded = self
             .sums
             .take(now_ms, report(entry, waiting.clone()), BOUND);
         if self.told {
-            book.follow_crowd(now_ms, &waiting, &crowded);
+            book.update_congestion(now_ms, &waiting, &crowded);
         }
     }
 
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -12,7 +12,7 @@
     Change, Command, HallStanding, HomeReport, MemberRole, MoveKind, SiteState,
 };
 use dunlinspring::forward::need::ChoicePolicy;
-use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaBar, ReplicaBook};
+use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaTable, SendBlock};
 use dunlinspring::ids::{
     EditId, HallName, HostName, ModelName, PartnerName, Position, ReplicaId, RowId, ServiceName,
     TargetName, Term,
@@ -122,23 +122,23 @@
 
 #[test]
 fn an_entry_sends_nothing_there_not_even_what_was_chosen_before() {
-    let mut book = ReplicaBook::new(ChoicePolicy::default(), flat_place("old"));
+    let mut book = ReplicaTable::new(ChoicePolicy::default(), flat_place("old"));
     let mut state = two_halls();
-    book.follow(0, state.replicas.records());
+    book.update_records(0, state.replicas.records());
     let need = Need {
         service: Some(ServiceName::from("llm")),
         model: Some(ModelName::from(MODEL)),
         ..Need::default()
     };
     let choose =
-        |book: &ReplicaBook| book.choose(0, &need, &BTreeSet::new(), EngineBounds::default());
+        |book: &ReplicaTable| book.choose(0, &need, &BTreeSet::new(), EngineBounds::default());
     let Choice::Send(chosen) = choose(&book) else {
         panic!("both replicas have room");
     };
     let life = state.replicas.records()[&chosen].life();
     evacuate(&mut state);
-    book.follow_halls(&state.evacuated);
-    assert_eq!(book.claim(0, &life, None), Err(ReplicaBar::Evacuated));
+    book.update_evacuated(&state.evacuated);
+    assert_eq!(book.claim(0, &life, None), Err(SendBlock::Evacuated));
     // The same as if nobody held the model: the leader brings it elsewhere.
     assert_eq!(choose(&book), Choice::Absent);
     // Nobody brings a plain service elsewhere: it is refused at once.
@@ -148,12 +148,12 @@
     };
     let mut of_hall = state.replicas.records().clone();
     of_hall.retain(|_, record| record.hall == HallName::from("old"));
-    book.follow(0, &of_hall);
+    book.update_records(0, &of_hall);
     let choice = book.choose(0, &plain, &BTreeSet::new(), EngineBounds::default());
     assert_eq!(choice, Choice::Evacuated);
-    book.follow(0, state.replicas.records());
+    book.update_records(0, state.replicas.records());
     restore(&mut state);
-    book.follow_halls(&state.evacuated);
+    book.update_evacuated(&state.evacuated);
     assert!(book.claim(0, &life, None).is_ok());
 }
 
