--- a/tests/forward_parts.rs
+++ b/tests/forward_parts.rs
@@ -8,10 +8,10 @@
 use dunlinspring::consensus::directory::{ReplicaPhase, ReplicaRecord};
 use dunlinspring::forward::budget::{ResendBudget, ResendPolicy};
 use dunlinspring::forward::chunked::ChunkDecoder;
-use dunlinspring::forward::events::EventCutter;
+use dunlinspring::forward::events::EventBuffer;
 use dunlinspring::forward::head::{self, Framing, HeadError};
 use dunlinspring::forward::replica_table::{
-    Choice, ChoicePolicy, EngineBounds, LoadReport, Need, ReplicaBook, TryEnd, parse_load,
+    AttemptResult, Choice, ChoicePolicy, EngineBounds, LoadReport, Need, ReplicaTable, parse_load,
 };
 use dunlinspring::ids::{HallName, ModelName, ReplicaId, ServiceName};
 use dunlinspring::placement::crowd::WaitingTokens;
@@ -108,7 +108,7 @@
     #[test]
     fn events_pass_whole_wherever_they_are_cut(cuts in prop::collection::vec(1usize..9, 0..40)) {
         let text: String = (1..9).map(|n| format!("id: {n}\ndata: piece {n}\n\n")).collect();
-        let mut cutter = EventCutter::default();
+        let mut cutter = EventBuffer::default();
         let (mut passed, mut rest) = (Vec::new(), text.as_bytes());
         for cut in cuts {
             let (part, after) = rest.split_at(cut.min(rest.len()));
@@ -130,7 +130,7 @@
         let policy = ResendPolicy { earned: 0.15, slack: 26.0 };
         let service = ServiceName::from("plain");
         let mut budget = ResendBudget::new(policy);
-        budget.share_among(entries);
+        budget.set_entries(entries);
         let mut spent = 0;
         for _ in 0..requests {
             budget.earn(&service);
@@ -155,13 +155,13 @@
     }
 }
 
-fn book(records: Vec<ReplicaRecord>) -> ReplicaBook {
+fn book(records: Vec<ReplicaRecord>) -> ReplicaTable {
     let records: BTreeMap<ReplicaId, ReplicaRecord> = records
         .into_iter()
         .map(|record| (record.id.clone(), record))
         .collect();
-    let mut book = ReplicaBook::new(ChoicePolicy::default(), flat_place("here"));
-    book.follow(0, &records);
+    let mut book = ReplicaTable::new(ChoicePolicy::default(), flat_place("here"));
+    book.update_records(0, &records);
     book
 }
 
@@ -183,7 +183,7 @@
     adapter_slots: 2,
 };
 
-fn choose(book: &ReplicaBook, need: &Need) -> Choice {
+fn choose(book: &ReplicaTable, need: &Need) -> Choice {
     book.choose(1_000, need, &BTreeSet::new(), BOUNDS)
 }
 
@@ -195,7 +195,7 @@
 fn the_less_loaded_home_is_chosen_and_a_full_one_never() {
     let mut book = book(vec![record("a", &[("m", &[])]), record("b", &[("m", &[])])]);
     let need = need("m", None);
-    book.start(1_000, &ReplicaId::from("a"), &need);
+    book.record_sent(1_000, &ReplicaId::from("a"), &need);
     assert_eq!(choose(&book, &need), send("b"));
     let full = LoadReport {
         running: 4,
@@ -203,9 +203,9 @@
         slots: 4,
         work_percent: None,
     };
-    book.tell(1_000, &ReplicaId::from("b"), full);
+    book.record_load(1_000, &ReplicaId::from("b"), full);
     assert_eq!(choose(&book, &need), send("a"));
-    book.tell(1_000, &ReplicaId::from("a"), full);
+    book.record_load(1_000, &ReplicaId::from("a"), full);
     assert_eq!(choose(&book, &need), Choice::Full);
     assert_eq!(choose(&book, &self::need("other", None)), Choice::Absent);
     // What others sent fades with the report's age.
@@ -223,7 +223,7 @@
     assert_eq!(choose(&alone, &need("m", None)), send("a"));
     let mut busy = book(vec![silent, draining, record("c", &[("m", &[])])]);
     for _ in 0..3 {
-        busy.start(1_000, &ReplicaId::from("c"), &need("m", None));
+        busy.record_sent(1_000, &ReplicaId::from("c"), &need("m", None));
     }
     assert_eq!(choose(&busy, &need("m", None)), send("c"));
 }
@@ -236,13 +236,13 @@
     let records = homes.map(|id| record(id, &[("m", &[])]));
     let book = book(records.to_vec());
     let mut counts: BTreeMap<ReplicaId, u32> = BTreeMap::new();
-    for draw in 0..400 {
+    for id_hash in 0..400 {
         let need = Need {
-            draw,
+            id_hash,
             ..need("m", None)
         };
         let Choice::Send(id) = choose(&book, &need) else {
-            panic!("no home for {draw}");
+            panic!("no home for {id_hash}");
         };
         *counts.entry(id).or_default() += 1;
         // The same request takes the same way again.
@@ -259,25 +259,27 @@
     let ids = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let records = ids.map(|id| record(id, &[("m", &[])]));
     let mut book = book(records.to_vec());
-    let asked = |draw: u64, answer_tokens: u64| Need {
+    let asked = |id_hash: u64, answer_tokens: u64| Need {
         prompt_tokens: 100,
         tokens: 100 + answer_tokens,
-        draw,
+        id_hash,
         ..need("m", None)
     };
-    for draw in 0..200 {
-        let answer_tokens = if draw % 6 == 0 { 80 } else { 10 };
-        let need = asked(draw, answer_tokens);
-        let id = ReplicaId::from(ids[draw as usize % ids.len()]);
-        let ahead = book.start(1_000, &id, &need);
-        book.begin(&id, &need, ahead, 1.0);
-        book.end(1_000, &id, &need, true, TryEnd::Good);
+    for id_hash in 0..200 {
+        let answer_tokens = if id_hash % 6 == 0 { 80 } else { 10 };
+        let need = asked(id_hash, answer_tokens);
+        let id = ReplicaId::from(ids[id_hash as usize % ids.len()]);
+        let ahead = book.record_sent(1_000, &id, &need);
+        book.record_response_start(&id, &need, ahead, 1.0);
+        book.record_end(1_000, &id, &need, true, AttemptResult::Good);
     }
     let homes_of = |answer_tokens: u64| {
-        let chosen = (0..200).map(|draw| match choose(&book, &asked(draw, answer_tokens)) {
-            Choice::Send(id) => id,
-            other => panic!("{other:?}"),
-        });
+        let chosen = (0..200).map(
+            |id_hash| match choose(&book, &asked(id_hash, answer_tokens)) {
+                Choice::Send(id) => id,
+                other => panic!("{other:?}"),
+            },
+        );
         chosen.collect::<BTreeSet<ReplicaId>>()
     };
     let (long, short) = (homes_of(80), homes_of(10));
@@ -292,11 +294,11 @@
         record("b", &[("m", &[])]),
     ]);
     let need = need("m", Some("x"));
-    book.start(1_000, &ReplicaId::from("a"), &need);
-    book.begin(&ReplicaId::from("a"), &need, 0, 1.0);
+    book.record_sent(1_000, &ReplicaId::from("a"), &need);
+    book.record_response_start(&ReplicaId::from("a"), &need, 0, 1.0);
     assert_eq!(choose(&book, &need), Choice::Fetch(ReplicaId::from("b")));
-    book.refuse_fetch(1_000, &ReplicaId::from("b"));
-    book.refuse_fetch(1_000, &ReplicaId::from("a"));
+    book.record_fetch_refusal(1_000, &ReplicaId::from("b"));
+    book.record_fetch_refusal(1_000, &ReplicaId::from("a"));
     assert_eq!(choose(&book, &need), send("a"));
 }
 
@@ -304,13 +306,13 @@
 fn a_request_goes_only_where_its_answer_is_likely_to_begin_in_time() {
     let mut book = book(vec![record("a", &[("m", &[])])]);
     let (id, mut ask) = (ReplicaId::from("a"), need("m", None));
-    let ahead = book.start(1_000, &id, &ask);
+    let ahead = book.record_sent(1_000, &id, &ask);
     assert_eq!(ahead, 100);
-    book.begin(&id, &ask, ahead, 400.0);
-    book.end(1_000, &id, &ask, true, TryEnd::Good);
+    book.record_response_start(&id, &ask, ahead, 400.0);
+    book.record_end(1_000, &id, &ask, true, AttemptResult::Good);
     // Four ms a token: one may wait, a second one would begin after 800 of 800 ms.
     assert_eq!(choose(&book, &ask), send("a"));
-    book.start(1_000, &id, &ask);
+    book.record_sent(1_000, &id, &ask);
     assert_eq!(choose(&book, &ask), Choice::Full);
     // A more urgent one is read before those that wait.
     ask.urgency = 0;
@@ -321,29 +323,29 @@
 fn a_refusal_can_tell_when_there_is_room() {
     let mut book = book(vec![record("a", &[("m", &[])])]);
     let (id, ask) = (ReplicaId::from("a"), need("m", None));
-    assert_eq!(book.room_in_ms(1_000, &ask), Some(0));
-    assert_eq!(book.room_in_ms(1_000, &need("other", None)), None);
-    let ahead = book.start(1_000, &id, &ask);
-    book.begin(&id, &ask, ahead, 400.0);
-    book.start(1_000, &id, &ask);
+    assert_eq!(book.capacity_in_ms(1_000, &ask), Some(0));
+    assert_eq!(book.capacity_in_ms(1_000, &need("other", None)), None);
+    let ahead = book.record_sent(1_000, &id, &ask);
+    book.record_response_start(&id, &ask, ahead, 400.0);
+    book.record_sent(1_000, &id, &ask);
     // Four ms a token, 200 tokens ahead, 480 ms are waited for without harm.
-    assert_eq!(book.room_in_ms(1_000, &ask), Some(320));
+    assert_eq!(book.capacity_in_ms(1_000, &ask), Some(320));
 }
 
 #[test]
 fn a_replica_that_cannot_be_reached_rests_and_comes_back_by_one_request() {
     let mut book = book(vec![record("a", &[("m", &[])]), record("b", &[("m", &[])])]);
     let (id, ask) = (ReplicaId::from("a"), need("m", None));
-    book.start(1_000, &id, &ask);
-    book.end(1_000, &id, &ask, false, TryEnd::Unreached);
-    book.start(1_000, &ReplicaId::from("b"), &ask);
-    book.start(1_000, &ReplicaId::from("b"), &ask);
+    book.record_sent(1_000, &id, &ask);
+    book.record_end(1_000, &id, &ask, false, AttemptResult::Unreached);
+    book.record_sent(1_000, &ReplicaId::from("b"), &ask);
+    book.record_sent(1_000, &ReplicaId::from("b"), &ask);
     assert_eq!(choose(&book, &ask), send("b"));
-    let at = |book: &ReplicaBook| book.choose(2_500, &ask, &BTreeSet::new(), BOUNDS);
+    let at = |book: &ReplicaTable| book.choose(2_500, &ask, &BTreeSet::new(), BOUNDS);
     assert_eq!(at(&book), send("a"));
-    book.start(2_500, &id, &ask);
+    book.record_sent(2_500, &id, &ask);
     assert_eq!(at(&book), send("b"));
-    book.end(2_600, &id, &ask, false, TryEnd::Good);
+    book.record_end(2_600, &id, &ask, false, AttemptResult::Good);
     assert_eq!(at(&book), send("a"));
 }
 
@@ -357,22 +359,22 @@
         let records = [first, record("b", &[("m", &[])])];
         records.map(|record| (record.id.clone(), record)).into()
     };
-    let mut book = ReplicaBook::new(ChoicePolicy::default(), flat_place("here"));
-    book.follow(0, &lives(1));
+    let mut book = ReplicaTable::new(ChoicePolicy::default(), flat_place("here"));
+    book.update_records(0, &lives(1));
     let (id, ask) = (ReplicaId::from("a"), need("m", None));
-    book.start(1_000, &id, &ask);
-    book.end(1_000, &id, &ask, false, TryEnd::Unreached);
+    book.record_sent(1_000, &id, &ask);
+    book.record_end(1_000, &id, &ask, false, AttemptResult::Unreached);
     for _ in 0..2 {
-        book.start(1_000, &ReplicaId::from("b"), &ask);
+        book.record_sent(1_000, &ReplicaId::from("b"), &ask);
     }
     assert_eq!(choose(&book, &ask), send("b"));
-    book.follow(0, &lives(2));
+    book.update_records(0, &lives(2));
     assert_eq!(choose(&book, &ask), send("a"));
-    book.start(1_000, &id, &ask);
-    book.start(1_000, &id, &ask);
-    book.start(1_000, &id, &ask);
+    book.record_sent(1_000, &id, &ask);
+    book.record_sent(1_000, &id, &ask);
+    book.record_sent(1_000, &id, &ask);
     assert_eq!(choose(&book, &ask), send("b"));
-    book.follow(0, &lives(3));
+    book.update_records(0, &lives(3));
     assert_eq!(choose(&book, &ask), send("b"));
 }
 
@@ -383,8 +385,8 @@
     let mut book = book(vec![record("a", &[("m", &[])])]);
     let need = need("m", None);
     let id = ReplicaId::from("a");
-    book.start(1_000, &id, &need);
-    book.end(1_000, &id, &need, false, TryEnd::Unreached);
+    book.record_sent(1_000, &id, &need);
+    book.record_end(1_000, &id, &need, false, AttemptResult::Unreached);
     let passed = BTreeSet::from([id]);
     assert_eq!(book.choose(1_010, &need, &passed, BOUNDS), Choice::Full);
     // Another request may try it, and this one too once the pause is over.
@@ -497,26 +499,26 @@
         work_fade_ms: 200,
         ..ChoicePolicy::default()
     };
-    let mut book = ReplicaBook::new(policy, flat_place("here"));
+    let mut book = ReplicaTable::new(policy, flat_place("here"));
     let records = [record("r1", &[]), record("r2", &[])];
     let records = records
         .into_iter()
         .map(|record| (record.id.clone(), record));
-    book.follow(0, &records.collect());
+    book.update_records(0, &records.collect());
     let need = Need {
         service: Some(ServiceName::from("llm")),
         ..Need::default()
     };
-    let choose = |book: &ReplicaBook, now_ms| {
+    let choose = |book: &ReplicaTable, now_ms| {
         book.choose(now_ms, &need, &BTreeSet::new(), EngineBounds::default())
     };
     let Choice::Send(first) = choose(&book, 1_000) else {
         panic!("both have room");
     };
     let slow = parse_load("0,0,8,180").unwrap();
-    book.tell(1_000, &first, slow);
+    book.record_load(1_000, &first, slow);
     assert_ne!(choose(&book, 1_000), Choice::Send(first.clone()));
-    book.tell(1_200, &first, parse_load("0,0,8,100").unwrap());
+    book.record_load(1_200, &first, parse_load("0,0,8,100").unwrap());
     assert_eq!(choose(&book, 1_200), Choice::Send(first));
 }
 
@@ -560,7 +562,7 @@
 #[test]
 fn a_split_follows_its_weights() {
     let split = route("one", "/a/", &[("x", 3), ("none", 0), ("y", 1)]);
-    let picked = (0..400).map(|draw| split.pick(draw).unwrap().0.clone());
+    let picked = (0..400).map(|id_hash| split.pick(id_hash).unwrap().0.clone());
     let picked: Vec<String> = picked.collect();
     let count = |name: &str| picked.iter().filter(|service| *service == name).count();
     assert_eq!((count("x"), count("none"), count("y")), (300, 0, 100));
@@ -572,13 +574,13 @@
 }
 
 /// A home at which one request of 100 tokens was answered at once, and one after so long.
-fn answered_once(took_ms: f64) -> ReplicaBook {
+fn answered_once(took_ms: f64) -> ReplicaTable {
     let mut book = book(vec![record("a", &[("m", &[])])]);
     let (id, need) = (ReplicaId::from("a"), need("m", None));
     for took_ms in [5.0, took_ms] {
-        let ahead = book.start(1_000, &id, &need);
-        book.begin(&id, &need, ahead, took_ms);
-        book.end(1_000, &id, &need, true, TryEnd::Good);
+        let ahead = book.record_sent(1_000, &id, &need);
+        book.record_response_start(&id, &need, ahead, took_ms);
+        book.record_end(1_000, &id, &need, true, AttemptResult::Good);
     }
     book
 }
@@ -588,18 +590,18 @@
     let mut book = answered_once(5.0);
     let (none, need) = (WaitingTokens::new(), need("m", None));
     // At 0.05 ms a token 480 ms are 9,600 tokens, its own among them.
-    book.follow_crowd(1_000, &none, &crowd(9_000));
+    book.update_congestion(1_000, &none, &crowd(9_000));
     assert_eq!(choose(&book, &need), send("a"));
-    book.follow_crowd(1_000, &none, &crowd(10_000));
+    book.update_congestion(1_000, &none, &crowd(10_000));
     assert_eq!(choose(&book, &need), Choice::Full);
     // What this entry had told of itself does not count twice.
-    book.follow_crowd(1_000, &crowd(1_000), &crowd(10_000));
+    book.update_congestion(1_000, &crowd(1_000), &crowd(10_000));
     assert_eq!(choose(&book, &need), send("a"));
     // A home that is not named is not crowded; the word does not last.
-    book.follow_crowd(1_000, &none, &crowd(10_000));
+    book.update_congestion(1_000, &none, &crowd(10_000));
     let later = book.choose(2_500, &need, &BTreeSet::new(), BOUNDS);
     assert_eq!(later, send("a"));
-    book.follow_crowd(1_000, &none, &none);
+    book.update_congestion(1_000, &none, &none);
     assert_eq!(choose(&book, &need), send("a"));
 }
 
@@ -608,10 +610,10 @@
     let homes = vec![record("a", &[("m", &[])]), record("b", &[("n", &[])])];
     let mut book = book(homes);
     let (slow, need) = (self::need("n", None), need("m", None));
-    let ahead = book.start(1_000, &ReplicaId::from("b"), &slow);
-    book.begin(&ReplicaId::from("b"), &slow, ahead, 300.0);
+    let ahead = book.record_sent(1_000, &ReplicaId::from("b"), &slow);
+    book.record_response_start(&ReplicaId::from("b"), &slow, ahead, 300.0);
     // At 3 ms a token 480 ms are 160 tokens: what waits makes the next one late.
-    book.start(1_000, &ReplicaId::from("a"), &need);
+    book.record_sent(1_000, &ReplicaId::from("a"), &need);
     assert_eq!(choose(&book, &need), Choice::Full);
 }
 
@@ -619,14 +621,14 @@
 fn a_home_is_told_of_where_it_is_new_or_late() {
     let mut new = book(vec![record("a", &[("m", &[])])]);
     let (id, need) = (ReplicaId::from("a"), need("m", None));
-    let ahead = new.start(1_000, &id, &need);
-    assert!(new.is_crowding(&id, &need, ahead));
-    assert_eq!(new.waiting(), crowd(100));
+    let ahead = new.record_sent(1_000, &id, &need);
+    assert!(new.causes_congestion(&id, &need, ahead));
+    assert_eq!(new.queued_tokens(), crowd(100));
     let mut known = answered_once(5.0);
-    let ahead = known.start(1_000, &id, &need);
-    assert!(!known.is_crowding(&id, &need, ahead));
+    let ahead = known.record_sent(1_000, &id, &need);
+    assert!(!known.causes_congestion(&id, &need, ahead));
     let slow = answered_once(2_000.0);
-    assert!(slow.is_crowding(&id, &need, ahead));
-    known.end(1_000, &id, &need, false, TryEnd::Neutral);
-    assert_eq!(known.waiting(), WaitingTokens::new());
+    assert!(slow.causes_congestion(&id, &need, ahead));
+    known.record_end(1_000, &id, &need, false, AttemptResult::Neutral);
+    assert_eq!(known.queued_tokens(), WaitingTokens::new());
 }
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -109,13 +109,13 @@
 mutant one-end-counts-twice src/consensus/crashes.rs 's/ \&\& !record\.crashes\.contains\(\&report\.replica\)//' crashes the_third_end_bars_a_content_whoever_tells_of_each
 mutant turns-for-all src/placement/turns.rs 's/return TurnAnswer::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
 mutant suspects-together src/placement/turns.rs 's/\*\*content != ask\.content \&\& turn\.replica == ask\.replica/**content != ask.content \&\& false/' crashes suspects_are_kept_apart
-mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.life\.id, connection\);\s+)Probe::Lives/$1Probe::Ended/' forwarding a_connection_that_breaks_off_is_no_crash
+mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.incarnation\.id, connection\);\s+)Probe::Alive/$1Probe::Ended/' forwarding a_connection_that_breaks_off_is_no_crash
 mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.born_ms > known\.born_ms => BeatNews::New,\n//' replica_born a_new_life_is_heard_though_its_numbers_begin_anew
 mutant pause-not-kept src/routing/backoff.rs 's/note if now_ms < note\.until_ms => /note if false \&\& now_ms < note.until_ms => /' backoff a_named_time_brings_two_requests_at_most
 mutant trials-without-bound src/routing/backoff.rs 's/note\.trials >= MOST_TRIALS/false/' backoff a_named_time_brings_two_requests_at_most
 mutant crowd-after-a-pause src/routing/backoff.rs 's/note\.limit = 1;/note.limit = NO_LIMIT;/' backoff after_a_pause_one_request_goes_first
 mutant leaving-not-kept src/routing/backoff.rs 's/note if note\.leaves\(life\) => /note if false \&\& note.leaves(life) => /' forwarding a_replica_that_says_in_an_answer
-mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return Tried::Unsent;\n            \}/Err(_) => None,/' forwarding a_request_whose_connection_was_slow
+mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return AttemptOutcome::NotSent;\n            \}/Err(_) => None,/' forwarding a_request_whose_connection_was_slow
 mutant refusals-not-kept src/entry/flight_steps.rs 's/state\.refusals\.note\([^;]*;//' overload a_home_that_refused_a_row
 limits=no_span_brings_more_than_a_replica_named
 mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(named_us\)/cold_us/' replica_limits $limits
--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dunlinspring::forward::max_wait::{wait_for_load, wait_for_room};
+use dunlinspring::forward::max_wait::{capacity_wait, load_wait};
 
 const LOAD: Duration = Duration::from_millis(8_600);
 
@@ -12,8 +12,8 @@
 
 #[test]
 fn a_request_whose_time_ends_before_the_load_is_rejected_at_once() {
-    assert_eq!(wait_for_load(LOAD, seconds(0), seconds(5)), seconds(0));
-    assert_eq!(wait_for_load(LOAD, seconds(0), seconds(10)), seconds(0));
+    assert_eq!(load_wait(LOAD, seconds(0), seconds(5)), seconds(0));
+    assert_eq!(load_wait(LOAD, seconds(0), seconds(10)), seconds(0));
 }
 
 /// Found on a site with more models than places: requests with 15 seconds were given up
@@ -22,16 +22,16 @@
 fn a_request_with_time_enough_waits_until_the_load_should_be_over() {
     for waited in [0, 4, 8, 10] {
         let left = seconds(15 - waited);
-        let wait = wait_for_load(LOAD, seconds(waited), left);
+        let wait = load_wait(LOAD, seconds(waited), left);
         assert!(wait > seconds(waited), "given up after {waited} s");
     }
-    assert!(wait_for_load(LOAD, seconds(11), seconds(4)) < seconds(11));
+    assert!(load_wait(LOAD, seconds(11), seconds(4)) < seconds(11));
 }
 
 #[test]
 fn room_is_waited_for_while_another_entry_could_still_be_in_time() {
     assert_eq!(
-        wait_for_room(Duration::from_millis(800), 0.25),
+        capacity_wait(Duration::from_millis(800), 0.25),
         Duration::from_millis(200)
     );
 }
--- a/tests/regions.rs
+++ b/tests/regions.rs
@@ -5,19 +5,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunlinspring::consensus::directory::ReplicaRecord;
-use dunlinspring::forward::locality::{AllowedRegions, EntryPlace, HallDistance};
+use dunlinspring::forward::locality::{AllowedRegions, EntryLocation, HallDistance};
 use dunlinspring::forward::need::ChoicePolicy;
-use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaBook};
+use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaTable};
 use dunlinspring::ids::{HallName, RegionName, ReplicaId, ServiceName};
 use support_replicas::ready_replica;
 
 /// Halls `a1` and `a2` in region `a`, `b1` in region `b`; `c1` is in none that is known.
 const HALLS: [(&str, &str); 3] = [("a1", "a"), ("a2", "a"), ("b1", "b")];
 
-fn place() -> EntryPlace {
+fn place() -> EntryLocation {
     let halls = HALLS.iter();
     let regions = halls.map(|(hall, region)| (HallName::from(*hall), RegionName::from(*region)));
-    EntryPlace::new(HallName::from("a1"), regions.collect())
+    EntryLocation::new(HallName::from("a1"), regions.collect())
 }
 
 fn regions(names: &[&str]) -> BTreeSet<RegionName> {
@@ -42,9 +42,9 @@
 }
 
 fn choose(halls: &[&str], allowed: AllowedRegions) -> Choice {
-    let mut book = ReplicaBook::new(ChoicePolicy::default(), place());
+    let mut book = ReplicaTable::new(ChoicePolicy::default(), place());
     let records = halls.iter().map(|hall| record(hall));
-    book.follow(0, &records.collect());
+    book.update_records(0, &records.collect());
     book.choose(0, &need(allowed), &BTreeSet::new(), EngineBounds::default())
 }
 
@@ -89,11 +89,14 @@
     );
     let place = place();
     let distance = |hall: &str| place.distance(&HallName::from(hall));
-    assert_eq!(distance("a1"), HallDistance::Here);
-    assert_eq!(distance("a2"), HallDistance::Region);
-    assert_eq!(distance("b1"), HallDistance::Away);
-    assert_eq!(distance("c1"), HallDistance::Away);
+    assert_eq!(distance("a1"), HallDistance::SameHall);
+    assert_eq!(distance("a2"), HallDistance::SameRegion);
+    assert_eq!(distance("b1"), HallDistance::OtherRegion);
+    assert_eq!(distance("c1"), HallDistance::OtherRegion);
     // Without regions all halls are as near as they were.
-    let flat = EntryPlace::new(HallName::from("x"), BTreeMap::new());
-    assert_eq!(flat.distance(&HallName::from("y")), HallDistance::Region);
+    let flat = EntryLocation::new(HallName::from("x"), BTreeMap::new());
+    assert_eq!(
+        flat.distance(&HallName::from("y")),
+        HallDistance::SameRegion
+    );
 }
--- a/tests/separation.rs
+++ b/tests/separation.rs
@@ -1,6 +1,6 @@
 //! Which homes of a model are for its long answers.
 
-use dunlinspring::forward::answer_separation::{AnswerMix, HomeRange};
+use dunlinspring::forward::answer_separation::{AnswerStats, HomeRange};
 use dunlinspring::forward::replica_table::Need;
 
 fn need(prompt_tokens: u64, answer_tokens: u64) -> Need {
@@ -12,11 +12,11 @@
 }
 
 /// One long answer of `every` requests, whose prompts are equally long.
-fn mix(every: usize) -> AnswerMix {
-    let mut mix = AnswerMix::default();
+fn mix(every: usize) -> AnswerStats {
+    let mut mix = AnswerStats::default();
     for number in 0..400 {
         let answer_tokens = if number % every == 0 { 170 } else { 25 };
-        mix.note(&need(2_000, answer_tokens));
+        mix.observe(&need(2_000, answer_tokens));
     }
     mix
 }
@@ -36,28 +36,28 @@
 fn nothing_is_set_apart_where_long_answers_are_many_or_all_are_alike() {
     let long = need(2_000, 170);
     assert_eq!(mix(2).homes_for(&long, 12), HomeRange::All);
-    let mut alike = AnswerMix::default();
+    let mut alike = AnswerStats::default();
     for _ in 0..400 {
-        alike.note(&long);
+        alike.observe(&long);
     }
     assert_eq!(alike.homes_for(&long, 12), HomeRange::All);
 }
 
 #[test]
 fn an_entry_that_has_seen_little_sets_nothing_apart() {
-    let mut mix = AnswerMix::default();
+    let mut mix = AnswerStats::default();
     assert_eq!(mix.homes_for(&need(0, 0), 12), HomeRange::All);
     for _ in 0..10 {
-        mix.note(&need(2_000, 25));
+        mix.observe(&need(2_000, 25));
     }
     assert_eq!(mix.homes_for(&need(2_000, 170), 12), HomeRange::All);
 }
 
 #[test]
 fn requests_without_tokens_are_borne() {
-    let mut mix = AnswerMix::default();
+    let mut mix = AnswerStats::default();
     for _ in 0..100 {
-        mix.note(&need(0, 0));
+        mix.observe(&need(0, 0));
     }
     assert_eq!(mix.homes_for(&need(0, u64::MAX), 12), HomeRange::All);
 }
--- a/tests/support_place/mod.rs
+++ b/tests/support_place/mod.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use dunlinspring::forward::locality::EntryPlace;
+use dunlinspring::forward::locality::EntryLocation;
 use dunlinspring::ids::HallName;
 
 /// An entry in a hall of a site without regions.
-pub fn flat_place(hall: &str) -> EntryPlace {
-    EntryPlace::new(HallName::from(hall), BTreeMap::new())
+pub fn flat_place(hall: &str) -> EntryLocation {
+    EntryLocation::new(HallName::from(hall), BTreeMap::new())
 }
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -10,7 +10,7 @@
 use dunlinspring::consensus::directory::{BeatNews, ReplicaPhase, ReplicaRecord};
 use dunlinspring::consensus::state::{Change, Command, SiteState};
 use dunlinspring::forward::need::ChoicePolicy;
-use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaBar, ReplicaBook};
+use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaTable, SendBlock};
 use dunlinspring::ids::{HallName, ReplicaId, ReplicaLife, ServiceName};
 use dunlinspring::placement::rate_limit::{PERMIT_MS, RateLimiter};
 use dunlinspring::placement::replica_rates::PermitRefusal;
@@ -184,7 +184,7 @@
     }
 }
 
-fn choose(book: &ReplicaBook, now_ms: u64) -> Choice {
+fn choose(book: &ReplicaTable, now_ms: u64) -> Choice {
     book.choose(
         now_ms,
         &need(),
@@ -195,39 +195,40 @@
 
 #[test]
 fn an_entry_sends_to_a_cold_replica_by_the_leaders_permit_only() {
-    let mut book = ReplicaBook::new(ChoicePolicy::default(), flat_place("hall"));
+    let mut book = ReplicaTable::new(ChoicePolicy::default(), flat_place("hall"));
     let id = ReplicaId::from("r");
-    book.follow_services(&BTreeMap::from([(
+    book.update_services(&BTreeMap::from([(
         ServiceName::from("plain"),
         cold_service(),
     )]));
-    book.follow(1_000, &BTreeMap::from([(id.clone(), record(2_000, 1))]));
+    book.update_records(1_000, &BTreeMap::from([(id.clone(), record(2_000, 1))]));
     // It may be asked for, but nothing leaves without an answer.
     assert_eq!(choose(&book, 1_100), Choice::Send(id.clone()));
     assert!(book.is_cold(1_100, &id));
     let barred = book.claim(1_100, &life(), None);
-    assert_eq!(barred, Err(ReplicaBar::RateLimited { left_ms: 0 }));
-    book.pace_mut().refuse(1_100, 1_100, &id, wait(140));
+    assert_eq!(barred, Err(SendBlock::RateLimited { left_ms: 0 }));
+    book.permit_pace_mut().refuse(1_100, 1_100, &id, wait(140));
     assert_eq!(choose(&book, 1_200), Choice::RateLimited(40));
-    assert_eq!(book.room_in_ms(1_200, &need()), Some(40));
+    assert_eq!(book.capacity_in_ms(1_200, &need()), Some(40));
     assert_eq!(choose(&book, 1_240), Choice::Send(id.clone()));
     // By time, or by its own word, it is warm.
     assert!(book.claim(3_000, &life(), None).is_ok());
-    book.follow(1_300, &BTreeMap::from([(id.clone(), record(0, 2))]));
+    book.update_records(1_300, &BTreeMap::from([(id.clone(), record(0, 2))]));
     assert!(book.claim(1_300, &life(), None).is_ok());
     // One that could not be reached may be another one by now, and so may one that nobody
     // has heard for long.
-    book.suspect_start(5_000, &id);
+    book.suspect_restart(5_000, &id);
     assert!(book.claim(5_001, &life(), None).is_err());
     assert!(book.claim(8_000, &life(), None).is_ok());
     let silent = ReplicaRecord {
         phase: ReplicaPhase::Silent,
         ..record(0, 2)
     };
-    book.follow(9_000, &BTreeMap::from([(id.clone(), silent)]));
+    book.update_records(9_000, &BTreeMap::from([(id.clone(), silent)]));
     assert!(book.is_cold(60_000, &id));
     // Refused, it is left alone as the others are.
-    book.pace_mut().refuse(60_000, 60_000, &id, wait(300));
+    book.permit_pace_mut()
+        .refuse(60_000, 60_000, &id, wait(300));
     assert_eq!(choose(&book, 60_299), Choice::RateLimited(1));
     book.prune(60_100);
     assert_eq!(choose(&book, 60_200), Choice::RateLimited(100));
