--- a/src/forward/replica_state.rs
+++ b/src/forward/replica_state.rs
@@ -1,32 +1,32 @@
-//! What an entry notes of one replica: its own requests there, what it and others told, and
-//! how it answered.
+//! State that an entry keeps of one replica: its own requests there, the load reported by the
+//! replica and by the leader, and how the replica responded.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use crate::consensus::directory::ReplicaRecord;
 use crate::forward::need::{Need, URGENCY_LEVELS};
 
-/// Weight of the newest answer in a pace.
+/// Weight of the newest response in the moving average of the time per token.
 const PREFILL_WEIGHT: f64 = 0.2;
-/// Weight of the newest answer in the best pace, where it is better.
+/// Weight of the newest response in the best time per token, if it is better.
 const BEST_FALL_WEIGHT: f64 = 0.3;
-/// The same where it is worse: most are so as others had requests waiting.
+/// The same if it is worse: most worse values come from queues of other entries.
 const BEST_RISE_WEIGHT: f64 = 0.03;
-/// Part of the time limit that the predicted beginning may take.
+/// Fraction of the time limit that the predicted time to the first event may take.
 pub(super) const START_FRACTION: f64 = 0.6;
-/// Weight of the newest pause between two events in a replica's pauses: about a
-/// tenth of a second at the rate of a few streams.
+/// Weight of the newest gap in the moving average of event gaps: covers about a tenth of a second
+/// at the event rate of a few streams.
 const GAP_WEIGHT: f64 = 0.15;
-/// Time by which what was seen of pauses has faded, in milliseconds.
+/// Age at which observed event gaps have faded out, in milliseconds.
 const GAP_FADE_MS: u64 = 1_000;
-/// How long the leader's word on crowded replicas counts, in milliseconds: two more reports
+/// How long the leader's totals of queued tokens are valid, in milliseconds: two further reports
 /// may go unanswered.
 pub(super) const CONGESTION_TTL_MS: u64 = 1_500;
 
-/// What a host tells on which work takes as long as usual.
+/// Work duration in percent that a host reports under normal conditions.
 const BASELINE_PERCENT: u32 = 100;
 
-/// The load that a replica told on an answer, without this entry's own requests.
+/// Load that a replica reported in a response, without this entry's own requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReportedLoad {
     pub(super) others_waiting: f64,
@@ -34,12 +34,12 @@
     pub(super) at_ms: u64,
 }
 
-/// Milliseconds until an answer begins, for each token that is read before.
+/// Milliseconds until a response starts, for each token to be processed before it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PrefillTime {
-    /// As answers show it: the higher, the more others have waiting unseen.
+    /// Moving average; rises with the queues of other entries, which this entry does not see.
     pub(super) smoothed_ms: Option<f64>,
-    /// As answers show it at their best: of the replica alone.
+    /// Best value of recent responses; shows the replica alone.
     pub(super) best_ms: Option<f64>,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// What other entries have waiting at a replica, as the leader told it.
+/// Tokens of other entries queued at a replica, as reported by the leader.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct CongestionSample {
     pub(super) tokens: u64,
@@ -72,8 +72,8 @@
     }
 }
 
-/// The pauses between events of a replica's streams, as this entry sees them. All
-/// streams of an engine share its steps, so that few of them tell of all.
+/// Gap between stream events of a replica, as this entry sees it. All streams of an engine advance
+/// in the same steps, so a few of them show the gap of all.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct EventGap {
     smoothed_ms: f64,
@@ -87,14 +87,14 @@
         self.at_ms = now_ms;
     }
 
-    /// The pause to be expected now: what was seen fades where nothing is seen.
+    /// Returns the expected gap now. Observations fade with time.
     pub(super) fn at(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms);
         self.smoothed_ms * (1.0 - age_ms as f64 / GAP_FADE_MS as f64).max(0.0)
     }
 }
 
-/// How long work takes on a replica's host, by its newest word.
+/// Duration of work on a replica's host, as last reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct HostSlowdown {
     percent: u32,
@@ -107,7 +107,8 @@
         self.at_ms = now_ms;
     }
 
-    /// How much longer than usual, as a part of the usual; of an old word so much less.
+    /// Excess over the normal duration, as a fraction of it. It halves every `half_ms` since the
+    /// report.
     pub(super) fn excess(&self, now_ms: u64, half_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let reported = f64::from(self.percent.saturating_sub(BASELINE_PERCENT)) / 100.0;
@@ -119,12 +120,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct ReplicaState {
     pub(super) record: ReplicaRecord,
-    /// Own requests that have no first byte yet.
+    /// Own requests whose response has not started.
     pub(super) waiting: u32,
-    /// Own requests whose answer has begun.
+    /// Own requests whose response has started.
     pub(super) running: u32,
     pub(super) tokens: u64,
-    /// Tokens of own requests that wait, by urgency.
+    /// Tokens of own waiting requests, by urgency.
     pub(super) waiting_tokens: [u64; URGENCY_LEVELS],
     pub(super) prefill: PrefillTime,
     pub(super) reported: ReportedLoad,
@@ -163,8 +164,8 @@
         }
     }
 
-    /// The replica has started again under its id: nothing of the incarnation before tells of this
-    /// one, but for the requests that this entry still has there.
+    /// Resets the state after a restart of the replica under the same id. Only this entry's
+    /// outstanding requests are kept.
     pub(super) fn restart(&mut self, record: &ReplicaRecord) {
         *self = Self {
             waiting: self.waiting,
@@ -181,16 +182,15 @@
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Tokens that are read before the answer to a request can begin, its own
-    /// among them.
+    /// Tokens to be processed before the response to a request can start, including its own.
     pub(super) fn tokens_ahead(&self, need: &Need, now_ms: u64, fade_ms: u64) -> u64 {
         let urgency = need.urgency.min(URGENCY_LEVELS - 1);
         let own: u64 = self.waiting_tokens[..=urgency].iter().sum();
         own + need.tokens + self.others(need, now_ms, fade_ms)
     }
 
-    /// Tokens that others have waiting, by the newest word: what the replica told of all its
-    /// requests, or what the leader told of all entries.
+    /// Tokens queued by other entries, from the newer source: the load in the replica's responses,
+    /// or the leader's totals.
     fn others(&self, need: &Need, now_ms: u64, fade_ms: u64) -> u64 {
         match self.congestion.at(now_ms) {
             tokens if tokens > 0 && self.congestion.at_ms >= self.reported.at_ms => tokens,
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Whether an answer is likely to begin in time, at so many milliseconds a token.
+    /// Whether a response is likely to start in time, at the given milliseconds per token.
     pub(super) fn starts_in_time(
         &self,
         need: &Need,
@@ -210,7 +210,8 @@
         ms_per_token: f64,
     ) -> bool {
         let tokens_ahead = self.tokens_ahead(need, now_ms, fade_ms);
-        // Without word of others it has to be tried: its pace is learned by answers alone.
+        // A replica without a visible queue has to be tried: its time per token is learned only
+        // from responses.
         let idle = self.waiting == 0 && self.congestion.at(now_ms) == 0;
         let predicted_ms = ms_per_token * tokens_ahead as f64;
         idle || need.model.is_none() || predicted_ms <= need.limit_ms as f64 * START_FRACTION
@@ -220,7 +221,7 @@
         self.record.models.values().map(BTreeSet::len).sum()
     }
 
-    /// What is left of the told load: it fades with its age.
+    /// Returns the reported load, faded by its age.
     fn reported_load(&self, now_ms: u64, fade_ms: u64) -> ReportedLoad {
         let age_ms = now_ms.saturating_sub(self.reported.at_ms);
         let left = 1.0 - (age_ms as f64 / fade_ms.max(1) as f64).min(1.0);
@@ -231,7 +232,8 @@
         }
     }
 
-    /// Requests that wait, and that run: its own and what was told of others.
+    /// Returns the numbers of waiting and running requests: its own and those reported of other
+    /// entries.
     pub(super) fn loads(&self, now_ms: u64, fade_ms: u64) -> (f64, f64) {
         let reported = self.reported_load(now_ms, fade_ms);
         let waiting = f64::from(self.waiting) + reported.others_waiting;
--- a/src/forward/replica_table.rs
+++ b/src/forward/replica_table.rs
@@ -1,8 +1,8 @@
-//! What an entry knows of the replicas, and the choice among them.
+//! State that an entry keeps of each replica, and the choice of a replica for a request.
 //!
-//! Pure: the caller passes in the time. A replica's load is what it told last on
-//! an answer, corrected by this entry's own requests since; what others sent
-//! fades with the report's age.
+//! Pure: the caller passes in the time. A replica's load is the last one it reported in a response,
+//! corrected by this entry's own requests since then; the part caused by other entries fades with
+//! the age of the report.
 
 mod blocks;
 
@@ -25,39 +25,39 @@
 use crate::table::configuration::WarmupSpec;
 pub use blocks::SendBlock;
 
-/// The choice.
+/// Result of choosing a replica for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// This replica.
+    /// Send to this replica.
     Send(ReplicaId),
-    /// A replica holds the model and has room, but needs the adapter first.
+    /// This replica holds the model and has free capacity, but must load the adapter first.
     Fetch(ReplicaId),
-    /// All that could take it are full.
+    /// All candidates are at capacity.
     Full,
-    /// Replicas hold the model and have room, but none has the adapter or gets it now.
+    /// Replicas with free capacity hold the model, but none has the adapter or can load it now.
     NoAdapter,
-    /// All that could take it asked to be left alone; the first one for so much longer, in
-    /// milliseconds.
+    /// All candidates asked for a backoff; the first one ends after this many milliseconds.
     Paused(u64),
-    /// All that could take it take few requests, and have got them; the first one may take
-    /// another in so many milliseconds.
+    /// All candidates are rate limited and have used up their rate; the first one may take another
+    /// request after this many milliseconds.
     RateLimited(u64),
-    /// All that could take it are in evacuated halls, and the leader brings no others.
+    /// All candidates are in evacuated data halls, and the leader does not load the model
+    /// elsewhere.
     Evacuated,
     /// No replica holds the model.
     Absent,
 }
 
-/// Bounds of a service's engines; all zero for plain services.
+/// Limits of a service's engines; all zero for services without engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineBounds {
-    /// Most tokens that a replica holds.
+    /// Tokens that fit into a replica's memory; 0 for no limit.
     pub memory: u64,
-    /// Most adapters that a replica holds.
+    /// Adapters that a replica holds at once.
     pub adapter_slots: u32,
 }
 
-/// A load that a replica told on an answer.
+/// Load that a replica reported in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
     /// Requests that run.
@@ -66,12 +66,12 @@
     pub waiting: u32,
     /// Requests that may run at once.
     pub slots: u32,
-    /// How long work takes on its host now, in hundredths of the usual; none where it does not
-    /// tell.
+    /// Duration of work on the replica's host, in percent of the usual duration; `None` if not
+    /// reported.
     pub work_percent: Option<u32>,
 }
 
-/// Reads a load header: running, waiting, slots, and how long work takes.
+/// Parses a load header: running, waiting, slots and, optionally, the duration of work in percent.
 pub fn parse_load(text: &str) -> Option<LoadReport> {
     let mut parts = text.split(',').map(|part| part.trim().parse::<u32>());
     let mut next = || parts.next()?.ok();
@@ -85,47 +85,48 @@
     })
 }
 
-/// How a try at a replica ended.
+/// Result of one attempt, as it affects the replica's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// A proper answer.
+    /// A valid response.
     Good,
-    /// The replica said that it is full.
+    /// The replica reported that it is full.
     Full,
-    /// It failed: an error of its own, bytes that are no answer, or silence.
+    /// A server error, a malformed response, or no response in time.
     Failed,
-    /// It could not be reached.
+    /// No connection could be opened.
     Unreached,
-    /// Nothing is said of the replica: the caller left, or time ran out.
+    /// Says nothing about the replica: the client disconnected, or the request ran out of time.
     Neutral,
 }
 
-/// What an entry has come to believe of a replica.
+/// A replica that is ejected: it is skipped for a while, after failures.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ejection {
-    /// The replica.
+    /// The ejected replica.
     pub replica: ReplicaId,
-    /// Its failure rate, from 0 to 1.
+    /// Failure rate of the replica, from 0 to 1.
     pub failure_rate: f64,
-    /// It is passed over for so long, in milliseconds.
+    /// Length of the ejection, in milliseconds.
     pub duration_ms: u64,
-    /// How it failed last.
+    /// Result of the last attempt.
     pub end: AttemptResult,
 }
 
-/// Part of the time limit from which a predicted beginning is told to the leader.
+/// Fraction of the time limit from which the predicted time to the first event triggers a report of
+/// queued tokens to the leader.
 const CONGESTION_FRACTION: f64 = 0.3;
-/// Replicas that one log line describes.
+/// Replicas described in one log line.
 const MAX_DESCRIBED_REPLICAS: usize = 4;
-/// Shared starts remembered for each replica.
+/// Shared prompt prefixes remembered for each replica.
 const MAX_PREFIXES: usize = 256;
-/// Weight of the newest outcome in the failure rate.
+/// Weight of the newest attempt in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// Failure rate from which a replica is passed over for a while.
+/// Failure rate from which a replica is ejected.
 const EJECT_FAILURE_RATE: f64 = 0.55;
-/// How long a replica is passed over for adapters after a refusal, in milliseconds.
+/// How long no adapter is requested on a replica after the leader refused one, in milliseconds.
 const FETCH_REFUSED_MS: u64 = 500;
-/// How long a replica that said so is taken for full, in milliseconds.
+/// How long a replica that reported so is treated as full, in milliseconds.
 const FULL_BACKOFF_MS: u64 = 100;
 
 /// All replicas that an entry knows.
@@ -136,26 +137,26 @@
     states: BTreeMap<ReplicaId, ReplicaState>,
     new_ejections: Vec<Ejection>,
     answer_stats: BTreeMap<ServiceName, AnswerStats>,
-    /// Over the replicas of a service, for those of which nothing is known.
+    /// Per service, for replicas without measurements of their own.
     prefill_times: BTreeMap<ServiceName, PrefillTime>,
-    /// Until when the leader's word on crowded replicas counts.
+    /// Until when the leader's figures on congested replicas are valid.
     congestion_until_ms: u64,
-    /// What replicas asked for in their answers.
+    /// Backoff and shutdown that replicas announced in responses.
     backoffs: BackoffBook<ReplicaId>,
-    /// Which replicas warm up.
+    /// Which replicas are warming up.
     warm_ups: WarmupBook<ReplicaId>,
-    /// Which replicas name a limit.
+    /// Which replicas advertise a rate limit.
     limits: LimitedPeers,
-    /// When permits for those that take few requests may be asked for.
+    /// When permits for rate-limited replicas may be requested.
     permit_pace: PermitPace<ReplicaId>,
-    /// Services whose replicas bear fewer requests while they warm up.
+    /// Services whose replicas take fewer requests while they warm up.
     warm_up_specs: BTreeMap<ServiceName, WarmupSpec>,
-    /// Data halls whose replicas are to get nothing.
+    /// Data halls to whose replicas nothing is sent.
     evacuated: BTreeSet<HallName>,
 }
 
 impl ReplicaTable {
-    /// An empty book of an entry at a place.
+    /// Creates an empty table for an entry at the given location.
     pub fn new(policy: ChoicePolicy, location: EntryLocation) -> Self {
         Self {
             policy,
@@ -174,12 +175,13 @@
         }
     }
 
-    /// What it has come to believe since the last call, to be logged.
+    /// Returns the ejections since the last call, to be logged.
     pub fn take_ejections(&mut self) -> Vec<Ejection> {
         std::mem::take(&mut self.new_ejections)
     }
 
-    /// Takes over the records that are in force.
+    /// Replaces the replica records by those of the log and drops replicas that are gone. A replica
+    /// that restarted under its id begins with fresh state.
     pub fn update_records(&mut self, now_ms: u64, records: &BTreeMap<ReplicaId, ReplicaRecord>) {
         self.states.retain(|id, _| records.contains_key(id));
         for (id, record) in records {
@@ -202,7 +204,7 @@
         }
     }
 
-    /// What own requests have waiting, by replica.
+    /// Returns the prompt and answer tokens of this entry's waiting requests, by replica.
     pub fn queued_tokens(&self) -> WaitingTokens {
         let tokens = |state: &ReplicaState| state.waiting_tokens.iter().sum::<u64>();
         let all = self.states.iter().map(|(id, state)| (id, tokens(state)));
@@ -210,7 +212,8 @@
         waiting.map(|(id, tokens)| (id.clone(), tokens)).collect()
     }
 
-    /// Takes the leader's word on crowded replicas; `own` is what this entry had told.
+    /// Records the leader's totals of queued tokens at congested replicas. `own` is the part that
+    /// this entry had reported, which is subtracted.
     pub fn update_congestion(
         &mut self,
         now_ms: u64,
@@ -227,8 +230,8 @@
         }
     }
 
-    /// Whether a request that was just sent makes a replica worth telling of: its answer
-    /// begins late, or nothing is known of the replica yet.
+    /// Whether a request that was just sent makes an early report to the leader worthwhile: its
+    /// response is predicted to start late, or the replica has no measurements yet.
     pub fn causes_congestion(&self, id: &ReplicaId, need: &Need, tokens_ahead: u64) -> bool {
         let state = self.states.get(id).filter(|_| need.model.is_some());
         state.is_some_and(|state| match state.prefill.smoothed_ms {
@@ -237,13 +240,13 @@
         })
     }
 
-    /// The replicas that are known.
+    /// Returns the ids of all known replicas.
     pub fn ids(&self) -> impl Iterator<Item = &ReplicaId> {
         self.states.keys()
     }
 
-    /// When a replica is likely to have room for a need, in milliseconds from now;
-    /// none where no replica holds what is needed.
+    /// Estimates when a replica will have free capacity for a request, in milliseconds from now.
+    /// `None` if no replica can serve it, or all that could are draining or evacuated.
     pub fn capacity_in_ms(&self, now_ms: u64, need: &Need) -> Option<u64> {
         let fade_ms = self.policy.fade_ms;
         let candidates = self
@@ -274,8 +277,8 @@
         Some(least as u64)
     }
 
-    /// What is believed of the replicas that could meet a need, for a log line:
-    /// load, predicted beginning, the age of the report, and what is against them.
+    /// Describes the replicas that could serve a request, for a log line: load, predicted start of
+    /// the response, age of the load report, and what blocks them.
     pub fn describe(&self, now_ms: u64, need: &Need) -> String {
         let fade_ms = self.policy.fade_ms;
         let candidates = self
@@ -291,8 +294,8 @@
             let gap_ms = state.event_gap.at(now_ms);
             let others = state.congestion.at(now_ms);
             format!(
-                "{} waiting {waiting:.1} running {running:.1} of {} begins in {predicted_ms:.0} ms, \
-                 others have {others} tokens waiting, pauses {gap_ms:.0} ms, told {age_ms} ms ago, {:?}, passed over for {ejected_ms} ms, {}, adapter {}",
+                "{} waiting {waiting:.1} running {running:.1} of {} starts in {predicted_ms:.0} ms, \
+                 others queued {others} tokens, event gap {gap_ms:.0} ms, load {age_ms} ms old, {:?}, ejected for {ejected_ms} ms, {}, adapter {}",
                 state.record.id,
                 state.slots,
                 state.record.phase,
@@ -303,8 +306,8 @@
         lines.collect::<Vec<String>>().join("; ")
     }
 
-    /// The longest time between two events that streams of a need now show, in
-    /// milliseconds; 0 where this entry has seen none lately.
+    /// Longest gap between two stream events that the replicas for a request show now, in
+    /// milliseconds; 0 if this entry has seen none recently.
     pub fn event_gap_ms(&self, now_ms: u64, need: &Need) -> f64 {
         let candidates = self
             .states
@@ -314,13 +317,13 @@
         pauses.fold(0.0, f64::max)
     }
 
-    /// The record of a replica.
+    /// Returns the record of a replica.
     pub fn record(&self, id: &ReplicaId) -> Option<&ReplicaRecord> {
         self.states.get(id).map(|state| &state.record)
     }
 
-    /// Chooses a replica for a need. `attempted` names those that this request has
-    /// tried already.
+    /// Chooses a replica for a request. `attempted` holds the replicas that this request has
+    /// already tried.
     pub fn choose(
         &self,
         now_ms: u64,
@@ -331,11 +334,11 @@
         let all = self.states.values();
         let candidates: Vec<&ReplicaState> =
             all.filter(|state| self.can_serve(state, need)).collect();
-        // Before anything that falls back on what is left: what a replica asked for holds
-        // also where it is the last one.
+        // Checked before any fallback to the remaining replicas: a backoff holds even for the last
+        // replica.
         let open = match self.unblocked(&candidates, now_ms) {
             Ok(open) => open,
-            // What a replica loads can be loaded elsewhere.
+            // A model, unlike a plain service, can be loaded in another hall.
             Err(Choice::Evacuated) if need.model.is_some() => return Choice::Absent,
             Err(choice) => return choice,
         };
@@ -349,8 +352,9 @@
         if candidates.iter().any(|state| healthy(state)) {
             candidates.retain(|state| healthy(state));
         }
-        // A replica that this request could not reach, or that failed it, is not tried again
-        // before its pause is over: with one home it would dial without end.
+        // A replica that this request could not reach, or that failed it, is not tried again while
+        // it is ejected; with a single replica the request would otherwise reconnect in a tight
+        // loop.
         candidates.retain(|state| untried(state) || healthy(state));
         candidates.retain(|state| self.has_capacity(state, need, now_ms, bounds.memory));
         let Some(best) = self.cheapest(candidates.iter().copied(), need, &reserved, now_ms) else {
@@ -370,7 +374,7 @@
             .cheapest(free.into_iter(), need, &reserved, now_ms)
             .or_else(|| self.cheapest(full.into_iter(), need, &reserved, now_ms));
         match (holder, fetcher) {
-            // A second home of an adapter is worth its load only where the first is busy.
+            // Loading the adapter on a second replica pays off only if the first holder is busy.
             (Some(holder), _) if self.is_lightly_loaded(holder, now_ms) => {
                 Choice::Send(holder.record.id.clone())
             }
@@ -387,8 +391,8 @@
         reserved: &BTreeSet<&ReplicaId>,
         now_ms: u64,
     ) -> Option<&'a ReplicaState> {
-        // Entries that know nothing of each other's requests find the same replica cheapest:
-        // each request has its own order among those that cost the same, so that they spread.
+        // Entries do not see each other's newest requests and find the same replica cheapest. A
+        // per-request hash breaks ties, so that requests spread over replicas of equal cost.
         let costs = states.map(|state| {
             let other = reserved.contains(&state.record.id);
             let other_cost = if other { self.policy.apart_cost } else { 0.0 };
@@ -399,7 +403,8 @@
         least.map(|(_, _, state)| state)
     }
 
-    /// Of the replicas that suit a need, those that are for requests of the other kind.
+    /// Returns the candidates that are reserved for requests of the other kind (long or short
+    /// answers).
     fn reserved_for_others<'a>(
         &self,
         candidates: &[&'a ReplicaState],
@@ -409,7 +414,7 @@
         let (Some(answers), Some(model)) = (answers, &need.model) else {
             return BTreeSet::new();
         };
-        // By the directory alone: other entries must come to the same order.
+        // Uses the directory alone, so that all entries compute the same order.
         let ready = |state: &&&ReplicaState| state.record.phase == ReplicaPhase::Ready;
         let ids = candidates
             .iter()
@@ -425,7 +430,8 @@
         others.map(|(_, (_, id))| id).collect()
     }
 
-    /// Whether a replica serves what is needed, where it may be served, and stays.
+    /// Whether a replica serves what the request needs, is not draining, and is in an allowed
+    /// region.
     fn can_serve(&self, state: &ReplicaState, need: &Need) -> bool {
         serves_need(state, need) && self.location.may_serve(&state.record.hall, &need.regions)
     }
@@ -459,9 +465,10 @@
         fits && quick && room && state.full_until_ms <= now_ms
     }
 
-    /// A replica's pace, or where no answer of it has come, that of its service. While the
-    /// leader tells what others have waiting it is that of the replica alone; otherwise the
-    /// others are in it.
+    /// Milliseconds until a response starts, for each token to be processed before it: measured at
+    /// this replica, or else over its service. While the leader's totals of queued tokens are
+    /// valid, this is the best value, which shows the replica alone; otherwise the smoothed value,
+    /// which includes the queues of other entries.
     fn ms_per_token(&self, state: &ReplicaState, need: &Need, now_ms: u64) -> f64 {
         let known = |prefill: &PrefillTime| match now_ms < self.congestion_until_ms {
             true => prefill.best_ms,
@@ -475,7 +482,7 @@
         known(&state.prefill).or_else(usual).unwrap_or(0.0)
     }
 
-    /// An event of a stream came so long after the one before.
+    /// Records the gap between two events of a stream.
     pub fn record_event_gap(&mut self, now_ms: u64, id: &ReplicaId, gap_ms: f64) {
         if let Some(state) = self.states.get_mut(id) {
             state.event_gap.observe(now_ms, gap_ms);
@@ -499,8 +506,8 @@
         load + distance_cost + slowdown_cost + state.failure_rate * policy.failure_cost - gain
     }
 
-    /// A request goes to a replica. Returns the tokens that are read before its
-    /// answer can begin.
+    /// Records that a request is sent to a replica. Returns the number of tokens to be processed
+    /// before its response can start.
     pub fn record_sent(&mut self, now_ms: u64, id: &ReplicaId, need: &Need) -> u64 {
         let fade_ms = self.policy.fade_ms;
         if let (Some(service), Some(_)) = (&need.service, &need.model) {
@@ -526,7 +533,7 @@
         tokens_ahead
     }
 
-    /// The answer to a request begins, `took_ms` after it was sent.
+    /// Records that the response to a request has started, `took_ms` after the request was sent.
     pub fn record_response_start(
         &mut self,
         id: &ReplicaId,
@@ -550,7 +557,7 @@
         }
     }
 
-    /// A replica told its load.
+    /// Records the load that a replica reported.
     pub fn record_load(&mut self, now_ms: u64, id: &ReplicaId, report: LoadReport) {
         if let Some(state) = self.states.get_mut(id) {
             let others = |reported: u32, own: u32| f64::from(reported.saturating_sub(own));
@@ -566,7 +573,7 @@
         }
     }
 
-    /// A request has left a replica. `begun` says whether its answer had begun.
+    /// Records the end of an attempt at a replica. `begun` is whether its response had started.
     pub fn record_end(
         &mut self,
         now_ms: u64,
@@ -605,14 +612,14 @@
         }
     }
 
-    /// A replica will not get an adapter soon.
+    /// Records that the leader will not load an adapter on a replica soon.
     pub fn record_fetch_refusal(&mut self, now_ms: u64, id: &ReplicaId) {
         if let Some(state) = self.states.get_mut(id) {
             state.fetch_refused_until_ms = now_ms + FETCH_REFUSED_MS;
         }
     }
 
-    /// A replica says that it does not hold the model or adapter.
+    /// Removes a model or adapter that a replica reported as missing from its record.
     pub fn forget_model(&mut self, id: &ReplicaId, need: &Need) {
         let state = self.states.get_mut(id);
         let (Some(state), Some(model)) = (state, &need.model) else {
@@ -631,19 +638,19 @@
     }
 }
 
-/// A replica's place in the order that a request's draw gives.
+/// Position of a replica in the pseudo-random order that the hash gives.
 fn hash_rank(id_hash: u64, id: &ReplicaId) -> u64 {
     splitmix64(id_hash ^ u64::from(crc32fast::hash(id.as_str().as_bytes())))
 }
 
-/// Spreads close numbers over the whole range: the finalizer of the generator SplitMix64.
+/// Spreads adjacent numbers over the whole range: the finalizer of the generator SplitMix64.
 fn splitmix64(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     number ^ (number >> 31)
 }
 
-/// Whether a replica holds what is needed and stays.
+/// Whether a replica serves the service and holds the model, and is not draining.
 fn serves_need(state: &ReplicaState, need: &Need) -> bool {
     let record = &state.record;
     let model = need.model.as_ref();
--- a/src/forward/replica_table/blocks.rs
+++ b/src/forward/replica_table/blocks.rs
@@ -1,5 +1,6 @@
-//! Whether a replica may be sent to: asked when it is chosen, and again right before the bytes
-//! leave. What it asked for, whether it takes few requests, and whether its data hall is open.
+//! Whether a request may be sent to a replica: checked when the replica is chosen, and again right
+//! before the request is written. Considers backoff and shutdown announced by the replica, rate
+//! limits, and evacuated data halls.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,24 +18,24 @@
 /// Why nothing may be sent to a replica now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendBlock {
-    /// An operator wants nothing sent to its data hall.
+    /// An operator evacuated its data hall.
     Evacuated,
-    /// It warms up or names a limit, and has got what it takes.
+    /// It warms up or advertises a rate limit, and no permit is available now.
     RateLimited {
-        /// Until it may be asked for again, in milliseconds.
+        /// Time until the next permit may be requested, in milliseconds.
         left_ms: u64,
     },
-    /// It asked for that itself.
+    /// The replica announced this in a response.
     Asked(SendBar),
 }
 
 impl ReplicaTable {
-    /// A replica asks to be left alone.
+    /// Records that a replica asked for a backoff.
     pub fn back_off(&mut self, now_ms: u64, id: &ReplicaId, requested: AskedPause) {
         self.backoffs.pause(now_ms, id, requested);
     }
 
-    /// A replica says that it leaves. Returns whether that is news.
+    /// Records that a replica is shutting down. Returns whether this was not known before.
     pub fn record_draining(&mut self, now_ms: u64, incarnation: &ReplicaLife) -> bool {
         let known = self.is_draining(incarnation);
         self.backoffs
@@ -42,13 +43,13 @@
         !known
     }
 
-    /// Whether a replica has said that it leaves.
+    /// Whether a replica has announced its shutdown.
     pub fn is_draining(&self, incarnation: &ReplicaLife) -> bool {
         self.backoffs.leaves(&incarnation.id, incarnation.born_ms)
     }
 
-    /// The last look, right before a request leaves for a replica; `permit` is the leader's,
-    /// where it was asked.
+    /// Makes the final check before a request is sent to a replica. `permit` is the leader's
+    /// permit, if one was requested.
     pub fn claim(
         &mut self,
         now_ms: u64,
@@ -70,7 +71,7 @@
         claimed.map_err(SendBlock::Asked)
     }
 
-    /// Whether the leader is asked for each request to a replica.
+    /// Whether each request to a replica needs a permit from the leader.
     pub fn needs_permit(&self, now_ms: u64, id: &ReplicaId) -> bool {
         self.record(id)
             .is_some_and(|record| self.is_rate_limited(now_ms, record))
@@ -80,17 +81,17 @@
         self.warms_up(now_ms, record) || self.limits.is_limited(&record.life())
     }
 
-    /// Which replicas name a limit.
+    /// Returns the rate limits that replicas advertise.
     pub fn limits(&self) -> &LimitedPeers {
         &self.limits
     }
 
-    /// The same, to be changed.
+    /// Returns the same, mutably.
     pub fn limits_mut(&mut self) -> &mut LimitedPeers {
         &mut self.limits
     }
 
-    /// Whether a replica warms up.
+    /// Whether a replica is warming up.
     pub fn is_cold(&self, now_ms: u64, id: &ReplicaId) -> bool {
         self.record(id)
             .is_some_and(|record| self.warms_up(now_ms, record))
@@ -106,13 +107,13 @@
         self.evacuated.contains(&record.hall)
     }
 
-    /// When permits for replicas that take few requests may be asked for.
+    /// Returns the limiter of permit requests, mutably.
     pub fn permit_pace_mut(&mut self) -> &mut PermitPace<ReplicaId> {
         &mut self.permit_pace
     }
 
-    /// A replica could not be reached, or broke off: it may be another one by now, that has
-    /// just started.
+    /// Records that a replica could not be reached or lost the connection: it may have restarted
+    /// and be warming up.
     pub fn suspect_restart(&mut self, now_ms: u64, id: &ReplicaId) {
         let record = self.record(id);
         let spec = record.and_then(|record| self.warm_up_specs.get(&record.service));
@@ -121,12 +122,12 @@
         }
     }
 
-    /// A request that was let through is answered, or given up.
+    /// Ends a claim: the request has its response, or was abandoned.
     pub fn release(&mut self, now_ms: u64, id: &ReplicaId, claim: SendClaim, end: ClaimEnd) {
         self.backoffs.release(now_ms, id, claim, end);
     }
 
-    /// Forgets what is known of replicas, where it says nothing any more.
+    /// Drops expired state, and the limits of replicas that have restarted since.
     pub fn prune(&mut self, now_ms: u64) {
         self.backoffs.prune(now_ms);
         self.warm_ups.prune(now_ms);
@@ -139,7 +140,7 @@
         self.limits.prune(is_over);
     }
 
-    /// Why nothing may be sent to a replica now.
+    /// Returns why nothing may be sent to a replica now, if anything blocks it.
     pub(super) fn block(&self, state: &ReplicaState, now_ms: u64) -> Option<SendBlock> {
         let record = &state.record;
         match self.backoffs.bar(now_ms, &record.id, record.born_ms) {
@@ -153,14 +154,14 @@
         }
     }
 
-    /// Takes over how replicas of services warm up.
+    /// Replaces the warm-up settings of services.
     pub fn update_services(&mut self, services: &BTreeMap<ServiceName, ServiceSpec>) {
         let specs = services.iter();
         let limited = specs.filter_map(|(name, spec)| Some((name.clone(), spec.warm_up?)));
         self.warm_up_specs = limited.collect();
     }
 
-    /// Takes over which data halls are to get nothing. Returns whether that is news.
+    /// Replaces the set of evacuated data halls. Returns whether it changed.
     pub fn update_evacuated(&mut self, evacuated: &BTreeSet<HallName>) -> bool {
         let is_news = self.evacuated != *evacuated;
         if is_news {
@@ -169,7 +170,7 @@
         is_news
     }
 
-    /// Of some replicas, those that nothing bars; else what is left to choose.
+    /// Returns the replicas that nothing blocks, or the choice that is left if all are blocked.
     pub(super) fn unblocked<'a>(
         &self,
         candidates: &[&'a ReplicaState],
@@ -190,12 +191,12 @@
     }
 }
 
-/// Of what is left to choose without another replica, and with one that is barred, what comes
-/// sooner.
+/// Combines the choice without a blocked replica with what the block allows: the one that is
+/// available earlier wins.
 fn earlier_choice(choice: Choice, block: SendBlock) -> Choice {
     use SendBlock::{Asked, Evacuated, RateLimited};
     match (choice, block) {
-        // It shows within some hundred milliseconds whether it has room.
+        // A reopening replica shows within some hundred milliseconds whether it has free capacity.
         (Choice::Full, _) | (_, Asked(SendBar::Reopening)) => Choice::Full,
         (Choice::Absent, Evacuated) => Choice::Evacuated,
         (choice, Evacuated | Asked(SendBar::Leaving)) => choice,
@@ -212,10 +213,10 @@
     use SendBlock::{Asked, Evacuated, RateLimited};
     match block {
         Some(Evacuated) => "in an evacuated hall".to_owned(),
-        Some(RateLimited { left_ms }) => format!("takes few requests, the next in {left_ms} ms"),
-        Some(Asked(SendBar::Paused { left_ms })) => format!("asked for {left_ms} ms more of pause"),
-        Some(Asked(SendBar::Reopening)) => "opens again after a pause".to_owned(),
-        Some(Asked(SendBar::Leaving)) => "says that it leaves".to_owned(),
+        Some(RateLimited { left_ms }) => format!("rate limited, next permit in {left_ms} ms"),
+        Some(Asked(SendBar::Paused { left_ms })) => format!("backing off for {left_ms} ms more"),
+        Some(Asked(SendBar::Reopening)) => "reopening after a backoff".to_owned(),
+        Some(Asked(SendBar::Leaving)) => "shutting down".to_owned(),
         None => "open".to_owned(),
     }
 }
