--- a/src/forward/request.rs
+++ b/src/forward/request.rs
@@ -1,8 +1,8 @@
-//! One request, from its route to its one final answer.
+//! Handling of one request, from its route to its one final response.
 //!
-//! After a byte has gone to a replica, a request that may not be repeated is
-//! sent again only where the answer says that it did not run. What is not known
-//! to have run or not is a 502 or 504, never a 503.
+//! Once a byte has been sent to a replica, a request that may not be repeated is resent only if the
+//! response states that it did not run. A request whose execution is unknown ends with 502 or 504,
+//! never with 503.
 
 mod answer_heads;
 mod attempt_guard;
@@ -38,45 +38,45 @@
 
 use attempt_guard::AttemptGuard;
 
-/// Largest answer that is held until it is whole, in bytes.
+/// Largest response that is buffered until it is complete, in bytes.
 const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
-/// Part of the aim after which a refused request comes back at the soonest.
+/// A refused request is told to retry no sooner than its latency target divided by this.
 const RETRY_DIVISOR: u32 = 4;
-/// Refusals by replicas that one request takes before it is refused itself.
+/// Replica refusals after which a request may still be resent.
 const MAX_REPLICA_REFUSALS: u32 = 4;
-/// Part of its time that a request waits for the first configuration.
+/// A request waits for the first configuration for its deadline divided by this, at most.
 const CONFIG_WAIT_DIVISOR: u32 = 4;
-/// Least time between two events of a stream that a stopping entry counts with, in
-/// milliseconds: what engines show that are half full.
+/// Smallest gap between two stream events that a stopping entry assumes, in milliseconds: the gap
+/// of engines at half load.
 const MIN_EVENT_GAP_MS: f64 = 50.0;
-/// How much longer than predicted a stream may last: pauses grow while demand moves.
+/// Factor on the predicted duration of a stream: gaps grow while load shifts between replicas.
 const STREAM_TIME_FACTOR: f64 = 2.0;
-/// When a request comes back whose replicas are all in evacuated halls.
+/// Retry time if all replicas are in evacuated data halls.
 const EVACUATED_RETRY: Duration = Duration::from_millis(1_000);
-/// Time that is left for a request to be worth sending.
+/// A request with less time left than this is not sent.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
-/// How a try at one replica ended.
+/// Outcome of an attempt at one replica.
 enum AttemptOutcome {
-    /// The client has its answer.
+    /// The response was sent to the client, or the client disconnected.
     Answered(AfterResponse),
-    /// The replica did not run it.
+    /// The replica did not run the request.
     NotRun,
-    /// The replica does not hold what is asked for, or is another one.
+    /// The replica does not hold the model or adapter, or is another instance than expected.
     Misplaced,
     /// Nothing was sent.
     NotSent,
-    /// It may have run; the client has nothing yet.
+    /// The request may have run; nothing was sent to the client.
     Unknown,
-    /// It may have run; the client has a part of the answer.
+    /// The request may have run; a part of the response was sent to the client.
     PartlyAnswered,
-    /// The replica was too slow for a request that may be repeated.
+    /// No response, or no complete one, arrived in time.
     TimedOut,
-    /// Nothing was sent: the caller may not act any more.
+    /// Nothing was sent: the caller is no longer authorized.
     CallerRefused(CallerRefusal),
 }
 
-/// Answers one request.
+/// Handles one request.
 pub async fn answer(
     core: &Rc<EntryCore>,
     request: &ClientRequest,
@@ -105,20 +105,19 @@
     forwarded.run(writer).await
 }
 
-/// The host that is asked for, without a port.
+/// Returns the requested host without its port.
 fn request_host(headers: &[head::Header]) -> &str {
     let host = head::find(headers, "host").unwrap_or_default();
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
-/// How long the client will wait, by its own word, in milliseconds.
+/// Returns the deadline that the client set in its header, in milliseconds.
 fn request_deadline_ms(core: &EntryCore, request: &ClientRequest) -> Option<u64> {
     let deadline = head::find(&request.head.headers, core.names.deadline_ms)?;
     deadline.trim().parse().ok()
 }
 
-/// How long a request waits for the first configuration of an entry that has just
-/// started.
+/// How long a request waits for the first configuration of an entry that has just started.
 fn config_wait(core: &EntryCore, request: &ClientRequest) -> Duration {
     let longest = core.config_wait();
     let part = request_deadline_ms(core, request)
@@ -126,44 +125,44 @@
     part.map_or(longest, |part| part.min(longest))
 }
 
-/// A number drawn for a request by its id, so that a resend takes the same way.
+/// Hash of a request's id, so that a resend makes the same choices.
 fn id_hash(id: &str) -> u64 {
     u64::from(crc32fast::hash(id.as_bytes()))
 }
 
-/// One request on its way.
+/// One request being forwarded.
 struct ForwardedRequest<'a> {
     core: &'a Rc<EntryCore>,
     request: &'a ClientRequest,
     routing: &'a Routing,
     route: &'a RouteSpec,
     caller: Option<CallerIdentity>,
-    /// Units of its account's quota that are paid for a run that has not begun.
+    /// Units of the account's quota that are paid for a run that has not begun.
     paid: u64,
     id: String,
     need: Need,
     bounds: EngineBounds,
-    /// Tokens in one event of a stream; 0 where the service has no engines.
+    /// Tokens in one event of a stream; 0 if the service has no engines.
     event_tokens: u32,
-    /// When it has to be over, by [`clock::monotonic_ms`].
+    /// Deadline of the request, on the clock of [`clock::monotonic_ms`].
     until_ms: u64,
     attempted: BTreeSet<ReplicaId>,
-    /// Replicas that may have run it.
+    /// Attempts that may have run the request.
     runs: u32,
     refusals: u32,
     event_buffer: EventBuffer,
     log: RequestLog,
-    /// Its name, once somebody needed it.
+    /// Digest of the content, computed on first use.
     content: Option<ContentDigest>,
-    /// Its turn, where its content is suspect.
+    /// Lease to run suspect content.
     lease: Option<SuspectLeaseGuard>,
-    /// The leader's permit to send it, where the chosen replica takes few requests.
+    /// The leader's permit, if the chosen replica is rate limited.
     permit: Option<RatePermit>,
-    /// Where it was sent, while it may run there.
+    /// Where the request was sent, while it may still run there.
     sent: Option<SentTo>,
-    /// What is being found out of a replica that broke off under it.
+    /// Investigation of the replica that lost the connection during the last run.
     investigation: Option<Rc<CrashInvestigation>>,
-    /// Replicas where other suspects run; passed as well.
+    /// Replicas that run other suspect contents; also excluded from the choice.
     shared_with_suspects: BTreeSet<ReplicaId>,
 }
 
@@ -289,7 +288,7 @@
         }
     }
 
-    /// Pays for one run, where its account has a quota and nothing is paid yet.
+    /// Pays for one run, if the account has a quota and nothing is paid yet.
     async fn pay(&mut self) -> Result<(), QuotaRefusal> {
         let Some(caller) = self.caller.as_ref().filter(|_| self.paid == 0) else {
             return Ok(());
@@ -304,7 +303,7 @@
         Ok(())
     }
 
-    /// Gives back what is paid for a run that has not begun.
+    /// Refunds what was paid for a run that has not begun.
     fn refund(&mut self) {
         let paid = std::mem::take(&mut self.paid);
         if let (Some(caller), true) = (&self.caller, paid > 0) {
@@ -312,8 +311,8 @@
         }
     }
 
-    /// Whether this entry stops, and would have to cut the stream off: at the pace of
-    /// others it might last for longer than the entry does.
+    /// Whether this entry is stopping and the stream would probably last longer than the entry, at
+    /// the event gap that other streams show.
     fn would_outlive_entry(&self) -> bool {
         let Some(left) = self.core.time_to_end() else {
             return false;
@@ -354,7 +353,7 @@
         spent
     }
 
-    /// The final answer of a request that no replica has answered.
+    /// Sends the final response of a request that no replica completed.
     async fn give_up(&mut self, refusal: Refusal, writer: &mut ClientWriter) -> AfterResponse {
         if writer.has_begun() {
             self.log.set_end(Outcome::Cut, 0, "broken off midway");
@@ -385,16 +384,16 @@
         finish(writer, &bytes, close).await
     }
 
-    /// When a refused request is worth sending again.
+    /// Returns when it is worth sending a refused request again.
     fn retry_after(&self, refusal: Refusal) -> Duration {
         match refusal {
             Refusal::Absent => self.load_time(),
             Refusal::Evacuated => EVACUATED_RETRY,
             // Another entry takes it at once.
             Refusal::Stopping => Duration::ZERO,
-            // Until an operator changes that.
+            // Only an operator can change this.
             Refusal::Quarantined | Refusal::NoRegion => Duration::from_millis(BARRED_RETRY_MS),
-            // About as long as the other attempt takes.
+            // The other attempt takes about this long.
             Refusal::Suspect => self.aim(),
             Refusal::Quota(QuotaRefusal::Over(short)) => short,
             Refusal::Quota(QuotaRefusal::Unknown) | Refusal::Caller(_) => UNKNOWN_RETRY,
@@ -421,7 +420,7 @@
         Duration::from_millis(model.map_or(1_000, |model| model.load_ms))
     }
 
-    /// Until when a replica may begin its answer.
+    /// Time until which a replica may start its response.
     fn attempt_until_ms(&self) -> u64 {
         let more = self.route.is_repeatable() && self.runs + 1 < self.route.attempts;
         let quick_ms = clock::monotonic_ms() + self.route.aim_ms * 2;
@@ -461,8 +460,8 @@
             core.pool.borrow_mut().put(replica, connection);
             return AttemptOutcome::CallerRefused(refusal);
         }
-        // What the replica asked for may have come since it was chosen: a turn, a connection
-        // that was slow to open and a suspension lie between.
+        // The replica may have asked for a backoff since it was chosen: waiting for a suspect
+        // lease, a slow connection or a suspended process may lie between.
         let permit = self.permit.take();
         guard.permit = permit.as_ref().map(|permit| permit.stamp);
         guard.claim = match self.claim(&sent, permit) {
@@ -503,7 +502,7 @@
             }
             None => {
                 guard.end = AttemptResult::Failed;
-                self.log.note("no answer in time");
+                self.log.note("no response in time");
                 AttemptOutcome::TimedOut
             }
         }
@@ -537,7 +536,8 @@
         }
         let signed = head::find(&head.headers, core.names.stamp).is_some();
         let good = (200..300).contains(&head.status);
-        // A promise that the replica did not make must not be passed on.
+        // These statuses promise that the request did not run. Without the replica's own mark that
+        // is not known, so they must not reach the client.
         let promise = matches!(head.status, 408 | 421 | 429 | 503);
         let fails = head.status >= 500 || (good && !signed) || promise;
         if fails && (self.route.is_repeatable() || promise || good || !signed) {
@@ -554,7 +554,7 @@
         let streams = self.route.kind == RouteKind::Streaming && good;
         if writer.has_begun() && !streams {
             guard.end = AttemptResult::Failed;
-            self.log.note("the stream cannot go on there");
+            self.log.note("the replica cannot resume the stream");
             return AttemptOutcome::PartlyAnswered;
         }
         guard.begin();
@@ -592,7 +592,7 @@
         }
     }
 
-    /// Passes on an answer once it is whole.
+    /// Forwards a response once it is complete.
     async fn forward_buffered(
         &mut self,
         mut exchange: Exchange,
@@ -612,12 +612,12 @@
                     return AttemptOutcome::Unknown;
                 }
                 None => {
-                    self.log.note("no whole answer in time");
+                    self.log.note("response not complete in time");
                     return AttemptOutcome::TimedOut;
                 }
             }
             if body.len() > MAX_BUFFERED_BYTES {
-                self.log.note("the answer is too long to be held");
+                self.log.note("response too long to be buffered");
                 guard.end = AttemptResult::Failed;
                 return AttemptOutcome::Unknown;
             }
@@ -638,7 +638,7 @@
         AttemptOutcome::Answered(finish(writer, &bytes, close).await)
     }
 
-    /// Passes on the events of a stream as they come whole.
+    /// Forwards the events of a stream, each one once it is complete.
     async fn forward_stream(
         &mut self,
         mut exchange: Exchange,
@@ -667,14 +667,14 @@
                     return self.broken(writer);
                 }
                 None => {
-                    self.log.note("the stream ran out of time");
+                    self.log.note("deadline passed during the stream");
                     self.runs = self.route.attempts;
                     return self.broken(writer);
                 }
             };
             let Ok(events) = self.event_buffer.push(&bytes) else {
                 guard.end = AttemptResult::Failed;
-                self.log.note("an event is too long");
+                self.log.note("stream event too long");
                 return self.broken(writer);
             };
             if events.is_empty() {
@@ -696,9 +696,9 @@
             }
         }
         if !self.event_buffer.is_at_boundary() {
-            // A length or chunks that end inside an event: the replica broke off.
+            // The body ended inside an event: the replica lost the connection.
             guard.end = AttemptResult::Failed;
-            self.log.note("the stream ended inside an event");
+            self.log.note("stream ended inside an event");
             self.investigate_crash();
             return self.broken(writer);
         }
@@ -708,7 +708,7 @@
             out.extend_from_slice(b"0\r\n\r\n");
         }
         self.log.answered(head.status);
-        // A stop may have been asked for since the head left.
+        // The entry may have begun to stop since the head was sent.
         let close = close || !chunked || core.is_stopping();
         AttemptOutcome::Answered(finish(writer, &out, close).await)
     }
@@ -732,7 +732,7 @@
     }
 }
 
-/// Reads the rest of a short answer, so that its connection can be kept.
+/// Reads the rest of a short response, so that the connection can be reused.
 async fn drain_and_keep(core: &EntryCore, replica: &ReplicaId, mut exchange: Exchange) {
     let rest = async {
         let mut left = 64;
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -1,6 +1,5 @@
-//! What replicas say of themselves in the heads of their answers, whatever becomes of the
-//! answer: that they want to be left alone for a time, that they leave, or that they take so
-//! many requests a second.
+//! What replicas announce in the heads of their responses, independent of the outcome of the
+//! request: a backoff, their shutdown, or a rate limit.
 
 use std::rc::Rc;
 
@@ -17,22 +16,22 @@
 
 use super::ForwardedRequest;
 
-/// Tells when to come back, in seconds.
+/// Header with the time after which to retry, in seconds.
 const RETRY_AFTER: &str = "retry-after";
 
-/// The pause that a head asks for, as it words it.
+/// Returns the unparsed `Retry-After` value.
 pub(super) fn retry_after_text(head: &ResponseHead) -> Option<&str> {
     head::find(&head.headers, RETRY_AFTER)
 }
 
-/// The pause that a head asks for. Only who turns a request away asks for one.
+/// Returns the backoff that a response asks for. Only 429 and 503 ask for one.
 fn requested_backoff(head: &ResponseHead) -> Option<AskedPause> {
     let turned_away = matches!(head.status, 429 | 503);
     let values = head::find_all(&head.headers, RETRY_AFTER).filter(|_| turned_away);
     AskedPause::parse(values)
 }
 
-/// Notes what the replica says in each head that comes.
+/// Returns an observer that records what the replica announces in each response head.
 pub(super) fn observer<'a>(
     core: &'a Rc<EntryCore>,
     sent: &SentTo,
@@ -43,7 +42,8 @@
     move |head| {
         count_unknown(core, &incarnation.id, request, head);
         if let Some(rate) = advertised_rate(core, head) {
-            // The permit proves when the answered request left, not that of a surplus answer.
+            // The permit proves when this request was sent, but not when that of a surplus response
+            // was.
             let is_due = head::find(&head.headers, core.names.request_id) == Some(request);
             core.record_limit(&incarnation, rate, permit.filter(|_| is_due));
         }
@@ -54,7 +54,7 @@
                 .back_off(now_ms, &incarnation.id, pause);
             core.count("dunlinspring_pauses_asked_total", &[]);
             let (replica, status) = (&incarnation.id, head.status);
-            tracing::info!(%replica, request, status, pause_ms = pause.ms, "replica asks for a pause");
+            tracing::info!(%replica, request, status, pause_ms = pause.ms, "replica asked for a backoff");
         }
         if head::find(&head.headers, core.names.leaving).is_none() {
             return;
@@ -67,17 +67,17 @@
             core.pool.borrow_mut().forget(&incarnation.id);
             core.count("dunlinspring_replicas_leaving_total", &[]);
             let replica = &incarnation.id;
-            tracing::info!(%replica, born_ms = incarnation.born_ms, request, "replica says that it leaves");
+            tracing::info!(%replica, born_ms = incarnation.born_ms, request, "replica is shutting down");
         }
     }
 }
 
-/// The rate that a head names.
+/// Returns the rate limit that a response advertises.
 fn advertised_rate(core: &EntryCore, head: &ResponseHead) -> Option<NamedRate> {
     NamedRate::parse(head::find_all(&head.headers, core.names.limit))
 }
 
-/// Counts headers that this system does not know, with one line for each name.
+/// Counts unknown headers and logs one line for each new name.
 fn count_unknown(core: &EntryCore, replica: &ReplicaId, request: &str, head: &ResponseHead) {
     let mut known = core.unknown_headers.borrow_mut();
     for header in known.find(&core.names, &head.headers) {
@@ -85,13 +85,14 @@
         core.count("dunlinspring_unknown_headers_total", &labels);
         if header.is_new {
             let (name, value) = (&header.name, &header.value);
-            tracing::info!(%replica, request, name, value, "unknown header of a replica");
+            tracing::info!(%replica, request, name, value, "unknown header in a replica's response");
         }
     }
 }
 
 impl ForwardedRequest<'_> {
-    /// The last look at whether the replica may be sent to, right before the request leaves.
+    /// Makes the final check whether the replica may be sent to, right before the request is
+    /// written.
     pub(super) fn claim(
         &mut self,
         sent: &SentTo,
@@ -101,15 +102,15 @@
         let mut replicas = self.core.replicas.borrow_mut();
         let claimed = replicas.claim(now_ms, &sent.incarnation, permit);
         drop(replicas);
-        if let Err(bar) = &claimed {
+        if let Err(block) = &claimed {
             self.core.count("dunlinspring_held_back_total", &[]);
             self.log
-                .note(&format!("held back from {}: {bar:?}", sent.incarnation.id));
+                .note(&format!("not sent to {}: {block:?}", sent.incarnation.id));
         }
         claimed
     }
 
-    /// Notes where a replica that took the request names no limit any more.
+    /// Records that a replica which took the request no longer advertises a limit.
     pub(super) fn record_end_of_limit(
         &self,
         head: &ResponseHead,
--- a/src/forward/request/attempt_guard.rs
+++ b/src/forward/request/attempt_guard.rs
@@ -1,5 +1,4 @@
-//! One try at one replica, as the book of replicas counts it: from its choice to its end,
-//! however that comes.
+//! Accounting of one attempt at one replica in the replica table, from its start to its end.
 
 use std::time::Instant;
 
@@ -10,7 +9,7 @@
 use crate::placement::named_limits::PermitStamp;
 use crate::routing::backoff::{ClaimEnd, SendClaim};
 
-/// Reports a try's end to the book, also where the request is dropped midway.
+/// Reports the end of an attempt to the replica table, even if the request is dropped midway.
 pub(super) struct AttemptGuard<'a> {
     core: &'a EntryCore,
     pub(super) replica: ReplicaId,
@@ -18,11 +17,11 @@
     begun: bool,
     pub(super) end: AttemptResult,
     since: Instant,
-    /// Tokens that had to be read before its answer could begin.
+    /// Tokens to be processed before the response could start.
     tokens_ahead: u64,
-    /// The claim to send, until an answer shows what came of it.
+    /// Claim to send, until a response or the end of the attempt releases it.
     pub(super) claim: Option<SendClaim>,
-    /// When the leader let it go, where the replica takes few requests.
+    /// The leader's permit, if the replica is rate limited.
     pub(super) permit: Option<PermitStamp>,
 }
 
@@ -47,7 +46,8 @@
         }
     }
 
-    /// An answer has come, or none will: a next request may leave in place of this one.
+    /// Releases the claim, so that another request may be sent: a response has arrived, or none
+    /// will.
     pub(super) fn release(&mut self, end: ClaimEnd) {
         if let Some(claim) = self.claim.take() {
             let now_ms = clock::monotonic_ms();
--- a/src/forward/request/crashes.rs
+++ b/src/forward/request/crashes.rs
@@ -1,5 +1,5 @@
-//! What a request has to do with replicas that ended under it, or under its repeats: its
-//! content, its turn, and what becomes of a run that broke off.
+//! Handling of requests during which replicas crashed: the content digest, the suspect lease, and
+//! runs whose connection was lost.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 
 use super::{AttemptOutcome, ForwardedRequest, request_host};
 
-/// Longest time that a further attempt waits for what is found out of the replica that broke
-/// off: one that ended shows within some 15 ms.
+/// How long a repeated attempt waits for the investigation of the replica that lost the connection:
+/// a crashed one is found within about 15 ms.
 const INVESTIGATION_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl ForwardedRequest<'_> {
-    /// Gets ready to run once more: first it is found out whether the replica ended under
-    /// this request, which would then end the next one as well.
+    /// Prepares another run. Waits first for the result whether the replica crashed during this
+    /// request, as the request would then crash the next replica as well.
     pub(super) async fn rerun(&mut self) -> Result<(), Refusal> {
         if let Some(investigation) = self.investigation.take() {
             let _ = tokio::time::timeout(INVESTIGATION_TIMEOUT, investigation.finished()).await;
@@ -30,7 +30,7 @@
         self.pay().await.map_err(Refusal::Quota)
     }
 
-    /// Whether its content is sent no more.
+    /// Whether the content is quarantined.
     pub(super) fn is_quarantined(&mut self) -> bool {
         if self.core.crashes.has_no_suspects() {
             return false;
@@ -43,7 +43,7 @@
         barred
     }
 
-    /// Whether it may go to a replica, as far as its content is concerned.
+    /// Requests a lease for the replica if the content is suspect.
     pub(super) async fn request_suspect_lease(&mut self, replica: &ReplicaId) -> Clearance {
         if self.core.crashes.has_no_suspects() {
             return Clearance::Go(None);
@@ -52,7 +52,8 @@
         let ask = TurnAsk {
             content,
             replica: replica.clone(),
-            // Another one each time: the end of a turn that it had may still be on its way.
+            // A new ticket for each request: the release of an earlier lease may still be in
+            // transit.
             ticket: rand::rng().random(),
             lasts_ms: self.left().as_millis() as u64,
             insists: self.shared_with_suspects.contains(replica),
@@ -64,7 +65,7 @@
         clearance
     }
 
-    /// Notes a run that is given up, as its caller left or its time went by.
+    /// Records that a run is abandoned because the caller left or the time ran out.
     pub(super) fn abandon_run(&mut self) {
         if let Some(sent) = self.sent.take() {
             let content = self.content();
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Ends its turn, if it had one, by what became of its try.
+    /// Ends an attempt: releases its suspect lease, if any, according to the outcome.
     pub(super) fn end_attempt(&mut self, outcome: &AttemptOutcome) {
         let completed = matches!(outcome, AttemptOutcome::Answered(_)) && self.log.is_answered();
         match outcome {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The connection to a replica ended under a run.
+    /// Handles a connection to a replica that was lost during a run.
     pub(super) fn handle_connection_lost(&mut self, error: &ExchangeError) {
         self.log.failed(error);
         if error.connection_lost() {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A replica may be another one by now, that has just started.
+    /// Records that a replica may have just restarted.
     pub(super) fn suspect_restart(&self, replica: &ReplicaId) {
         let now_ms = clock::monotonic_ms();
         self.core
@@ -113,7 +114,7 @@
             .suspect_restart(now_ms, replica);
     }
 
-    /// Has it found out whether the replica ended under this run.
+    /// Starts an investigation whether the replica crashed during this run.
     pub(super) fn investigate_crash(&mut self) {
         let Some(sent) = self.sent.take() else {
             return;
@@ -124,7 +125,7 @@
         self.investigation = self.core.investigate_crash(&sent, content);
     }
 
-    /// What it asks, the same for all its repeats.
+    /// Returns the digest of the content, the same for all repeats of the request.
     pub(super) fn content(&mut self) -> ContentDigest {
         if let Some(content) = self.content {
             return content;
--- a/src/forward/request/placing.rs
+++ b/src/forward/request/placing.rs
@@ -1,4 +1,4 @@
-//! The choice of a replica for a request, and the wait for one.
+//! Choice of a replica for a request, and the wait for one.
 
 use std::time::{Duration, Instant};
 
@@ -11,11 +11,11 @@
 
 use super::{ForwardedRequest, MIN_TIME_LEFT};
 
-/// Longest pause between two looks at the replicas while a request waits.
+/// Longest time between two checks of the replicas while a request waits.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl ForwardedRequest<'_> {
-    /// Waits until a replica may take the request, or it must be refused.
+    /// Waits until a replica may take the request, or the request must be refused.
     pub(super) async fn choose_replica(&mut self) -> Result<ReplicaId, Refusal> {
         let since = Instant::now();
         loop {
@@ -27,7 +27,7 @@
             let choice = self.choose(now_ms);
             let waited = since.elapsed();
             let (refusal, limit) = match choice {
-                // It is chosen once more, without this replica for a while.
+                // The next round chooses again; the refused permit blocks this replica for a while.
                 Choice::Send(replica) if !self.obtain_permit(&replica).await => continue,
                 Choice::Send(replica) => match self.request_suspect_lease(&replica).await {
                     Clearance::Go(lease) => {
@@ -65,7 +65,7 @@
                     (Refusal::Absent, wait)
                 }
             };
-            // A stopping entry would end before what the request waits for.
+            // A stopping entry would end before the request could be served.
             if waited >= limit || self.core.is_stopping() {
                 return Err(refusal);
             }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether a replica takes any number of requests, or the leader lets this one go to it.
+    /// Whether the replica is not rate limited, or the leader grants a permit for this request.
     async fn obtain_permit(&mut self, replica: &ReplicaId) -> bool {
         self.permit = None;
         let core = self.core;
@@ -85,8 +85,8 @@
         self.permit.is_some()
     }
 
-    /// How long a request waits that has waited for so long, where a replica takes one in
-    /// `left_ms`. One that surely comes too late is refused now.
+    /// How long the request may wait in total if a replica is available in `left_ms`. A request
+    /// that would certainly be too late is refused at once.
     fn wait_limit(
         &self,
         refusal: Refusal,
--- a/src/forward/request/wire_heads.rs
+++ b/src/forward/request/wire_heads.rs
@@ -1,5 +1,5 @@
-//! What a request's headers say of its need, and the heads that go on: the request's to a
-//! replica, and the answer's to the client.
+//! Heads on the wire: a request's needs from its headers, the head sent to a replica, and the
+//! response head sent to the client.
 
 use crate::forward::daemon::EntryCore;
 use crate::forward::head::{self, Framing, ResponseHead};
@@ -9,7 +9,7 @@
 use super::{ForwardedRequest, id_hash};
 
 impl ForwardedRequest<'_> {
-    /// The head that the client gets, with the framing of this hop.
+    /// Builds the response head for the client, with the framing of this hop.
     pub(super) fn response_head(
         &self,
         head: &ResponseHead,
@@ -17,7 +17,7 @@
         close: bool,
     ) -> Vec<u8> {
         let mut text = format!("HTTP/1.1 {} {}\r\n", head.status, head.reason);
-        // What the replica says of itself is said to this system alone.
+        // What the replica announces about itself is meant for this system only.
         let own = [self.core.names.leaving, self.core.names.limit];
         for (name, value) in head::end_to_end(&head.headers, &own) {
             head::push_header(&mut text, name, value);
@@ -32,7 +32,7 @@
         text.into_bytes()
     }
 
-    /// The request as the replica gets it.
+    /// Builds the request that the replica gets.
     pub(super) fn outgoing(&self, replica: &ReplicaId) -> Vec<u8> {
         let names = &self.core.names;
         let head = &self.request.head;
@@ -45,7 +45,7 @@
         ];
         drop.extend_from_slice(names.reserved);
         if self.routing.configuration.accounts.is_some() {
-            // Who calls is this system's word, and a key is nobody else's.
+            // The account header is set by this system alone, and the key must not be passed on.
             drop.extend([names.key, names.account]);
         }
         let resumed = self.event_buffer.last_id();
@@ -81,7 +81,7 @@
     }
 }
 
-/// What a request needs of a replica, by its headers.
+/// Reads from the headers what a request needs of a replica.
 pub(super) fn need(
     core: &EntryCore,
     headers: &[head::Header],
@@ -100,7 +100,7 @@
         .filter_map(|part| part.trim().parse::<u64>().ok());
     let prompt_tokens = tokens.clone().next().unwrap_or(0);
     let parts = head::find(headers, names.prefix).unwrap_or_default();
-    // The last part belongs to the request alone.
+    // The last part belongs to this request alone.
     let shared = parts.rsplit_once(',').map(|(shared, _)| shared);
     let prefix = shared.map(|shared| {
         let text = format!(
