--- a/src/forward/crashes.rs
+++ b/src/forward/crashes.rs
@@ -1,9 +1,10 @@
-//! Finds out whether a replica ended under the runs that broke off there, and tells the log.
+//! Determines whether a replica crashed during the runs whose connections it lost, and reports
+//! crashes to the replicated log.
 //!
-//! A broken connection is no proof: a reset, a garbled answer and a planned end look alike. A
-//! replica whose process has ended refuses connections at once, and one that started again
-//! tells so: the first shows within milliseconds, the second within a heartbeat. Silence
-//! proves nothing: it may be the link.
+//! A lost connection proves nothing: a reset, a malformed response and a planned exit look alike. A
+//! replica whose process has exited refuses connections at once, and one that has restarted reports
+//! its new incarnation: the first shows within milliseconds, the second within a heartbeat. Silence
+//! proves nothing either: the link may be down.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -23,41 +24,41 @@
 use crate::routing::suspects::SuspectBook;
 use crate::routing::view::SiteView;
 
-/// Time in which the connections that a replica's end breaks are seen to break, all of them.
+/// Time in which all connections that a crash breaks are seen to break.
 const GATHER_TIME: Duration = Duration::from_millis(10);
-/// Time in which a process that ended refuses a connection: a round trip between halls.
+/// Time in which the host of an exited process refuses a connection: a round trip between halls.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Pauses before a replica that said nothing is asked again: links lose packets.
+/// Delays before the attempts to probe a silent replica: links lose packets.
 const PROBE_PAUSES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(200),
     Duration::from_millis(800),
 ];
-/// How long a replica that may have ended is watched for word of a new incarnation, in
-/// milliseconds: it is back after some seconds, and tells so by its first heartbeat.
+/// How long a replica that may have crashed is watched for a new incarnation, in milliseconds: it
+/// is back after some seconds, and its first heartbeat reports the incarnation.
 const WATCH_MS: u64 = 15_000;
-/// The same where it took a connection right after: it may have been back by then.
+/// The same if it accepted a connection right after: it may have restarted by then.
 const SHORT_WATCH_MS: u64 = 2_000;
-/// How long a request that this entry gave up may still end its replica, in milliseconds:
-/// most replicas drop it, the others begin it within their queue's time.
+/// How long an abandoned request may still crash its replica, in milliseconds: most replicas drop
+/// it, the others start it within their queue time.
 const ABANDONED_MS: u64 = 5_000;
-/// Lives that are watched at most, the newest.
+/// Most replica incarnations that are watched; the oldest are dropped.
 const MAX_WATCHED: usize = 1_024;
-/// Contents that one log line names: a batch of an engine, so that each refused request finds
-/// the ends behind it.
+/// Most contents named in one log line: a batch of an engine, so that each refused request finds
+/// the crashes behind its refusal.
 const MAX_LOGGED_CONTENTS: usize = 64;
 
 /// Where a request was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SentTo {
-    /// The replica, in the incarnation that was meant.
+    /// The intended incarnation of the replica.
     pub incarnation: ReplicaLife,
-    /// Its address.
+    /// Address of the replica.
     pub address: SocketAddr,
 }
 
 impl SentTo {
-    /// A replica as it is known now.
+    /// Creates the target from a replica's current record.
     pub fn new(record: &ReplicaRecord) -> Self {
         Self {
             incarnation: record.life(),
@@ -66,7 +67,8 @@
     }
 }
 
-/// Runs that broke off at one replica at about the same time, and what is found out of it.
+/// Runs whose connections one replica lost at about the same time, and the state of their
+/// investigation.
 pub struct CrashInvestigation {
     at: SentTo,
     contents: RefCell<BTreeSet<ContentDigest>>,
@@ -75,8 +77,7 @@
 }
 
 impl CrashInvestigation {
-    /// Returns once it is known whether the replica ended, as far as it ever will be, and
-    /// the log holds it if it did.
+    /// Returns once the investigation is over: if the replica crashed, the log holds the report.
     pub async fn finished(&self) {
         loop {
             let done = self.done.notified();
@@ -88,7 +89,7 @@
     }
 }
 
-/// A replica that may have ended, or may end under a request that was given up.
+/// A replica that may have crashed, or may crash because of an abandoned request.
 struct WatchedReplica {
     at: SentTo,
     contents: BTreeSet<ContentDigest>,
@@ -104,7 +105,7 @@
 }
 
 impl CrashTracker {
-    /// Whether no content is suspect, so that nobody needs a request's digest.
+    /// Whether no content is suspect, so that no digests of requests are needed.
     pub fn has_no_suspects(&self) -> bool {
         self.suspects.borrow().is_empty()
     }
@@ -121,7 +122,8 @@
         }
     }
 
-    /// What else may have run in a incarnation that has ended.
+    /// Removes a crashed incarnation from the watch list and returns the contents that may have run
+    /// there.
     fn take_watched(&self, ended: &ReplicaLife) -> BTreeSet<ContentDigest> {
         let now_ms = clock::monotonic_ms();
         let mut watched = self.watched.borrow_mut();
@@ -135,15 +137,15 @@
         contents
     }
 
-    /// What is to be made of a content.
+    /// Returns the standing of a content: harmless, suspect or quarantined.
     pub fn standing(&self, content: &ContentDigest) -> ContentStanding {
         self.suspects.borrow().standing(content)
     }
 }
 
 impl EntryCore {
-    /// A run broke off at a replica, and it is to be found out whether that ended. None
-    /// where it is known to leave anyway.
+    /// Starts or joins an investigation of a replica that lost the connection during a run. Returns
+    /// `None` if the replica is known to be shutting down.
     pub fn investigate_crash(
         self: &Rc<Self>,
         at: &SentTo,
@@ -174,14 +176,14 @@
         Some(investigation)
     }
 
-    /// A request that was sent is given up, as its caller left or its time went by: its
-    /// replica may still run it.
+    /// Watches a replica for which a sent request was abandoned, as the caller left or the time ran
+    /// out: it may still run the request.
     pub fn abandon_run(&self, at: SentTo, content: ContentDigest) {
         let contents = BTreeSet::from([content]);
         self.crashes.watch(at, contents, ABANDONED_MS);
     }
 
-    /// Takes over what the log holds, and looks for new lives of replicas that may have ended.
+    /// Takes over the standings in the log, and looks for new incarnations of watched replicas.
     pub(super) fn update_crashes(self: &Rc<Self>, view: &SiteView) {
         let mut suspects = self.crashes.suspects.borrow_mut();
         suspects.follow(view.position, &view.contents);
@@ -199,12 +201,12 @@
             let contents = self.crashes.take_watched(&incarnation);
             let replica = incarnation;
             let report = CrashReport { replica, contents };
-            daemon::spawn_local(report_crash(self.clone(), report, "it started again"));
+            daemon::spawn_local(report_crash(self.clone(), report, "replica restarted"));
         }
     }
 }
 
-/// Whether another incarnation has begun where a replica was.
+/// Whether another incarnation is registered at the replica's address.
 fn has_restarted(view: &SiteView, at: &SentTo) -> bool {
     let known = view.replicas.get(&at.incarnation.id);
     match known {
@@ -216,7 +218,7 @@
     }
 }
 
-/// Finds out whether a replica has ended.
+/// Probes a replica, reports a crash or watches the replica further, and ends the investigation.
 async fn investigate(core: Rc<EntryCore>, investigation: Rc<CrashInvestigation>) {
     tokio::time::sleep(GATHER_TIME).await;
     let incarnation = investigation.at.incarnation.clone();
@@ -228,7 +230,7 @@
             contents.extend(core.crashes.take_watched(&incarnation));
             let replica = incarnation;
             let report = CrashReport { replica, contents };
-            report_crash(core.clone(), report, "it refuses connections").await;
+            report_crash(core.clone(), report, "connection refused").await;
         }
         Probe::Alive => core
             .crashes
@@ -241,14 +243,14 @@
     investigation.done.notify_waiters();
 }
 
-/// What a replica does with a connection.
+/// Result of connecting to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Probe {
-    /// It takes it.
+    /// The replica accepts the connection.
     Alive,
-    /// Nobody listens there.
+    /// The connection is refused: no process listens there.
     Ended,
-    /// Nothing is heard.
+    /// No result in time.
     Silent,
 }
 
@@ -264,7 +266,7 @@
 }
 
 async fn probe(core: &EntryCore, at: &SentTo) -> Probe {
-    // Where one that rests is still open, a new one need not be paid for.
+    // An idle connection that is still open proves the same without opening a new one.
     let kept = core.pool.borrow_mut().take(&at.incarnation.id);
     let opened = match kept {
         Some(connection) => Ok(connection),
@@ -283,7 +285,7 @@
     }
 }
 
-/// Tells the log of a replica's end, until it holds it.
+/// Logs a crash and reports it until the replicated log holds it.
 async fn report_crash(core: Rc<EntryCore>, report: CrashReport, proof: &'static str) {
     core.count("dunlinspring_replica_crashes_total", &[]);
     log_crash(&report, proof);
--- a/src/forward/daemon.rs
+++ b/src/forward/daemon.rs
@@ -1,4 +1,4 @@
-//! The entry that forwards straight to replicas: its shared state and its tasks.
+//! The entry that forwards requests directly to replicas: its shared state and its tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,31 +42,31 @@
 
 /// Time between two reports to the leader.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for a report or a wish.
+/// Time limit of a report or an adapter request.
 const REPORT_TIME: Duration = Duration::from_millis(1_000);
-/// Least time between two wishes for the same adapter, in milliseconds.
+/// Shortest time between two requests for the same adapter, in milliseconds.
 const ADAPTER_REQUEST_INTERVAL_MS: u64 = 150;
-/// Time between two looks whether a configuration that was proven has come.
+/// Time between two checks whether a configuration whose proof has arrived is present.
 const AUTHORITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Most lines on replicas, each way, for one step of the copy: an entry that has just started
-/// learns of thousands at once.
+/// Most log lines on new replicas, and on removed ones, for one update: an entry that has just
+/// started learns of thousands at once.
 const MAX_REPLICA_LOG_LINES: usize = 32;
-/// Time between two looks at idle connections.
+/// Time between two prunings of replica state and idle connections.
 const PRUNE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two looks at whether a stopping entry is done.
+/// Time between two checks whether a stopping entry is idle.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Default of [`ForwardSettings::connect_ms`].
 pub const CONNECT_MS: u64 = 400;
 /// Default of [`ForwardSettings::stale_ms`].
 pub const STALE_MS: u64 = 10_000;
-/// Default of [`ForwardSettings::stall_ms`]: clients give a stream up after a pause of some
-/// seconds, and replicas cut off what stays unread for longer.
+/// Default of [`ForwardSettings::stall_ms`]: clients abandon a stream after a pause of some
+/// seconds, and replicas cut a stream that stays unread for longer.
 pub const STALL_MS: u64 = 5_000;
 /// Default of [`ForwardSettings::config_wait_ms`].
 pub const CONFIG_WAIT_MS: u64 = 1_000;
 
-/// Settings of an entry that forwards to registered replicas.
+/// Settings of an entry that forwards to replicas that register themselves.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ForwardSettings {
@@ -74,49 +74,48 @@
     pub host: HostName,
     /// Its data hall.
     pub hall: HallName,
-    /// The region of each data hall; a hall that is not named is in none.
+    /// Region of each data hall. A hall that is not listed has none.
     #[serde(default)]
     pub regions: BTreeMap<HallName, RegionName>,
-    /// Where clients reach it.
+    /// Address for clients.
     pub clients: SocketAddr,
-    /// Where readiness, health and metrics are served.
+    /// Address for readiness, health and metrics.
     pub watch: SocketAddr,
-    /// Control hosts to begin with; the others are learnt from them.
+    /// Control hosts to start with; they report the others.
     pub control: Vec<SocketAddr>,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
     /// How replicas are chosen.
     #[serde(default)]
     pub choice: ChoicePolicy,
-    /// How much may be sent again.
+    /// How many requests may be resent.
     #[serde(default)]
     pub resend: ResendPolicy,
-    /// Time to open a connection to a replica, in milliseconds.
+    /// Time limit to connect to a replica, in milliseconds.
     #[serde(default = "default_connect")]
     pub connect_ms: u64,
-    /// Longest time without word of a leader while the entry calls itself ready,
-    /// in milliseconds.
+    /// Longest time without contact to a leader during which the entry reports itself as ready, in
+    /// milliseconds.
     #[serde(default = "default_stale")]
     pub stale_ms: u64,
-    /// Oldest word on client accounts that keys are obeyed by, in milliseconds: a key that
-    /// was taken away is refused everywhere after this.
+    /// Greatest age of the proof that the known client accounts are current, in milliseconds. A
+    /// revoked key is refused everywhere after this time.
     #[serde(default = "default_authority")]
     pub authority_ms: u64,
-    /// Longest wait of a request for the first configuration, in milliseconds: control
-    /// hosts that start with the entry tell it within this, and a caller that is refused
-    /// asks once more.
+    /// Longest wait of a request for the first configuration, in milliseconds: control hosts that
+    /// start together with the entry deliver it within this time, and a refused caller retries.
     #[serde(default = "default_config_wait")]
     pub config_wait_ms: u64,
-    /// Longest time in which a client takes nothing of its answer, in milliseconds; then its
-    /// connection is cut.
+    /// Longest time in which a client may accept no bytes of its response, in milliseconds; then
+    /// its connection is cut.
     #[serde(default = "default_stall")]
     pub stall_ms: u64,
-    /// Least time from a request to stop to the end, in milliseconds: callers
-    /// must have noticed by then.
+    /// Shortest time from a stop request to the exit, in milliseconds: callers must have noticed
+    /// the stop by then.
     #[serde(default = "default_stop")]
     pub stop_ms: u64,
-    /// Most time from a request to stop to the end, in milliseconds.
+    /// Longest time from a stop request to the exit, in milliseconds.
     #[serde(default = "default_grace")]
     pub grace_ms: u64,
 }
@@ -149,16 +148,16 @@
     7_500
 }
 
-/// A configuration with its index.
+/// A configuration with its indexes.
 #[derive(Debug)]
 pub struct Routing {
     /// The configuration.
     pub configuration: Configuration,
-    /// Its routes by place.
+    /// Index of its routes.
     pub index: RouteIndex,
-    /// How well each route can wait.
+    /// Slack rank of each route: how well its requests can wait.
     pub slack_ranks: Vec<u32>,
-    /// Its accounts by key.
+    /// Index of its accounts by key.
     pub keys: KeyIndex,
 }
 
@@ -166,15 +165,15 @@
 pub struct EntryCore {
     /// Names of headers.
     pub names: HeaderNames,
-    /// What is known of replicas.
+    /// State of the replicas.
     pub replicas: RefCell<ReplicaTable>,
     /// Idle connections.
     pub pool: RefCell<ConnectionPool>,
-    /// The budget for sending again.
+    /// Budget for resends.
     pub budget: RefCell<ResendBudget>,
-    /// Woken when a replica may have room, or another one may be there.
+    /// Notified when a replica may have free capacity, or another replica may be available.
     pub changed: Notify,
-    /// What is known of contents under which replicas ended.
+    /// Crashes, and the contents that are suspect because of them.
     pub crashes: CrashTracker,
     settings: ForwardSettings,
     follower: Arc<ControlFollower>,
@@ -183,11 +182,11 @@
     recent_demand: RefCell<BTreeMap<ModelName, f64>>,
     adapters: RefCell<BTreeSet<AdapterPlace>>,
     adapter_requests: RefCell<BTreeMap<AdapterPlace, u64>>,
-    /// What is drawn of accounts' quotas.
+    /// Quotas drawn for accounts.
     pub quotas: QuotaClient,
-    /// A replica is crowded, as far as this entry sees.
+    /// Notified when this entry sees a congested replica.
     pub congestion_seen: Notify,
-    /// Something of replicas' limits is to be told to the leader.
+    /// Notified when a change of a replica's rate limit should be reported to the leader.
     pub limit_changed: Notify,
     active: Cell<usize>,
     stopping: Arc<AtomicBool>,
@@ -199,14 +198,14 @@
     pub(super) unknown_headers: RefCell<UnknownHeaders>,
 }
 
-/// Counts a client's connection as busy from the first byte of a request on.
+/// Counts a client connection as busy from the first byte of a request on.
 pub struct BusyGuard<'a> {
     core: &'a EntryCore,
     marked: Cell<bool>,
 }
 
 impl BusyGuard<'_> {
-    /// A request has begun to come.
+    /// Marks the connection as busy: a request has begun to arrive.
     pub fn mark(&self) {
         if !self.marked.replace(true) {
             self.core.active.set(self.core.active.get() + 1);
@@ -222,7 +221,7 @@
     }
 }
 
-/// Counts a request for its model.
+/// Counts a request in the demand for its model while it is present.
 pub struct DemandGuard<'a> {
     core: &'a EntryCore,
     model: Option<ModelName>,
@@ -231,7 +230,7 @@
 }
 
 impl DemandGuard<'_> {
-    /// The request is refused: what it would have taken counts.
+    /// Marks the request as refused: it counts as demand for a whole report interval.
     pub fn refuse(&self) {
         self.refused.set(true);
     }
@@ -245,8 +244,8 @@
         if let Some(count) = self.core.in_flight.borrow_mut().get_mut(model) {
             *count = count.saturating_sub(1);
         }
-        // The time it was here, as a part of the time between two reports. One
-        // that was refused would have been here for longer.
+        // The time that the request was present, as a fraction of the report interval. A refused
+        // request would have been present for longer.
         let part = match self.refused.get() {
             true => 1.0,
             false => self.since.elapsed().as_secs_f64() / REPORT_INTERVAL.as_secs_f64(),
@@ -257,12 +256,12 @@
 }
 
 impl EntryCore {
-    /// The configuration in force, once one is known.
+    /// Returns the configuration in force, if one is known.
     pub fn routing(&self) -> Option<Rc<Routing>> {
         self.routing.borrow().clone()
     }
 
-    /// The configuration in force, waiting for the first one. A stopping entry does
+    /// Waits for the first configuration and returns it, or the one in force. A stopping entry does
     /// not wait.
     pub async fn await_routing(&self, max_wait: Duration) -> Option<Rc<Routing>> {
         let deadline = Instant::now() + max_wait;
@@ -276,13 +275,13 @@
         }
     }
 
-    /// Whether what is known of client accounts is young enough to act by.
+    /// Whether the known client accounts are proven recently enough to authorize requests.
     pub fn has_authority(&self) -> bool {
         let unproven_ms = self.follower.unproven_ms(self.version());
         unproven_ms.is_some_and(|age_ms| age_ms < self.settings.authority_ms)
     }
 
-    /// Waits for word of the newest configuration, for so long at the most.
+    /// Waits up to `max_wait` for a proof of the newest configuration.
     pub async fn await_authority(&self, max_wait: Duration) -> bool {
         let deadline = Instant::now() + max_wait;
         loop {
@@ -291,13 +290,13 @@
             if known || self.is_stopping() || Instant::now() >= deadline {
                 return known;
             }
-            // A proof may be for a configuration that is still on its way here.
+            // The proof may be for a configuration that is still in transit.
             let until = deadline.min(Instant::now() + AUTHORITY_POLL_INTERVAL);
             let _ = tokio::time::timeout_at(until.into(), proven).await;
         }
     }
 
-    /// Takes over a newer configuration at once, if the copy of the log has one.
+    /// Applies a newer configuration at once, if the local copy of the log has one.
     pub fn catch_up(self: &Rc<Self>) {
         let held = self.version();
         let view = self.follower.view();
@@ -311,27 +310,27 @@
         }
     }
 
-    /// The limits on clients.
+    /// Returns the limits on clients.
     pub fn limits(&self) -> ClientLimits {
         let routing = self.routing.borrow();
         let limits = routing.as_ref().map(|routing| routing.configuration.limits);
         limits.unwrap_or_default()
     }
 
-    /// Whether the entry was asked to stop.
+    /// Whether the entry was requested to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// How long a stopping entry still runs; none while it was not asked to stop.
+    /// Time until a stopping entry exits; `None` if it is not stopping.
     pub fn time_to_end(&self) -> Option<Duration> {
         let since = self.stopped_at.get()?;
         let grace = Duration::from_millis(self.settings.grace_ms);
         Some(grace.saturating_sub(since.elapsed()))
     }
 
-    /// Returns once the entry stops and a resting connection is to be closed: at
-    /// once where it has been served, else when no new ones are taken either.
+    /// Returns once the entry stops and an idle connection should be closed: immediately if it has
+    /// served a request, otherwise when the listener closes.
     pub async fn idle_close_due(&self, served: bool) {
         match served {
             true => self.stop_begins().await,
@@ -339,7 +338,7 @@
         }
     }
 
-    /// Returns once the entry was asked to stop.
+    /// Returns once the entry is requested to stop.
     async fn stop_begins(&self) {
         loop {
             let notified = self.stop_requested.notified();
@@ -353,7 +352,7 @@
     /// Returns once callers must have noticed that the entry stops.
     async fn listener_close_due(&self) {
         self.stop_begins().await;
-        // By the time of the stop: a connection may have come at any moment since.
+        // Counted from the stop request, as this connection may have come at any time since.
         let since = self.stopped_at.get().unwrap_or_else(Instant::now);
         let until = since + Duration::from_millis(self.settings.stop_ms);
         tokio::time::sleep_until(until.into()).await;
@@ -364,17 +363,17 @@
         &self.settings.choice
     }
 
-    /// Time to open a connection to a replica.
+    /// Time limit to connect to a replica.
     pub fn connect_time(&self) -> Duration {
         Duration::from_millis(self.settings.connect_ms)
     }
 
-    /// Longest time in which a client takes nothing.
+    /// Longest time in which a client may accept no bytes.
     pub fn stall_time(&self) -> Duration {
         Duration::from_millis(self.settings.stall_ms)
     }
 
-    /// The way to control hosts.
+    /// Client for calls to the control hosts.
     pub fn link(&self) -> &ControlLink {
         self.follower.link()
     }
@@ -389,7 +388,7 @@
         Duration::from_millis(self.settings.config_wait_ms)
     }
 
-    /// Marks a connection as busy once a request begins to come.
+    /// Returns a guard that marks a connection as busy once a request begins to arrive.
     pub fn busy_guard(&self) -> BusyGuard<'_> {
         BusyGuard {
             core: self,
@@ -397,7 +396,7 @@
         }
     }
 
-    /// Counts a request for its model while it is here.
+    /// Counts a request in the demand for its model until the guard is dropped.
     pub fn track_demand(&self, need: &Need) -> DemandGuard<'_> {
         if let Some(model) = &need.model {
             *self
@@ -414,14 +413,14 @@
         }
     }
 
-    /// Notes that an adapter is used on a replica, for the next report.
+    /// Records that an adapter is used on a replica, for the next report.
     pub fn record_adapter_use(&self, replica: &ReplicaId, need: &Need) {
         if let Some(place) = adapter_slot(replica, need) {
             self.adapters.borrow_mut().insert(place);
         }
     }
 
-    /// Asks the leader for an adapter on a replica.
+    /// Requests an adapter on a replica from the leader, unless it was requested just before.
     pub fn request_adapter(self: &Rc<Self>, replica: &ReplicaId, need: &Need) {
         let Some(request) = adapter_slot(replica, need) else {
             return;
@@ -452,7 +451,7 @@
         metrics.count(MetricKey::new(name, labels), 1);
     }
 
-    /// Logs a request that got no further than its route.
+    /// Logs a request that was refused before forwarding began.
     pub fn log_plain(&self, id: &str, status: u16, reason: &str) {
         let text = status.to_string();
         self.count("dunlinspring_unrouted_total", &[("status", &text)]);
@@ -462,7 +461,7 @@
         }
     }
 
-    /// Logs replicas that are passed over from now on.
+    /// Counts and logs ejected replicas.
     pub fn log_ejected(&self, ejections: &[Ejection]) {
         for ejection in ejections {
             self.count("dunlinspring_ejections_total", &[]);
@@ -471,12 +470,12 @@
                 failing = ejection.failure_rate,
                 pause_ms = ejection.duration_ms,
                 end = ?ejection.end,
-                "replica passed over"
+                "replica ejected"
             );
         }
     }
 
-    /// The version of the configuration in force; 0 for none.
+    /// Version of the configuration in force; 0 for none.
     pub(super) fn version(&self) -> u64 {
         let routing = self.routing.borrow();
         routing
@@ -484,7 +483,7 @@
             .map_or(0, |routing| routing.configuration.version)
     }
 
-    /// Takes over what the log holds.
+    /// Applies the state of the log.
     fn follow(self: &Rc<Self>) {
         let view = self.follower.view();
         self.update_crashes(&view);
@@ -492,7 +491,7 @@
         let mut replicas = self.replicas.borrow_mut();
         if replicas.update_evacuated(&view.evacuated) {
             let (evacuated, position) = (&view.evacuated, view.position);
-            tracing::info!(?evacuated, %position, "evacuated halls");
+            tracing::info!(?evacuated, %position, "evacuated halls changed");
         }
         replicas.update_records(clock::monotonic_ms(), &view.replicas);
         drop(replicas);
@@ -524,7 +523,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Logs what is new of replicas: phase and models; adapters come and go too often.
+    /// Logs new and changed replicas, by phase and models, and removed ones. Adapters change too
+    /// often to be logged.
     fn log_replicas(&self, view: &SiteView) {
         let replicas = self.replicas.borrow();
         let position = view.position;
@@ -581,13 +581,13 @@
 
 /// A running entry.
 pub struct ForwardDaemon {
-    /// Where clients reach it.
+    /// Address for clients.
     pub address: SocketAddr,
     core: Rc<EntryCore>,
 }
 
 impl ForwardDaemon {
-    /// Starts on the current thread's runtime.
+    /// Starts an entry on the current thread's runtime.
     pub async fn start(
         settings: ForwardSettings,
         secret: SiteSecret,
@@ -651,7 +651,7 @@
         Ok(Self { address, core })
     }
 
-    /// Whether the entry knows a replica in this life.
+    /// Whether the entry knows the replica.
     pub fn knows(&self, replica: &ReplicaId) -> bool {
         self.core.replicas.borrow().record(replica).is_some()
     }
@@ -663,7 +663,7 @@
         }
     }
 
-    /// Takes no new connections on, finishes what is under way, and returns.
+    /// Stops accepting connections, finishes outstanding requests and returns.
     pub async fn stop(&self) {
         let core = &self.core;
         let since = Instant::now();
@@ -700,7 +700,7 @@
     daemon::serve_watch(core.settings.watch, Arc::new(read)).await
 }
 
-/// Accepts clients until some time after the entry was reply to stop.
+/// Accepts clients until some time after the stop request.
 async fn accept(core: Rc<EntryCore>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
@@ -710,7 +710,7 @@
         match accepted {
             Ok((stream, _)) => daemon::spawn_local(client::serve(core.clone(), stream)),
             Err(error) => {
-                tracing::warn!(%error, "cannot accept a client");
+                tracing::warn!(%error, "cannot accept a client connection");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -742,7 +742,7 @@
                 core.budget.borrow_mut().set_entries(reply.entries);
                 core.apply_limits(&reply.limits);
             }
-            Err(error) => tracing::debug!(%error, "a report was not heard"),
+            Err(error) => tracing::debug!(%error, "report to the leader failed"),
         }
     }
 }
@@ -766,7 +766,7 @@
     let (replica, model, adapter) = (&request.replica, &request.model, &request.adapter);
     match reply {
         Ok(soon) => {
-            tracing::info!(%replica, %model, adapter, soon, "wish for an adapter");
+            tracing::info!(%replica, %model, adapter, soon, "adapter requested");
             if !soon {
                 let now_ms = clock::monotonic_ms();
                 core.replicas
@@ -776,7 +776,7 @@
             }
         }
         Err(error) => {
-            tracing::warn!(%error, %replica, %model, adapter, "a wish was not heard");
+            tracing::warn!(%error, %replica, %model, adapter, "adapter request failed");
         }
     }
 }
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -1,4 +1,5 @@
-//! Tells the leader of limits that replicas name, and hears of those that others heard of.
+//! Reports rate limits that replicas advertise to the leader, and receives those seen by other
+//! entries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,15 +10,15 @@
 use crate::placement::named_limits::{LimitPage, PermitStamp};
 use crate::placement::named_rate::NamedRate;
 
-/// Least time between two reports.
+/// Shortest time between two reports.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause after a report that was not heard, or not by a leader that knows all limits.
+/// Wait after a report that failed, or that reached a leader which does not know all limits yet.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// Time for a report.
+/// Time limit of a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Reports at once what is heard of limits. The first report is empty: it brings what others
-/// heard before this entry started.
+/// Reports changes of rate limits immediately. The first report is empty: its reply brings the
+/// limits that other entries saw before this one started.
 pub async fn report_limits(core: Rc<EntryCore>) {
     let mut due = true;
     loop {
@@ -26,7 +27,7 @@
             changed.await;
         }
         let reply = report_once(&core).await;
-        // A new leader that still gathers what entries know has told nothing yet.
+        // A new leader that still collects the limits known to entries has returned none.
         due = !reply || !core.replicas.borrow().limits().follows();
         tokio::time::sleep(if due {
             RETRY_INTERVAL
@@ -37,7 +38,7 @@
     }
 }
 
-/// Returns whether the leader heard it.
+/// Returns whether the leader received the report.
 async fn report_once(core: &EntryCore) -> bool {
     let sent_ms = clock::monotonic_ms();
     let report = core.replicas.borrow_mut().limits_mut().report(sent_ms);
@@ -57,7 +58,7 @@
             true
         }
         Err(error) => {
-            tracing::debug!(%error, "limits of replicas were not told");
+            tracing::debug!(%error, "report of rate limits failed");
             core.replicas.borrow_mut().limits_mut().miss();
             false
         }
@@ -65,7 +66,7 @@
 }
 
 impl EntryCore {
-    /// An answer of a replica names a limit.
+    /// Records a rate limit that a replica advertised in a response.
     pub fn record_limit(
         &self,
         replica: &ReplicaLife,
@@ -76,27 +77,27 @@
         let mut replicas = self.replicas.borrow_mut();
         if replicas.limits_mut().hear(now_ms, replica, rate, permit) {
             self.count("dunlinspring_limits_named_total", &[]);
-            tracing::info!(%replica, per_s = rate.per_s(), "replica names a limit");
+            tracing::info!(%replica, per_s = rate.per_s(), "replica advertises a rate limit");
             self.limit_changed.notify_one();
         }
     }
 
-    /// An answer of a replica, to a request that needed a permit, names no limit.
+    /// Records a response without a rate limit, to a request that needed a permit.
     pub fn record_limit_end(&self, replica: &ReplicaLife, permit: PermitStamp) {
         let mut replicas = self.replicas.borrow_mut();
         if replicas.limits_mut().hear_none(replica, permit) {
-            tracing::info!(%replica, "replica names no limit any more");
+            tracing::info!(%replica, "replica no longer advertises a rate limit");
             self.limit_changed.notify_one();
         }
     }
 
-    /// Takes over the leader's changes of limits.
+    /// Applies changes of rate limits from the leader.
     pub fn apply_limits(&self, page: &LimitPage) {
         let mut replicas = self.replicas.borrow_mut();
         for state in &page.limits {
             if replicas.limits().is_news(state) {
                 let per_s = state.rate.map(|rate| rate.per_s());
-                tracing::info!(replica = %state.replica, per_s, "limit of a replica");
+                tracing::info!(replica = %state.replica, per_s, "rate limit of a replica changed");
                 replicas
                     .permit_pace_mut()
                     .follow(&state.replica.id, state.rate);
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -1,5 +1,5 @@
-//! Permits to send to replicas that take few requests: asked of the leader for each request.
-//! See [`crate::placement::replica_rates`].
+//! Permits to send to rate-limited replicas, requested from the leader for each request. See
+//! [`crate::placement::replica_rates`].
 
 use std::time::Duration;
 
@@ -13,40 +13,39 @@
 use crate::process::peers::PeerError;
 use crate::routing::permit_pace::ASK_MS;
 
-/// What stands for an answer that nobody gave: other replicas are sent to
-/// meanwhile.
+/// Stands in for a missing reply: other replicas are used meanwhile.
 const NO_REPLY: PermitRefusal = PermitRefusal {
     wait_ms: 300,
     rate: None,
 };
 
-/// The permit to send one request to a replica.
+/// Permit to send one request to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RatePermit {
-    /// The replica, in the incarnation that was meant.
+    /// The intended incarnation of the replica.
     pub replica: ReplicaLife,
-    /// Until when it may be used, in milliseconds of the steady clock.
+    /// End of validity, in milliseconds of the monotonic clock.
     pub until_ms: u64,
-    /// When the leader gave it.
+    /// When the leader granted it.
     pub stamp: PermitStamp,
 }
 
 impl RatePermit {
-    /// Whether it may still be used for a replica.
+    /// Whether the permit is still valid, and for this replica.
     pub fn is_valid_for(&self, now_ms: u64, replica: &ReplicaLife) -> bool {
         now_ms < self.until_ms && self.replica == *replica
     }
 }
 
 impl EntryCore {
-    /// The record of a replica that takes few requests; none where it takes any number.
+    /// Returns the record of a replica that is rate limited; `None` if it is not.
     pub fn rate_limited_record(&self, replica: &ReplicaId) -> Option<ReplicaRecord> {
         let replicas = self.replicas.borrow();
         let limited = replicas.needs_permit(clock::monotonic_ms(), replica);
         replicas.record(replica).filter(|_| limited).cloned()
     }
 
-    /// Asks whether one request may go to a replica that takes few.
+    /// Requests a permit to send one request to a rate-limited replica.
     pub async fn request_permit(&self, record: &ReplicaRecord) -> Option<RatePermit> {
         let sent_ms = clock::monotonic_ms();
         let request = self.permit_request(sent_ms, record);
@@ -66,7 +65,7 @@
             )
             .await;
         let granted = self.handle_reply(sent_ms, &request.replica, reply);
-        // Others wait for the answer to ask for themselves.
+        // Other requests wait for this reply before they request a permit.
         self.changed.notify_waiters();
         granted.map(|stamp| RatePermit {
             replica: request.replica,
@@ -97,7 +96,7 @@
                 ("wait", None)
             }
             Err(error) => {
-                tracing::debug!(%error, %replica, "a permit to send was not asked for");
+                tracing::debug!(%error, %replica, "permit request failed");
                 pace.refuse(now_ms, sent_ms, &replica.id, NO_REPLY);
                 ("none", None)
             }
--- a/src/forward/queue_reports.rs
+++ b/src/forward/queue_reports.rs
@@ -1,4 +1,5 @@
-//! Tells the leader what this entry has waiting at replicas, and hears what all entries have.
+//! Reports the tokens of this entry's waiting requests to the leader, and receives the totals over
+//! all entries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,18 +8,18 @@
 use crate::forward::daemon::EntryCore;
 use crate::placement::crowd::CrowdReport;
 
-/// Longest time between two reports of an entry that has something waiting.
+/// Longest time between two reports of an entry with waiting requests.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Least time between two reports, of an entry that sees a crowd.
+/// Shortest time between two reports, for an entry that sees congestion.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a report that was not heard: control hosts without a leader have other work.
-/// At 300 hosts it took 8.5 s without it, and 1 s with it, until requests were served again
-/// after all processes had been killed (one play each).
+/// Further wait after a report that failed: control hosts without a leader have other work. At 300
+/// hosts, after all processes had been killed, it took 8.5 s without this wait and 1 s with it
+/// until requests were served again (one run each).
 const RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Time for a report: what is told later is of little use.
+/// Time limit of a report: a later reply would be outdated.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Reports regularly while requests wait at replicas, and sooner where one is crowded.
+/// Reports regularly while requests wait at replicas, and earlier if a replica is congested.
 pub async fn report_queued_tokens(core: Rc<EntryCore>) {
     let mut reported_empty = true;
     loop {
@@ -49,7 +50,7 @@
                 core.changed.notify_waiters();
             }
             Err(error) => {
-                tracing::debug!(%error, "a report of a crowd was not heard");
+                tracing::debug!(%error, "report of queued tokens failed");
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
--- a/src/forward/quotas.rs
+++ b/src/forward/quotas.rs
@@ -1,4 +1,4 @@
-//! Pays for requests out of their accounts' quotas, and draws from the leader's buckets.
+//! Charges requests to their accounts' quotas, and draws from the leader's token buckets.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,24 +11,24 @@
 use crate::ids::AccountName;
 use crate::table::quota::{QuotaAsk, QuotaCharge, QuotaGrants, QuotaHolder};
 
-/// Longest time between two questions of an entry whose accounts have demand.
+/// Longest time between two quota requests of an entry whose accounts have demand.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for an answer on quotas: a call to the leader takes two round trips and its
-/// batch of events; much longer, and it is lost.
+/// Longest wait for a quota reply: a call to the leader takes two round trips and one batch of
+/// events; a reply that takes much longer is lost.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
-/// Least time between two questions for quotas: what comes meanwhile shares the next.
+/// Shortest time between two quota requests: demand that arrives meanwhile shares the next one.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why an account does not pay for a request.
+/// Why a request cannot be charged to its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaRefusal {
-    /// It is at its limit, for so long.
+    /// The account is at its limit, for this long.
     Over(Duration),
-    /// No leader told what is left in time.
+    /// No leader replied in time.
     Unknown,
 }
 
-/// What an entry holds of all quotas, and who waits for more.
+/// Quotas held by an entry, and notifications for requests that wait for more.
 pub struct QuotaClient {
     held: RefCell<QuotaHolder>,
     demand: Notify,
@@ -36,7 +36,7 @@
 }
 
 impl QuotaClient {
-    /// Begins with what is held.
+    /// Creates a client with the given holder.
     pub fn new(held: QuotaHolder) -> Self {
         Self {
             held: RefCell::new(held),
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Pays for a request out of its account's quota, asking the leader where what was
-    /// drawn is spent. Returns how long the account is short where it is.
+    /// Charges a request to its account's quota, and requests more from the leader if the drawn
+    /// part is spent. Returns for how long the account is at its limit, if it is.
     pub async fn pay(&self, account: &AccountName, cost: u64) -> Result<(), QuotaRefusal> {
         self.held.borrow_mut().note(account, cost);
         let until = Instant::now() + REQUEST_TIMEOUT;
@@ -71,20 +71,20 @@
         }
     }
 
-    /// Gives back what a request cost that did not run.
+    /// Refunds the cost of a request that did not run.
     pub fn refund(&self, account: &AccountName, cost: u64) {
         let now_ms = clock::monotonic_ms();
         self.held.borrow_mut().refund(now_ms, account, cost);
     }
 
-    /// Forgets which accounts were short: limits have changed.
+    /// Forgets which accounts were at their limit, after a change of limits.
     pub fn forget_short(&self) {
         self.held.borrow_mut().forget_short();
     }
 }
 
-/// Draws from the quotas of accounts: regularly while there is demand, and at once when
-/// requests wait for it.
+/// Draws from the quotas of accounts: regularly while there is demand, and immediately if requests
+/// wait for it.
 pub async fn draw_quotas(core: Rc<EntryCore>) {
     loop {
         let demand = core.quotas.demand.notified();
@@ -109,7 +109,7 @@
                 quotas.take(number, sent_ms, now_ms, &grants);
             }
             Err(error) => {
-                tracing::debug!(%error, "quotas were not drawn");
+                tracing::debug!(%error, "quota request failed");
                 core.quotas.held.borrow_mut().miss();
             }
         }
@@ -128,7 +128,7 @@
             let (drawn, again_ms) = (grant.drawn, grant.again_ms);
             let (least, needed) = (claim.least, claim.needed);
             let number = ask.number;
-            tracing::info!(%account, number, least, needed, drawn, again_ms, "account short");
+            tracing::info!(%account, number, least, needed, drawn, again_ms, "account at its limit");
         }
     }
 }
--- a/src/forward/suspect_leases.rs
+++ b/src/forward/suspect_leases.rs
@@ -1,5 +1,5 @@
-//! Turns of suspect contents: an attempt asks the leader for its turn, and ends it once what
-//! it did is known. See [`crate::placement::turns`].
+//! Leases for suspect contents: an attempt requests a lease from the leader and releases it once
+//! its outcome is known. See [`crate::placement::turns`].
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use crate::placement::turns::{TurnAnswer, TurnAsk, TurnEnd};
 use crate::process::{crash_report, daemon};
 
-/// Time for one question for a turn.
+/// Time limit of a call that requests or releases a lease.
 const LEASE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time for the word that a content ran to its end.
+/// Time limit of the report that a content ran to completion.
 const CLEAR_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The turn of one attempt; ends when it is dropped.
+/// The lease of one attempt, released on drop.
 pub struct SuspectLeaseGuard {
     core: Rc<EntryCore>,
     end: TurnEnd,
-    /// What is being found out of a replica that broke off under it.
+    /// Investigation of the replica that lost the connection during the attempt.
     pub investigation: Option<Rc<CrashInvestigation>>,
-    /// It ran to its end.
+    /// Whether the attempt ran to completion.
     pub completed: bool,
 }
 
@@ -31,7 +31,7 @@
         let (core, end) = (self.core.clone(), self.end);
         let (investigation, completed) = (self.investigation.take(), self.completed);
         daemon::spawn_local(async move {
-            // The next attempt must be decided by what this one has done.
+            // The leader must know the outcome of this attempt before it grants the next lease.
             if let Some(investigation) = investigation {
                 investigation.finished().await;
             }
@@ -45,26 +45,26 @@
                 })
                 .await;
             if let Err(error) = ended {
-                tracing::debug!(%error, content = %end.content, "the end of a turn was not heard");
+                tracing::debug!(%error, content = %end.content, "release of a suspect lease failed");
             }
         });
     }
 }
 
-/// Whether a suspect's attempt may go to a replica.
+/// Whether an attempt may go to a replica.
 pub enum Clearance {
-    /// It may, for as long as this is held.
+    /// It may, while the lease is held. `None` if the content is not suspect.
     Go(Option<SuspectLeaseGuard>),
     /// Not now.
     Wait,
-    /// Another replica is better.
+    /// Another replica should be preferred.
     Elsewhere,
-    /// Not at all.
+    /// The content is quarantined.
     Quarantined,
 }
 
 impl EntryCore {
-    /// Asks whether an attempt of a content may go to a replica.
+    /// Requests a lease to run a content on a replica, if the content is suspect.
     pub async fn request_suspect_lease(self: &Rc<Self>, ask: TurnAsk) -> Clearance {
         match self.crashes.standing(&ask.content) {
             ContentStanding::Harmless => return Clearance::Go(None),
@@ -94,15 +94,15 @@
             Ok(TurnAnswer::Elsewhere) => Clearance::Elsewhere,
             Ok(TurnAnswer::Barred) => Clearance::Quarantined,
             Err(error) => {
-                tracing::debug!(%error, content = %end.content, "a turn was not asked");
-                // It may have been given all the same.
+                tracing::debug!(%error, content = %end.content, "request for a suspect lease failed");
+                // The lease may have been granted nevertheless.
                 drop(lease());
                 Clearance::Wait
             }
         }
     }
 
-    /// A content ran to its end, and its replica lives.
+    /// Reports that a content ran to completion on a replica, if the content is suspect.
     pub fn clear_suspect(self: &Rc<Self>, content: ContentDigest) {
         if matches!(self.crashes.standing(&content), ContentStanding::Suspect(_)) {
             let core = self.clone();
