--- a/src/forward/answer_separation.rs
+++ b/src/forward/answer_separation.rs
@@ -1,52 +1,52 @@
-//! Keeps long answers apart from prompts: which homes of a model are for which requests.
+//! Separation of long answers from prompts: which replicas that hold a model serve which requests.
 //!
-//! A replica that reads prompts without a break pauses all its streams. A short answer is
-//! over before that happens; a long one meets it sooner or later. So where a model has
-//! homes enough, a few are for its long answers and get less to read than the others.
-//! On two played days of a site with 103 entries and 180 replicas, 4,315 of 7,820 long
-//! answers kept their bounds instead of 3,852, and 2,967 of 6,852 instead of 2,823; of the
-//! short ones 1% and 4% fewer.
+//! A replica that processes prompts without a break stalls all its streams. A short answer ends
+//! before that happens; a long one is hit sooner or later. If enough replicas hold a model, some
+//! are therefore reserved for long answers and get fewer prompt tokens than the others. In two test
+//! runs of a day each, with 103 entries and 180 replicas, 4,315 instead of 3,852 of 7,820 long
+//! answers and 2,967 instead of 2,823 of 6,852 met their latency targets; of the short answers, 1%
+//! and 4% fewer did.
 //!
-//! Pure. All entries come to the same homes without telling each other, as the order of
-//! the homes follows from the model and the replicas alone.
+//! Pure. All entries compute the same assignment without communication, as the order of the
+//! replicas follows from the model and the replica ids alone.
 
 use crate::forward::need::Need;
 
-/// An answer is long from this multiple of the mean answer on.
+/// An answer is long if it exceeds the mean answer by this factor.
 const LONG_ANSWER_FACTOR: f64 = 1.5;
-/// How much less a home for long answers is to read than the mean home.
+/// How much fewer prompt tokens a replica for long answers gets than the average replica.
 const LIGHT_PREFILL_FACTOR: f64 = 2.0;
-/// Most part of the homes that is for long answers: where these are most of what is read,
-/// keeping them apart would crowd the few others.
+/// Largest fraction of the replicas reserved for long answers. If long answers have most of the
+/// prompt tokens, the few remaining replicas would be congested.
 const MAX_LONG_FRACTION: f64 = 0.5;
-/// Weight of the newest request in what is known of all: about the last hundred.
+/// Weight of the newest request in the means: covers about the last hundred requests.
 const MEAN_WEIGHT: f64 = 0.01;
-/// Requests that are seen before homes are set apart.
+/// Requests observed before replicas are reserved.
 const MIN_REQUESTS: u32 = 30;
 
-/// What the answers of a service are like, as this entry sees its requests.
+/// Statistics of a service's answers, from the requests of this entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AnswerStats {
     requests: u32,
     mean_answer: f64,
-    /// Tokens of a mean prompt, and those of them that belong to long answers.
+    /// Mean prompt tokens of a request, and the part of them that belongs to long answers.
     prompt_mean: f64,
     long_prompt_mean: f64,
 }
 
-/// Which of a model's homes a request is for, in the order that all entries know.
+/// Which of a model's replicas a request prefers, by index in the order that all entries share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HomeRange {
-    /// Any.
+    /// All replicas.
     All,
-    /// Those before this place.
+    /// Those before this index.
     Before(usize),
-    /// Those from this place on.
+    /// Those from this index on.
     From(usize),
 }
 
 impl HomeRange {
-    /// Whether the home at a place is meant.
+    /// Whether the replica at an index is in the range.
     pub fn contains(self, index: usize) -> bool {
         match self {
             Self::All => true,
@@ -61,10 +61,10 @@
 }
 
 impl AnswerStats {
-    /// Takes a request into account.
+    /// Adds a request to the statistics.
     pub fn observe(&mut self, need: &Need) {
         self.requests = self.requests.saturating_add(1);
-        // The first ones count alike, so that the mean is right soon.
+        // The first requests have equal weight, so that the mean is accurate early.
         let step = MEAN_WEIGHT.max(1.0 / f64::from(self.requests));
         let long = self.is_long(need);
         let prompt = need.prompt_tokens as f64;
@@ -78,7 +78,7 @@
         answer_tokens(need) > self.mean_answer * LONG_ANSWER_FACTOR
     }
 
-    /// The homes that a request is for, of so many.
+    /// Returns the range that a request prefers among `homes` replicas.
     pub fn homes_for(&self, need: &Need, homes: usize) -> HomeRange {
         if self.requests < MIN_REQUESTS || self.prompt_mean <= 0.0 {
             return HomeRange::All;
--- a/src/forward/budget.rs
+++ b/src/forward/budget.rs
@@ -1,5 +1,5 @@
-//! The budget for sending requests again: a share of the requests, plus this
-//! entry's part of the slack that all entries have together.
+//! Retry budget: each request earns a fraction of a resend, and each entry may save up its share of
+//! the slack of all entries.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
 
 use crate::ids::ServiceName;
 
-/// How much may be sent again.
+/// Limits on resends.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ResendPolicy {
-    /// Resends that each request earns its service.
+    /// Resends that each request earns for its service.
     pub earned: f64,
     /// Resends that all entries together may save up for a service.
     pub slack: f64,
@@ -26,10 +26,10 @@
     }
 }
 
-/// Entries assumed until the leader has told how many there are.
+/// Number of entries assumed until the leader reports it.
 const DEFAULT_ENTRIES: u32 = 8;
 
-/// The budgets of one entry, by service.
+/// Retry budgets of one entry, by service.
 #[derive(Clone, Debug)]
 pub struct ResendBudget {
     policy: ResendPolicy,
@@ -38,7 +38,7 @@
 }
 
 impl ResendBudget {
-    /// Full budgets.
+    /// Creates full budgets.
     pub fn new(policy: ResendPolicy) -> Self {
         Self {
             policy,
@@ -47,24 +47,24 @@
         }
     }
 
-    /// How many entries share the slack.
+    /// Sets the number of entries that share the slack.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
     fn capacity(&self) -> f64 {
-        // Less than one would never allow any.
+        // A capacity below one would never allow a resend.
         (self.policy.slack / f64::from(self.entries)).max(1.0)
     }
 
-    /// Earns for a request.
+    /// Earns the share of one request.
     pub fn earn(&mut self, service: &ServiceName) {
         let capacity = self.capacity();
         let balance = self.balances.entry(service.clone()).or_insert(capacity);
         *balance = (*balance + self.policy.earned).min(capacity);
     }
 
-    /// Spends one resend, if there is one.
+    /// Spends one resend and returns whether there was one.
     pub fn spend(&mut self, service: &ServiceName) -> bool {
         let capacity = self.capacity();
         let balance = self.balances.entry(service.clone()).or_insert(capacity);
--- a/src/forward/caller.rs
+++ b/src/forward/caller.rs
@@ -1,8 +1,8 @@
-//! Who sends a request: the key that it shows, the account that holds it, and whether
-//! the account may act now.
+//! Authentication of callers: the key in a request, the account that holds it, and whether the
+//! account is authorized now.
 //!
-//! A key is obeyed only while no newer configuration can have taken it away for longer
-//! than the bound of the settings; see [`crate::routing::authority`].
+//! A key is accepted only if this entry has a proof, not older than the limit in the settings, that
+//! its configuration is the newest; see [`crate::routing::authority`].
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -14,22 +14,22 @@
 use crate::table::accounts::{AccountSpec, KeyDigest, QuotaSpec};
 use crate::table::configuration::RouteSpec;
 
-/// What stands before a key, with one space.
+/// Prefix of a key in the header.
 const AUTH_SCHEME: &str = "Bearer ";
-/// Longest key, in bytes: nobody digests more for a caller that is not known.
+/// Longest key, in bytes: bounds the hashing done for unknown callers.
 const MAX_KEY_BYTES: usize = 512;
 
-/// Why a caller may not act.
+/// Why a caller is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerRefusal {
-    /// It shows no key, or one that no account holds.
+    /// The request has no key, or one that no account holds.
     Key,
-    /// Whether its key is still held is not known here.
+    /// This entry does not know whether the key is still valid.
     Stale,
 }
 
 impl CallerRefusal {
-    /// The status that the caller gets.
+    /// Status of the response.
     pub fn status(self) -> u16 {
         match self {
             Self::Key => 401,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The reason that the caller is told.
+    /// Reason in the response.
     pub fn text(self) -> &'static str {
         match self {
             Self::Key => "no known key",
@@ -46,16 +46,16 @@
     }
 }
 
-/// A caller that was let in.
+/// An authenticated caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerIdentity {
-    /// The key by which it was let in.
+    /// The key that was presented.
     key: KeyDigest,
     /// The account that holds the key.
     pub account: AccountName,
-    /// Its rank, in place of the route's.
+    /// Rank of the account; replaces the route's.
     pub priority: Option<u32>,
-    /// Its quota, if it has one.
+    /// Quota of the account, if it has one.
     pub quota: Option<QuotaSpec>,
     /// Regions in which its requests may be served; empty for all.
     pub regions: BTreeSet<RegionName>,
@@ -73,8 +73,8 @@
     }
 }
 
-/// The key that a request shows: one header, of the one scheme, with a key that is
-/// neither empty nor overlong.
+/// Returns the digest of the key in a request: exactly one header with the expected scheme, and a
+/// non-empty key of at most [`MAX_KEY_BYTES`] bytes.
 pub fn presented_key(headers: &[Header], name: &str) -> Option<KeyDigest> {
     let mut matching = headers
         .iter()
@@ -88,8 +88,8 @@
     valid.then(|| KeyDigest::of(key))
 }
 
-/// Lets a request in. None where nobody has to say who it is: there are no accounts, or
-/// the route is public and no known key is shown.
+/// Authenticates a request. Returns `None` if no key is needed: there are no accounts, or the route
+/// is public and no known key is presented.
 pub async fn identify(
     core: &Rc<EntryCore>,
     routing: &Routing,
@@ -105,7 +105,7 @@
     match (known, key) {
         (None, _) if route.public => Ok(None),
         (None, None) => Err(CallerRefusal::Key),
-        // The key may be newer than what is known here.
+        // The key may be newer than the configuration known here.
         (None, Some(_)) if !core.await_authority(max_wait).await => Err(CallerRefusal::Stale),
         (None, Some(key)) => {
             core.catch_up();
@@ -118,8 +118,8 @@
     }
 }
 
-/// Whether a caller that was let in may still act, at the last moment before its request
-/// leaves: it may have waited, or this process may have stood still.
+/// Whether an authenticated caller is still authorized, checked right before its request is sent:
+/// the request may have waited, or this process may have been suspended.
 pub fn recheck_caller(
     core: &EntryCore,
     caller: Option<&CallerIdentity>,
@@ -138,12 +138,12 @@
     }
 }
 
-/// The caller that shows a key, by one configuration.
+/// Returns the caller that holds a key, by the given configuration.
 fn find_caller(routing: &Routing, key: KeyDigest) -> Option<CallerIdentity> {
     find_holder(routing, &key).map(|account| CallerIdentity::new(key, account))
 }
 
-/// Who holds a key by one configuration.
+/// Returns the account that holds a key, by the given configuration.
 fn find_holder<'a>(routing: &'a Routing, key: &KeyDigest) -> Option<&'a AccountSpec> {
     let accounts = routing.configuration.accounts.as_ref()?;
     accounts.accounts.get(routing.keys.find(key)?)
--- a/src/forward/chunked.rs
+++ b/src/forward/chunked.rs
@@ -1,15 +1,15 @@
-//! Decodes bodies that come in chunks. Pure: bytes in, bytes out.
+//! Decoder of the chunked transfer coding. Pure: bytes in, bytes out.
 
 use snafu::Snafu;
 
-/// Longest line of a chunk's size or of a trailer.
+/// Longest chunk-size or trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 1024;
-/// Longest trailers.
+/// Longest trailer section, in bytes.
 const MAX_TRAILER_BYTES: usize = 16 * 1024;
 
-/// The chunks do not have the form.
+/// The chunked coding is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the chunks of the body are malformed"))]
+#[snafu(display("malformed chunked body"))]
 pub struct ChunkError;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     Done,
 }
 
-/// Where a body in chunks has come to.
+/// State of a chunked body.
 #[derive(Clone, Debug)]
 pub struct ChunkDecoder {
     step: Step,
@@ -34,13 +34,13 @@
 }
 
 impl ChunkDecoder {
-    /// Whether the last chunk and the trailers have come.
+    /// Whether the last chunk and the trailers have been decoded.
     pub fn is_done(&self) -> bool {
         self.step == Step::Done
     }
 
-    /// Takes what it can from `input`, appends the body's bytes to `output`,
-    /// and returns how many bytes of `input` it has taken.
+    /// Consumes bytes of `input`, appends the decoded body to `output` and returns the number of
+    /// bytes consumed.
     pub fn decode(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<usize, ChunkError> {
         let mut taken = 0;
         loop {
@@ -86,7 +86,7 @@
     }
 }
 
-/// The first line without its end, and its length with it.
+/// Returns the first line without its end, and its length including the end.
 fn line(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, ChunkError> {
     match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) if end > 0 && bytes[end - 1] == b'\r' => Ok(Some((&bytes[..end - 1], end + 1))),
--- a/src/forward/client.rs
+++ b/src/forward/client.rs
@@ -1,5 +1,5 @@
-//! Connections from clients: reads requests whole, has each answered, and
-//! notices when the client leaves.
+//! Connections of clients: reads complete requests, has each one served, and detects when the
+//! client disconnects.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -21,43 +21,44 @@
 
 /// Bytes read at once.
 const READ_SIZE: usize = 16 * 1024;
-/// Bytes of later requests that are read while one is answered.
+/// Bytes of later requests that are read while one is being served.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
-/// How long a refused client's bytes are read before its connection is closed,
-/// so that it can read why.
+/// How long the bytes of a refused client are read before its connection is closed, so that the
+/// client can read the refusal.
 const LINGER_TIME: Duration = Duration::from_millis(300);
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The head.
     pub head: RequestHead,
     /// The body.
     pub body: Vec<u8>,
-    /// When its head was whole.
+    /// When the head was complete.
     pub since: Instant,
-    /// The same by [`clock::monotonic_ms`], by which its time runs out.
+    /// The same on the clock of [`clock::monotonic_ms`], which the deadline is based on.
     pub since_ms: u64,
 }
 
-/// Writes answers to one client.
+/// Writes responses to one client.
 pub struct ClientWriter {
     stream: OwnedWriteHalf,
-    /// Bytes of the current answer have left.
+    /// Whether bytes of the current response were sent.
     begun: bool,
-    /// Longest time in which the client takes nothing.
+    /// Longest time in which the client may accept no bytes.
     stall: Duration,
 }
 
 impl ClientWriter {
-    /// Whether bytes of the current answer have left.
+    /// Whether bytes of the current response were sent.
     pub fn has_begun(&self) -> bool {
         self.begun
     }
 
-    /// Writes bytes of the current answer. Meanwhile nothing more is read of it, so that no
-    /// more than one piece is held for a client that reads slowly. One that takes nothing for
-    /// [`ForwardSettings::stall_ms`] has gone: its replica would hold the rest for it.
+    /// Writes bytes of the current response. No more of the response is read meanwhile, so that at
+    /// most one piece is buffered for a slow client. A client that accepts nothing for
+    /// [`ForwardSettings::stall_ms`] counts as disconnected, as its replica would have to buffer
+    /// the rest.
     pub async fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.begun = true;
         let mut rest = bytes;
@@ -74,30 +75,30 @@
     }
 }
 
-/// What becomes of the connection after an answer.
+/// What happens to the connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterResponse {
     /// It may carry another request.
     Keep,
-    /// It is closed in good order.
+    /// It is closed gracefully.
     Close,
-    /// It is cut: the answer must not look whole.
+    /// It is cut, so that the response does not look complete.
     Cut,
 }
 
 enum ReadError {
-    /// The client closed, or was idle for too long.
+    /// The client disconnected, or was idle for too long.
     Disconnected,
-    /// The entry stops, and no request has come.
+    /// The entry is stopping, and no request has arrived.
     Idle,
-    /// The request is refused with this status, and nothing more is read.
+    /// The request is refused with this status and reason, and nothing more is read.
     Refused(u16, &'static str),
 }
 
 struct ClientReader {
     stream: OwnedReadHalf,
     buffer: Vec<u8>,
-    /// A request has been answered on the connection.
+    /// Whether a request has been served on the connection.
     served: bool,
 }
 
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Returns when the client has left.
+    /// Returns when the client has disconnected.
     async fn disconnected(&mut self) {
         loop {
             if self.buffer.len() > MAX_PIPELINED_BYTES {
@@ -132,7 +133,7 @@
         if self.buffer.is_empty() {
             let served = self.served;
             tokio::select! {
-                // A request that has come already is taken before the connection is closed.
+                // A request that has already arrived is served before the connection is closed.
                 biased;
                 first = tokio::time::timeout(idle, self.fill()) => {
                     first.map_err(|_| ReadError::Disconnected)??;
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Reads and drops what the client still sends, so that a refusal reaches it.
+    /// Reads and discards what the client still sends, so that it can read the refusal.
     async fn linger(&mut self) {
         let drain = async {
             while self.fill().await.is_ok() {
@@ -217,7 +218,7 @@
     }
 }
 
-/// Serves one client's connection until it ends.
+/// Serves one client connection until it ends.
 pub async fn serve(core: Rc<EntryCore>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
@@ -267,7 +268,7 @@
     let answered = request::answer(core, &request, writer);
     tokio::select! {
         after = answered => after,
-        // Dropping the answer closes the connection to the replica.
+        // Dropping the response closes the connection to the replica.
         () = reader.disconnected() => AfterResponse::Cut,
     }
 }
--- a/src/forward/dialect.rs
+++ b/src/forward/dialect.rs
@@ -1,40 +1,40 @@
-//! The names of the headers that callers, replicas and this system share. They
-//! belong to whoever deploys the system.
+//! Names of the HTTP headers shared by callers, replicas and this system. They are set by the
+//! deployment.
 
-/// Names of headers, in the case they are sent in.
+/// Header names, in the case in which they are sent.
 #[derive(Clone, Copy, Debug)]
 pub struct HeaderNames {
-    /// Identity of one attempt of a client; a replica's answer carries it back.
+    /// Id of one attempt of a client; the replica returns it in its response.
     pub request_id: &'static str,
-    /// Milliseconds that the caller will wait.
+    /// Time that the caller will wait, in milliseconds.
     pub deadline_ms: &'static str,
-    /// Signs a replica's own answers.
+    /// Marks responses produced by the replica itself.
     pub stamp: &'static str,
-    /// The replica's life that alone may run the request.
+    /// The replica instance that alone may run the request.
     pub expect_replica: &'static str,
-    /// Says that a replica did not run the request.
+    /// Marks a response to a request that the replica did not run.
     pub not_executed: &'static str,
     /// A replica's running and waiting requests, and its slots.
     pub load: &'static str,
-    /// Says that a replica leaves; in all its answers from then on.
+    /// Announces that a replica is shutting down; in all its responses from then on.
     pub leaving: &'static str,
-    /// The requests a second that a replica takes from all entries together, in all its
-    /// answers for as long as that holds.
+    /// Requests per second that a replica accepts from all entries together; in all its responses
+    /// while the limit holds.
     pub limit: &'static str,
     /// The model, and after a slash its adapter.
     pub model: &'static str,
-    /// Tokens of the prompt, and the most that may be produced.
+    /// Prompt tokens and the maximum number of output tokens.
     pub tokens: &'static str,
     /// Parts of the prompt, as `ID:TOKENS` pairs.
     pub prefix: &'static str,
-    /// Urgency for the engine, 0 first.
+    /// Urgency for the engine; 0 is the most urgent.
     pub priority: &'static str,
-    /// Carries a caller's key, after the word `Bearer`.
+    /// The caller's key, after the word `Bearer`.
     pub key: &'static str,
-    /// The account that holds the caller's key, for replicas.
+    /// Tells the replica which account holds the caller's key.
     pub account: &'static str,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller received.
     pub last_event: &'static str,
-    /// Headers that only this system may set: dropped from clients' requests.
+    /// Headers that only this system may set; removed from clients' requests.
     pub reserved: &'static [&'static str],
 }
--- a/src/forward/events.rs
+++ b/src/forward/events.rs
@@ -1,10 +1,10 @@
-//! Cuts a stream of server-sent events at event borders, so that a caller
-//! never gets a part of an event whose rest may not come.
+//! Splits a stream of server-sent events at event boundaries, so that a caller never receives part
+//! of an event whose rest may not follow.
 
-/// Longest event that is held back for its end, in bytes.
+/// Longest event that is buffered until it is complete, in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// The events that have come whole, and the start of the next one.
+/// Counts complete events and buffers the start of the next one.
 #[derive(Clone, Debug, Default)]
 pub struct EventBuffer {
     buffer: Vec<u8>,
@@ -12,32 +12,32 @@
     count: u64,
 }
 
-/// An event grew beyond every bound.
+/// An event exceeds [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventTooLong;
 
 impl EventBuffer {
-    /// The id of the last whole event.
+    /// Id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whole events so far.
+    /// Number of complete events so far.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Whether the stream stands between two events.
+    /// Whether no part of an event is buffered.
     pub fn is_at_boundary(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Forgets the start of an event that breaks off.
+    /// Discards the buffered part of an event that was cut off.
     pub fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 
-    /// Takes bytes and returns the whole events among them, with what was held.
+    /// Adds bytes and returns all events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<u8>, EventTooLong> {
         let from = self.buffer.len().saturating_sub(3);
         self.buffer.extend_from_slice(bytes);
@@ -68,7 +68,7 @@
     }
 }
 
-/// The end of the last event, looked for from `from` on.
+/// Returns the end of the last event, searched from `from` on.
 fn last_boundary(bytes: &[u8], from: usize) -> Option<usize> {
     let ends_at = |end: usize| {
         let head = &bytes[..end];
--- a/src/forward/head.rs
+++ b/src/forward/head.rs
@@ -1,14 +1,14 @@
-//! Heads of requests and answers: parsed by `httparse`, checked so that no
-//! request can hide in another, and written again for the next hop.
+//! Heads of requests and responses: parsed with `httparse`, checked against request smuggling, and
+//! rewritten for the next hop.
 
 use std::fmt::Write;
 
 use snafu::Snafu;
 
-/// Most headers of one head.
+/// Most headers in one head.
 const MAX_HEADERS: usize = 100;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -21,72 +21,72 @@
     "upgrade",
 ];
 
-/// Why a head cannot be used.
+/// Why a head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum HeadError {
-    /// It is not HTTP/1.
-    #[snafu(display("the head is malformed"))]
+    /// Not a valid HTTP/1 head.
+    #[snafu(display("malformed HTTP head"))]
     Malformed,
-    /// It has too many headers.
-    #[snafu(display("the head has more than {MAX_HEADERS} headers"))]
+    /// Too many headers.
+    #[snafu(display("more than {MAX_HEADERS} headers in the HTTP head"))]
     TooMany,
-    /// The length of its body is told twice or not at all clear.
-    #[snafu(display("the length of the body is not clear"))]
+    /// The length of the body is ambiguous.
+    #[snafu(display("ambiguous length of the body"))]
     Framing,
 }
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// By this number of bytes.
     Length(u64),
-    /// In chunks.
+    /// By the chunked coding.
     Chunked,
-    /// Until the connection closes.
+    /// By the end of the connection.
     Close,
 }
 
-/// A header as it came.
+/// A header's name and value, as received.
 pub type Header = (String, String);
 
-/// The head of a request.
+/// Head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
     /// The method.
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// HTTP/1.1, else HTTP/1.0.
+    /// HTTP/1.1 if set, otherwise HTTP/1.0.
     pub is_http11: bool,
     /// The headers, in order.
     pub headers: Vec<Header>,
-    /// The body's length.
+    /// How the end of the body is determined.
     pub framing: Framing,
 }
 
-/// The head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
     /// The reason phrase.
     pub reason: String,
-    /// HTTP/1.1, else HTTP/1.0.
+    /// HTTP/1.1 if set, otherwise HTTP/1.0.
     pub is_http11: bool,
     /// The headers, in order.
     pub headers: Vec<Header>,
-    /// The body's length.
+    /// How the end of the body is determined.
     pub framing: Framing,
 }
 
-/// The first value of a header.
+/// Returns the first value of a header.
 pub fn find<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
     let mut headers = headers.iter();
     let found = headers.find(|(other, _)| other.eq_ignore_ascii_case(name));
     found.map(|(_, value)| value.as_str())
 }
 
-/// All values of a header, in order.
+/// Returns all values of a header, in order.
 pub fn find_all<'a>(headers: &'a [Header], name: &str) -> impl Iterator<Item = &'a str> {
     let same = headers
         .iter()
@@ -94,14 +94,14 @@
     same.map(|(_, value)| value.as_str())
 }
 
-/// Whether a comma-separated header names a token.
+/// Whether a comma-separated header contains a token.
 pub fn names_token(headers: &[Header], name: &str, token: &str) -> bool {
     find_all(headers, name)
         .flat_map(|value| value.split(','))
         .any(|part| part.trim().eq_ignore_ascii_case(token))
 }
 
-/// Parses a request's head; none while it is not whole. Returns its length too.
+/// Parses the head of a request and returns it with its length, or `None` if it is incomplete.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, HeadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -131,7 +131,7 @@
     Ok(Some((head, len)))
 }
 
-/// Parses an answer's head; none while it is not whole. Returns its length too.
+/// Parses the head of a response and returns it with its length, or `None` if it is incomplete.
 pub fn parse_response(
     bytes: &[u8],
     request_method: &str,
@@ -169,7 +169,7 @@
     headers.iter().map(copy).collect()
 }
 
-/// The length that `Content-Length` tells; an error where it tells several.
+/// Returns the value of `Content-Length`. Differing or malformed values are an error.
 fn content_length(headers: &[Header]) -> Result<Option<u64>, HeadError> {
     let mut length = None;
     for (name, value) in headers {
@@ -187,7 +187,7 @@
     Ok(length)
 }
 
-/// The one transfer coding that is taken; an error for any other.
+/// Whether the body has the chunked coding. Any other transfer coding is an error.
 fn is_chunked(headers: &[Header]) -> Result<bool, HeadError> {
     let mut codings = headers
         .iter()
@@ -216,8 +216,8 @@
     }
 }
 
-/// The headers that go to the next hop: without those of the connection and
-/// those that `drop` names.
+/// Returns the headers for the next hop: without hop-by-hop headers, `Content-Length` and those
+/// listed in `drop`.
 pub fn end_to_end<'a>(
     headers: &'a [Header],
     drop: &'a [&'a str],
@@ -230,12 +230,12 @@
     })
 }
 
-/// Writes one header line.
+/// Appends one header line.
 pub fn push_header(text: &mut String, name: &str, value: &str) {
     let _ = write!(text, "{name}: {value}\r\n");
 }
 
-/// The standard reason phrase of the statuses that this system gives itself.
+/// Returns the standard reason phrase of the statuses that this system produces itself.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/src/forward/locality.rs
+++ b/src/forward/locality.rs
@@ -1,17 +1,18 @@
-//! Where an entry stands, and how far replicas are from it.
+//! Location of an entry, and its distance to data halls.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{HallName, RegionName};
 
-/// How far a data hall is.
+/// Distance from an entry to a data hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HallDistance {
-    /// The entry's own.
+    /// The entry's own hall.
     SameHall,
-    /// Another one in its region.
+    /// Another hall in the entry's region.
     SameRegion,
-    /// In another region: links between regions are long, narrow and dear.
+    /// A hall in another region: links between regions have high latency, low bandwidth and high
+    /// cost.
     OtherRegion,
 }
 
@@ -23,7 +24,7 @@
 }
 
 impl EntryLocation {
-    /// The place of an entry in `hall`.
+    /// Creates the location of an entry in `hall`.
     pub fn new(hall: HallName, regions: BTreeMap<HallName, RegionName>) -> Self {
         Self {
             hall: Some(hall),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// How far a data hall is. Halls without a region count as one region.
+    /// Returns the distance to a data hall. Halls without a region count as one region.
     pub fn distance(&self, hall: &HallName) -> HallDistance {
         let own = self.hall.as_ref();
         let region = |hall: &HallName| self.regions.get(hall);
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Whether what may be served in these regions only may be served in a data hall.
+    /// Whether a request limited to these regions may be served in a data hall.
     pub fn may_serve(&self, hall: &HallName, regions: &AllowedRegions) -> bool {
         match regions {
             AllowedRegions::All => true,
@@ -57,15 +58,16 @@
 /// Regions in which a request may be served.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum AllowedRegions {
-    /// All of them.
+    /// All regions.
     #[default]
     All,
-    /// These.
+    /// Only these regions.
     Only(BTreeSet<RegionName>),
 }
 
 impl AllowedRegions {
-    /// By the words of a route and of an account, which both bind; an empty one binds nothing.
+    /// Combines the regions of a route and of an account. Both apply; an empty set is no
+    /// restriction.
     pub fn of(route: &BTreeSet<RegionName>, account: Option<&BTreeSet<RegionName>>) -> Self {
         let account = account.filter(|regions| !regions.is_empty());
         match (route.is_empty(), account) {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Whether there is no such region.
+    /// Whether no region is allowed.
     pub fn is_none(&self) -> bool {
         matches!(self, Self::Only(regions) if regions.is_empty())
     }
--- a/src/forward/max_wait.rs
+++ b/src/forward/max_wait.rs
@@ -1,22 +1,23 @@
-//! How long a request waits at the entry before it is rejected as not run.
+//! How long a request waits at an entry before it is rejected as not run.
 //!
-//! Pure. What surely cannot be served in time is rejected at once, and what can be served,
-//! if late, is not given up before that.
+//! Pure. A request that cannot be served in time is rejected at once; one that can still be served,
+//! even if late, is not rejected before that.
 
 use std::time::Duration;
 
-/// Time from the first request for a model that is nowhere until its load begins: the
-/// leader learns of the demand, and another model has to go first.
+/// Time from the first request for a model that no replica holds until its load starts: the leader
+/// has to learn of the demand, and another model to be unloaded first.
 const LOAD_START_DELAY: Duration = Duration::from_millis(2_000);
 
-/// How long a request waits for room where all homes are full; `fraction` of its aim.
+/// How long a request waits for free capacity if all replicas are full: a fraction of its latency
+/// target.
 pub fn capacity_wait(aim: Duration, fraction: f64) -> Duration {
     aim.mul_f64(fraction)
 }
 
-/// How long a request waits in all for a model that no replica holds: until its load,
-/// which takes `load`, should be over; not at all where that is after the request's time.
-/// A load that has begun is over sooner than a whole one takes, so what was waited counts.
+/// How long a request waits in total for a model that no replica holds: until its load, which takes
+/// `load`, should be complete, or not at all if that is after the deadline. A load that has already
+/// started completes earlier, so the time waited so far counts.
 pub fn load_wait(load: Duration, waited: Duration, left: Duration) -> Duration {
     let expected = LOAD_START_DELAY + load;
     match expected.saturating_sub(waited) < left {
--- a/src/forward/mod.rs
+++ b/src/forward/mod.rs
@@ -1,9 +1,9 @@
-//! The way of a request straight to a replica that registered itself.
+//! Forwarding of requests directly to replicas that register themselves.
 //!
-//! Data flows one way: [`client`] reads a request, [`request`] decides what
-//! becomes of it by [`replica_table`], and [`upstream`] carries it to a replica; [`own_answer`]
-//! is what a caller gets that no replica answers. Parsing is in [`head`], [`chunked`] and
-//! [`events`], all pure.
+//! Data flows one way: [`client`] reads a request, [`request`] decides how to serve it using
+//! [`replica_table`], and [`upstream`] sends it to a replica. [`own_answer`] builds the responses
+//! that do not come from a replica. Parsing is in [`head`], [`chunked`] and [`events`], which do no
+//! I/O.
 
 pub mod answer_separation;
 pub mod budget;
--- a/src/forward/need.rs
+++ b/src/forward/need.rs
@@ -1,4 +1,4 @@
-//! What a request needs of a replica, and how replicas are weighed for it.
+//! What a request needs of a replica, and the weights used to choose one.
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -7,7 +7,7 @@
 use crate::ids::{ModelName, ServiceName};
 use crate::table::configuration::SLACK_RANKS;
 
-/// Degrees of urgency.
+/// Number of urgency levels.
 pub(super) const URGENCY_LEVELS: usize = 10;
 
 /// What a request needs of a replica.
@@ -19,53 +19,56 @@
     pub model: Option<ModelName>,
     /// An adapter of the model.
     pub adapter: Option<String>,
-    /// Names the shared start of the prompt.
+    /// Hash of the prompt prefix that the request shares with others.
     pub prefix: Option<u64>,
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt and the answer.
+    /// Prompt tokens and the maximum number of output tokens.
     pub tokens: u64,
-    /// Urgency, 0 to 9; 0 goes first.
+    /// Urgency from 0 to 9; 0 is the most urgent.
     pub urgency: usize,
-    /// Time within which the answer should begin, in milliseconds.
+    /// Time within which the response should start, in milliseconds.
     pub limit_ms: u64,
-    /// Regions in which it may be served.
+    /// Regions in which the request may be served.
     pub regions: AllowedRegions,
-    /// Drawn for the request: spreads requests of different entries evenly.
+    /// Hash of the request's id: breaks ties, so that requests of different entries spread evenly.
     pub id_hash: u64,
 }
 
-/// How replicas are weighed against each other. Costs are in requests that wait.
+/// Weights for the choice of a replica. The unit of costs is one waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ChoicePolicy {
     /// Cost of a request that already runs on the replica.
     pub running_cost: f64,
-    /// Cost of a replica in another hall.
+    /// Cost of a replica in another hall of the region.
     pub hall_cost: f64,
     /// Cost of a replica in another region.
     pub region_cost: f64,
-    /// Gain where the replica has read the shared start of the prompt.
+    /// Gain if the replica has processed the shared prompt prefix.
     pub prefix_gain: f64,
-    /// Cost of a whole failure rate.
+    /// Cost of a failure rate of 1.
     pub failure_cost: f64,
-    /// Time by which a report of others' load has faded, in milliseconds.
+    /// Age at which a report of other entries' load has faded out, in milliseconds.
     pub fade_ms: u64,
     /// Cost of a replica on whose host work takes twice as long as usual.
     pub work_cost: f64,
-    /// Time by which half of such a word has faded, in milliseconds: hosts that are shared
-    /// with others change many times a second.
+    /// Half-life of the reported work duration, in milliseconds: the load of shared hosts changes
+    /// many times a second.
     pub work_fade_ms: u64,
-    /// First pause of a replica that fails, in milliseconds; it doubles.
+    /// Length of the first ejection of a failing replica, in milliseconds; it doubles with each
+    /// further one.
     pub eject_ms: u64,
-    /// Longest such pause, in milliseconds.
+    /// Longest ejection, in milliseconds.
     pub eject_max_ms: u64,
-    /// Cost of a home that is for requests of the other kind, long answers or short ones:
-    /// less than two requests that wait, so that it is used where the others are crowded.
+    /// Cost of a replica that is reserved for requests of the other kind (long or short answers).
+    /// Less than two waiting requests, so that the replica is used if the others are congested.
     pub apart_cost: f64,
-    /// At replicas, what can wait lets others go first, within the rank of its account.
+    /// Whether requests of routes with more slack get a lower urgency at replicas, within the rank of
+    /// their account.
     pub by_slack: bool,
-    /// Part of the aim that a request waits for room, before it is refused; 0 to 10.
+    /// Fraction of the latency target that a request waits for free capacity before it is refused;
+    /// 0 to 10.
     #[serde(deserialize_with = "read_room_part")]
     pub room_part: f64,
 }
@@ -90,12 +93,12 @@
     }
 }
 
-/// The last of the ten places in the order at a replica.
+/// The lowest urgency level.
 const LAST_URGENCY: u32 = URGENCY_LEVELS as u32 - 1;
 
 impl ChoicePolicy {
-    /// A request's place in the order at a replica: by the rank of its account, or of its
-    /// route where it has none, and by how well it can wait; see
+    /// Computes a request's urgency level at a replica: from the rank of its account, or of its
+    /// route if the account has none, and from its slack; see
     /// [`crate::table::configuration::slack_ranks`].
     pub fn urgency(&self, rank: Option<u32>, priority: u32, slack: u32) -> usize {
         let place = match rank {
--- a/src/forward/own_answer.rs
+++ b/src/forward/own_answer.rs
@@ -1,4 +1,4 @@
-//! Answers of this system's own: why a request is refused, and how a caller is told.
+//! Responses that this system produces itself: reasons for refusal, and how they are sent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 use crate::forward::head;
 use crate::forward::quotas::QuotaRefusal;
 
-/// When a caller comes back whose key or quota is not known here: an election takes longer,
-/// but another entry may know.
+/// Retry time if the caller's key or quota is not known here: an election takes longer, but another
+/// entry may know.
 pub(super) const UNKNOWN_RETRY: Duration = Duration::from_millis(200);
 
 /// Why a request is refused without having run.
@@ -18,36 +18,36 @@
 pub(super) enum Refusal {
     /// All replicas are full.
     Full,
-    /// All replicas asked to be left alone for longer than it can wait.
+    /// All replicas asked for a backoff that is longer than the request can wait.
     Paused,
     /// All replicas are in evacuated halls.
     Evacuated,
-    /// Its route and its account allow no region in common.
+    /// The request's route and its account allow no region in common.
     NoRegion,
-    /// All replicas take few requests, and none of them one more in time.
+    /// All replicas are rate limited, and none can take another request in time.
     RateLimited,
-    /// No replica holds the model, and it cannot be there in time.
+    /// No replica holds the model, and it cannot be loaded in time.
     Absent,
-    /// The adapter did not come in time.
+    /// The adapter was not loaded in time.
     Adapter,
-    /// Time ran out before it was sent.
+    /// The deadline passed before the request was sent.
     DeadlinePassed,
-    /// Replicas refused it, and the budget for sending it again is spent.
+    /// Replicas refused the request, and the retry budget or the limit of refusals is exhausted.
     Budget,
-    /// This entry stops before such a stream is likely to end.
+    /// This entry stops before the stream is likely to end.
     Stopping,
-    /// A replica ended under it, and another attempt of it is being tried.
+    /// A replica crashed during the request, and another attempt of it holds the lease.
     Suspect,
-    /// Too many replicas ended under it.
+    /// Too many replicas crashed during the request.
     Quarantined,
-    /// The caller may not act, or not any more.
+    /// The caller is not authorized, or not any more.
     Caller(CallerRefusal),
-    /// Its account does not pay for it.
+    /// The request could not be charged to its account.
     Quota(QuotaRefusal),
 }
 
 impl Refusal {
-    /// What the caller is told.
+    /// Returns the reason shown to the caller.
     pub(super) fn text(self) -> &'static str {
         match self {
             Self::Full => "all replicas are full",
@@ -60,7 +60,7 @@
             Self::DeadlinePassed => "time ran out before it was sent",
             Self::Budget => "replicas refused it",
             Self::Stopping => "this entry stops before it would end",
-            Self::Suspect => "a replica ended under it, and another attempt is tried",
+            Self::Suspect => "a replica ended under it, and another attempt of it is tried first",
             Self::Quarantined => "replicas ended under it each time: it is sent no more",
             Self::Caller(refusal) => refusal.text(),
             Self::Quota(QuotaRefusal::Over(_)) => "the account is at its limit",
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The status of a request that has not run.
+    /// Returns the status of a request that has not run.
     pub(super) fn status(self) -> u16 {
         match self {
             Self::Caller(refusal) => refusal.status(),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Refuses a request that got no further than its route.
+/// Refuses a request before forwarding begins.
 pub(super) async fn refuse_unrouted(
     core: &Rc<EntryCore>,
     request: &ClientRequest,
@@ -94,7 +94,7 @@
     finish(writer, &bytes, close).await
 }
 
-/// Writes an answer's last bytes.
+/// Writes the last bytes of a response.
 pub(super) async fn finish(writer: &mut ClientWriter, bytes: &[u8], close: bool) -> AfterResponse {
     match (writer.write(bytes).await, close) {
         (Err(_), _) => AfterResponse::Cut,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Whether the connection ends after this request.
+/// Whether the connection is closed after this request.
 pub(super) fn closes_connection(core: &EntryCore, request: &ClientRequest) -> bool {
     let headers = &request.head.headers;
     !request.head.is_http11
@@ -111,7 +111,7 @@
         || core.is_stopping()
 }
 
-/// An answer of this system's own.
+/// Builds a response of this system's own.
 pub fn own_answer(
     core: &EntryCore,
     status: u16,
--- a/src/forward/request_log.rs
+++ b/src/forward/request_log.rs
@@ -1,5 +1,5 @@
-//! One line and the figures of each request, at its end; lines are bounded each second,
-//! those of failures apart from the others.
+//! The log line and the metrics of each request, written at its end. Lines are limited per second,
+//! with separate limits for successes and failures.
 
 use std::time::{Duration, Instant};
 
@@ -11,25 +11,25 @@
 use crate::process::metrics::MetricKey;
 use crate::table::configuration::RouteSpec;
 
-/// Log lines a second for requests that went well.
+/// Log lines per second for successful requests.
 const MAX_SUCCESS_LINES: u32 = 10;
-/// Log lines a second for requests that failed or were refused.
+/// Log lines per second for failed or refused requests.
 const MAX_FAILURE_LINES: u32 = 40;
-/// Longest part of a header's value that a line shows, in characters.
+/// Longest part of a header value shown in a log line, in characters.
 const MAX_SHOWN_CHARS: usize = 32;
 
 /// How a request ended, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A replica's answer was passed on whole.
+    /// A replica's complete response was forwarded.
     Answered,
-    /// It did not run.
+    /// The request did not run.
     Refused,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Broken off midway.
+    /// The response was cut off.
     Cut,
-    /// The client left first.
+    /// The client disconnected first.
     Left,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// What is logged of one request, in one line at its end.
+/// Data for the log line of one request.
 #[derive(Debug)]
 pub struct RequestLog {
     id: String,
@@ -54,7 +54,8 @@
     service: String,
     model: String,
     prompt_tokens: u64,
-    /// The route's bounds on the first event, or a whole answer, and on a pause.
+    /// The route's limits on the time to the first event, or to a complete response, and on the gap
+    /// between events.
     aim: Duration,
     gap: Duration,
     since: Instant,
@@ -70,7 +71,7 @@
 }
 
 impl RequestLog {
-    /// A request that has no end yet.
+    /// Creates the log of a request that has not ended.
     pub fn new(
         id: &str,
         route: &RouteSpec,
@@ -102,76 +103,77 @@
         }
     }
 
-    /// A replica was found after a wait.
+    /// Adds the time spent waiting for a replica.
     pub fn record_wait(&mut self, waited: Duration) {
         self.waited += waited;
     }
 
-    /// It goes to a replica.
+    /// Records that the request is sent to a replica.
     pub fn record_attempt(&mut self, replica: &ReplicaId) {
         self.attempts += 1;
         self.replica = Some(replica.clone());
     }
 
-    /// Whether the budget let it be sent again.
+    /// Records whether the budget allowed a resend.
     pub fn resent(&mut self, allowed: bool) {
         match allowed {
             true => self.resent += 1,
-            false => self.note("no budget to send it again"),
+            false => self.note("resend budget exhausted"),
         }
     }
 
-    /// Something that happened on the way.
+    /// Adds a note to the log line.
     pub fn note(&mut self, text: &str) {
         self.notes.push(text.to_owned());
     }
 
-    /// A replica did not run it, and suffix for so long a pause.
+    /// Records that a replica did not run the request, and its `Retry-After` value.
     pub fn refused(&mut self, replica: &ReplicaId, pause: Option<&str>) {
         let suffix = retry_after_suffix(pause);
         self.notes
-            .push(format!("refused by the replica {replica}{suffix}"));
+            .push(format!("refused by replica {replica}{suffix}"));
     }
 
-    /// A replica failed it by a status of its own, and suffix for so long a pause.
+    /// Records that a replica failed with a status of its own, and its `Retry-After` value.
     pub fn failed_by(&mut self, replica: &ReplicaId, status: u16, pause: Option<&str>) {
         let suffix = retry_after_suffix(pause);
         self.notes
-            .push(format!("the replica {replica} failed: {status}{suffix}"));
+            .push(format!("replica {replica} failed: {status}{suffix}"));
     }
 
-    /// What it asks: shown where a replica broke off under it, or it is refused for that.
+    /// Records the content digest: shown if a replica lost the connection during the request, or if
+    /// the request was refused for its content.
     pub fn content(&mut self, digest: ContentDigest) {
         self.content = Some(digest);
     }
 
-    /// The first event leaves.
+    /// Records when the first event is sent.
     pub fn first_event(&mut self) {
         let since = self.since;
         self.first.get_or_insert_with(|| since.elapsed());
     }
 
-    /// An event came so long after the one before.
+    /// Records the gap between two events.
     pub fn record_gap(&mut self, pause: Duration) {
         self.longest_pause = self.longest_pause.max(pause);
     }
 
-    /// A replica's answer was passed on.
+    /// Records that a replica's response was forwarded.
     pub fn answered(&mut self, status: u16) {
         self.end = (Outcome::Answered, status, "");
     }
 
-    /// Whether a replica's whole answer was passed on.
+    /// Whether a replica's complete response was forwarded.
     pub fn is_answered(&self) -> bool {
         self.end.0 == Outcome::Answered
     }
 
-    /// It ends without a replica's answer.
+    /// Records an end without a replica's complete response.
     pub fn set_end(&mut self, outcome: Outcome, status: u16, reason: &'static str) {
         self.end = (outcome, status, reason);
     }
 
-    /// Which bound of its route an answer missed; empty for none.
+    /// Returns which latency limit of its route a response missed; empty if none.
     fn late(&self, took: Duration) -> &'static str {
         match self.first {
             _ if self.end.0 != Outcome::Answered => "",
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Writes the line and the metrics.
+    /// Writes the log line and the metrics.
     pub fn write(&self, core: &EntryCore) {
         let (outcome, status, reason) = self.end;
         let took = self.since.elapsed();
@@ -242,13 +244,13 @@
     }
 }
 
-/// The pause that came with a refusal, for a line; empty for none.
+/// Returns the `Retry-After` value as a suffix for a note; empty if there is none.
 fn retry_after_suffix(pause: Option<&str>) -> String {
     let shown = pause.map(|text| text.chars().take(MAX_SHOWN_CHARS).collect::<String>());
     shown.map_or(String::new(), |text| format!(", retry after {text}"))
 }
 
-/// Log lines that may be written in the current second.
+/// Counts the log lines of the current second.
 #[derive(Debug, Default)]
 pub(super) struct LogLineLimit {
     second: u64,
@@ -258,12 +260,12 @@
 }
 
 impl LogLineLimit {
-    /// Whether one more line may be written; what went well has a bound of its own.
+    /// Whether one more line may be written. Successes have a limit of their own.
     pub(super) fn may_write(&mut self, good: bool) -> bool {
         let second = clock::monotonic_ms() / 1_000;
         if second != self.second {
             if self.suppressed > 0 {
-                tracing::info!(lines = self.suppressed, "request lines passed over");
+                tracing::info!(lines = self.suppressed, "request log lines suppressed");
             }
             *self = Self {
                 second,
--- a/src/forward/unknown_headers.rs
+++ b/src/forward/unknown_headers.rs
@@ -1,19 +1,19 @@
-//! Headers of replicas' answers that this system does not know: a word that is meant for it
-//! would otherwise go unheard without a trace.
+//! Headers in replicas' responses that this system does not know. They are counted, so that a
+//! header meant for this system is not ignored without a trace.
 
 use std::collections::BTreeSet;
 
 use crate::forward::dialect::HeaderNames;
 use crate::forward::head::Header;
 
-/// Names that are told apart; those beyond share [`OVERFLOW_NAME`].
+/// Most names that are counted separately; further ones share [`OVERFLOW_NAME`].
 const MAX_NAMES: usize = 32;
-/// Longest name and value that is told, in bytes.
+/// Longest part of a name or value that is shown, in bytes.
 const MAX_SHOWN_BYTES: usize = 64;
-/// The name of all headers beyond [`MAX_NAMES`].
+/// Label of all names beyond [`MAX_NAMES`].
 const OVERFLOW_NAME: &str = "other";
 
-/// Headers of HTTP itself that answers carry for callers and connections.
+/// Standard HTTP headers of responses, meant for callers and connections.
 const HTTP_HEADERS: [&str; 27] = [
     "accept-ranges",
     "age",
@@ -44,25 +44,25 @@
     "www-authenticate",
 ];
 
-/// An unknown header, as it is counted.
+/// An unknown header, as counted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownHeader {
-    /// Its name in lower case.
+    /// Name in lower case.
     pub name: String,
-    /// The beginning of its value.
+    /// Start of the value.
     pub value: String,
-    /// Nobody has sent one of this name before.
+    /// Whether this name was not seen before.
     pub is_new: bool,
 }
 
-/// The names that have come so far.
+/// Names seen so far.
 #[derive(Debug, Default)]
 pub struct UnknownHeaders {
     names: BTreeSet<String>,
 }
 
 impl UnknownHeaders {
-    /// Of an answer's headers, those that are not known.
+    /// Returns the unknown headers of a response.
     pub fn find(&mut self, names: &HeaderNames, headers: &[Header]) -> Vec<UnknownHeader> {
         let unknown = headers.iter().filter(|(name, _)| !is_known(names, name));
         let counted = unknown.map(|(name, value)| self.observe(name, value));
--- a/src/forward/upstream.rs
+++ b/src/forward/upstream.rs
@@ -1,5 +1,5 @@
-//! Connections to replicas: one request at a time on each, its answer told
-//! apart from surplus ones, and what is known of whether the request has left.
+//! Connections to replicas. Each carries one request at a time; a response is matched to its
+//! request, and an error shows whether the request may have been sent.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,48 +16,48 @@
 use crate::forward::head::{self, Framing, ResponseHead};
 use crate::ids::ReplicaId;
 
-/// Longest head of an answer, in bytes.
+/// Longest response head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// Bytes read at once.
 const READ_SIZE: usize = 16 * 1024;
-/// Surplus answers that are passed over while the due one is awaited.
+/// Responses to other requests that are skipped while the due one is awaited.
 const MAX_SURPLUS_RESPONSES: usize = 4;
-/// An idle connection is given up this part of its time before its end.
+/// An idle connection is dropped after this fraction of the peer's keep-alive time.
 const KEEP_ALIVE_FRACTION: f64 = 0.8;
-/// Longest rest of a connection whose end was not told.
+/// Longest idle time if the peer gives no keep-alive time.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
-/// Idle connections kept to one replica.
+/// Most idle connections kept per replica.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Why an exchange with a replica did not go well.
+/// Why an exchange with a replica failed.
 #[derive(Debug, Snafu)]
 pub enum ExchangeError {
-    /// No connection: nothing was sent.
+    /// No connection could be opened; nothing was sent.
     #[snafu(display("cannot connect to {peer}: {source}"))]
     Connect {
-        /// The replica's address.
+        /// Address of the replica.
         peer: SocketAddr,
-        /// The system's answer.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The connection broke after something was sent.
-    #[snafu(display("the connection to {peer} broke: {source}"))]
+    /// The connection failed after something was sent.
+    #[snafu(display("connection to {peer} lost: {source}"))]
     Broken {
-        /// The replica's address.
+        /// Address of the replica.
         peer: SocketAddr,
-        /// The system's answer.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The replica closed before its answer was whole.
-    #[snafu(display("{peer} closed before its answer was whole"))]
+    /// The replica closed the connection before its response was complete.
+    #[snafu(display("{peer} closed the connection before its response was complete"))]
     Closed {
-        /// The replica's address.
+        /// Address of the replica.
         peer: SocketAddr,
     },
-    /// What came is no answer to the request.
-    #[snafu(display("{peer} sent what is no answer: {reason}"))]
+    /// The bytes received are not a response to the request.
+    #[snafu(display("{peer} sent an invalid response: {reason}"))]
     Malformed {
-        /// The replica's address.
+        /// Address of the replica.
         peer: SocketAddr,
         /// What is wrong.
         reason: String,
@@ -65,12 +65,12 @@
 }
 
 impl ExchangeError {
-    /// Whether nobody listens at the address: the process there has ended.
+    /// Whether the connection was refused: no process listens at the address.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Connect { source, .. } if source.kind() == io::ErrorKind::ConnectionRefused)
     }
 
-    /// Whether the connection ended under a request that may have run.
+    /// Whether the connection was lost during a request that may have run.
     pub fn connection_lost(&self) -> bool {
         matches!(self, Self::Broken { .. } | Self::Closed { .. })
     }
@@ -82,8 +82,8 @@
     peer: SocketAddr,
     stream: TcpStream,
     buffer: Vec<u8>,
-    /// Since when it rests, by [`clock::monotonic_ms`]: the replica counts on while this
-    /// machine is suspended.
+    /// Start of the idle time, on the clock of [`clock::monotonic_ms`]: the replica's idle time
+    /// also counts while this machine is suspended.
     idle_since_ms: u64,
     keep_alive: Duration,
 }
@@ -105,13 +105,13 @@
         })
     }
 
-    /// From now on, what was written and is not acknowledged ends with the connection: a
-    /// drop resets it. Where this process stands still meanwhile, its kernel gives up by
-    /// itself, where it would go on sending for minutes. It looks at the bound only when it
-    /// repeats, first some 200 ms after the write, and counts from there: all lost, it gave
-    /// up 427 ms after the write with a bound of 1 ms, and 859 ms after it with 425 ms.
+    /// Limits how long unacknowledged data may be in transit: dropping the connection resets it. If
+    /// this process is suspended meanwhile, the kernel gives up by itself; without the limit it
+    /// would retransmit for minutes. The kernel checks the limit only when it retransmits, first
+    /// about 200 ms after the write, and counts from there: with all packets lost, it gave up 427
+    /// ms after the write with a limit of 1 ms, and 859 ms after it with 425 ms.
     pub fn limit_send_time(&self, left: Duration) -> Result<(), ExchangeError> {
-        // None stands for the system's own bound.
+        // Zero would select the system's default.
         let left = left.max(Duration::from_millis(1));
         let socket = SockRef::from(&self.stream);
         let bounded = socket
@@ -121,8 +121,8 @@
         bounded.map_err(|source| ExchangeError::Connect { peer, source })
     }
 
-    /// Whether the connection may carry another request: nothing unasked has
-    /// come, and the replica has not closed it.
+    /// Whether the connection may carry another request: no unexpected bytes have arrived, the
+    /// replica has not closed it, and it was not idle for too long.
     fn is_reusable(&self) -> bool {
         let mut probe = [0; 1];
         let quiet = match self.stream.try_read(&mut probe) {
@@ -148,7 +148,7 @@
 }
 
 impl ConnectionPool {
-    /// The connection used last that is still sound.
+    /// Takes the most recently used connection that is still usable.
     pub fn take(&mut self, id: &ReplicaId) -> Option<Connection> {
         let idle = self.idle.get_mut(id)?;
         while let Some(connection) = idle.pop() {
@@ -159,7 +159,7 @@
         None
     }
 
-    /// Closes the idle connections to a replica that leaves.
+    /// Closes the idle connections to a replica that is shutting down.
     pub fn forget(&mut self, id: &ReplicaId) {
         self.idle.remove(id);
     }
@@ -173,8 +173,7 @@
         }
     }
 
-    /// Closes connections that are no longer sound, and those to replicas that
-    /// `keep` does not name.
+    /// Closes connections that are no longer usable, and those to replicas that `keep` rejects.
     pub fn prune(&mut self, keep: impl Fn(&ReplicaId) -> bool) {
         self.idle.retain(|id, _| keep(id));
         for idle in self.idle.values_mut() {
@@ -183,20 +182,20 @@
     }
 }
 
-/// Sees the head of each answer that comes on a connection, also of one that belongs to
-/// another request: what a peer says there of itself holds all the same.
+/// Called with the head of each response on a connection, including responses to other requests:
+/// what a peer announces about itself holds in any case.
 pub type HeadObserver<'a> = &'a dyn Fn(&ResponseHead);
 
-/// A request on its way to be sent.
+/// A request to be sent.
 pub struct OutgoingRequest<'a> {
     /// Head and body.
     pub bytes: &'a [u8],
     /// The method.
     pub method: &'a str,
-    /// The name of the header that tells answers apart, and its value; none
-    /// where the connection carries nothing else.
+    /// Name and value of the header that matches a response to its request; `None` if the
+    /// connection carries no other request.
     pub identity: Option<(&'a str, &'a str)>,
-    /// Told of each head before anything comes of it.
+    /// Called with each head before it is processed.
     pub on_head: HeadObserver<'a>,
 }
 
@@ -218,7 +217,7 @@
     }
 }
 
-/// A request under way on a connection, from its answer's head on.
+/// A request in progress on a connection, from the head of its response on.
 pub struct Exchange {
     connection: Connection,
     body: BodyState,
@@ -226,7 +225,7 @@
 }
 
 impl Exchange {
-    /// Sends a request and reads the head of the answer that belongs to it.
+    /// Sends a request and reads the head of its response.
     pub async fn send(
         mut connection: Connection,
         request: &OutgoingRequest<'_>,
@@ -253,20 +252,22 @@
                 100..=199 => {}
                 _ if belongs => return Ok((exchange, head)),
                 _ if head.framing == Framing::Close => {
-                    return Err(exchange.malformed("it belongs to another request"));
+                    return Err(
+                        exchange.malformed("it belongs to another request and has no length")
+                    );
                 }
-                // A surplus answer in the place of the one that is due.
+                // A response to another request; its body is skipped.
                 _ => while exchange.next().await?.is_some() {},
             }
             connection = exchange.connection;
         }
         Err(ExchangeError::Malformed {
             peer: connection.peer,
-            reason: "too many surplus answers".to_owned(),
+            reason: "too many responses to other requests".to_owned(),
         })
     }
 
-    /// The next bytes of the body; none after its end.
+    /// Returns the next bytes of the body, or `None` after its end.
     pub async fn next(&mut self) -> Result<Option<Vec<u8>>, ExchangeError> {
         loop {
             if let Some(bytes) = self.decode()? {
@@ -290,13 +291,14 @@
         }
     }
 
-    /// Closes in good order, once the whole answer has come: the request has arrived.
+    /// Closes the connection gracefully once the complete response has arrived, which proves that
+    /// the request did.
     pub fn close(self) {
-        // Where it fails, the connection is reset, which the peer bears as well.
+        // If this fails, the connection is reset, which the peer tolerates as well.
         let _ = SockRef::from(&self.connection.stream).set_linger(None);
     }
 
-    /// The connection, if it may carry another request.
+    /// Returns the connection if it may carry another request.
     pub fn finish(self) -> Option<Connection> {
         let done = matches!(self.body, BodyState::Done);
         let clean = self.connection.buffer.is_empty();
@@ -335,7 +337,7 @@
                 let decoded = decoder.decode(buffer, &mut bytes);
                 let done = decoder.is_done();
                 let Ok(taken) = decoded else {
-                    return Err(self.malformed("its chunks are malformed"));
+                    return Err(self.malformed("malformed chunked body"));
                 };
                 buffer.drain(..taken);
                 if done {
@@ -351,7 +353,7 @@
     head.is_http11 && !head::names_token(&head.headers, "connection", "close")
 }
 
-/// How long the connection may rest, by the replica's word.
+/// How long the connection may be idle, by the replica's `Keep-Alive` header.
 fn keep_alive_time(head: &ResponseHead) -> Option<Duration> {
     let text = head::find(&head.headers, "keep-alive")?;
     let mut parts = text.split(',').map(str::trim);
@@ -360,8 +362,8 @@
     Duration::try_from_secs_f64(seconds * KEEP_ALIVE_FRACTION).ok()
 }
 
-/// Writes what is left of the request, and reads until a head is whole. The
-/// answer may come before the request is out.
+/// Writes the rest of the request and reads until a head is complete. The response may start before
+/// the request is fully written.
 async fn read_head(
     connection: &mut Connection,
     request: &OutgoingRequest<'_>,
@@ -378,7 +380,7 @@
             }
             Ok(None) if connection.buffer.len() <= MAX_HEAD_BYTES => {}
             Ok(None) => {
-                let reason = "its head is too long".to_owned();
+                let reason = "head too long".to_owned();
                 return Err(ExchangeError::Malformed { peer, reason });
             }
             Err(error) => {
