--- a/src/forward/daemon.rs
+++ b/src/forward/daemon.rs
@@ -246,12 +246,12 @@
         }
         // The time that the request was present, as a fraction of the report interval. A refused
         // request would have been present for longer.
-        let part = match self.refused.get() {
+        let fraction = match self.refused.get() {
             true => 1.0,
             false => self.since.elapsed().as_secs_f64() / REPORT_INTERVAL.as_secs_f64(),
         };
         let mut recent_demand = self.core.recent_demand.borrow_mut();
-        *recent_demand.entry(model.clone()).or_default() += part.min(1.0);
+        *recent_demand.entry(model.clone()).or_default() += fraction.min(1.0);
     }
 }
 
@@ -415,8 +415,8 @@
 
     /// Records that an adapter is used on a replica, for the next report.
     pub fn record_adapter_use(&self, replica: &ReplicaId, need: &Need) {
-        if let Some(place) = adapter_slot(replica, need) {
-            self.adapters.borrow_mut().insert(place);
+        if let Some(slot) = adapter_slot(replica, need) {
+            self.adapters.borrow_mut().insert(slot);
         }
     }
 
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -1,4 +1,4 @@
-//! Reports rate limits that replicas advertise to the leader, and receives those seen by other
+//! Reports to the leader the rate limits that replicas advertise, and receives those seen by other
 //! entries.
 
 use std::rc::Rc;
--- a/src/forward/need.rs
+++ b/src/forward/need.rs
@@ -64,8 +64,8 @@
     /// Cost of a replica that is reserved for requests of the other kind (long or short answers).
     /// Less than two waiting requests, so that the replica is used if the others are congested.
     pub apart_cost: f64,
-    /// Whether requests of routes with more slack get a lower urgency at replicas, within the rank of
-    /// their account.
+    /// Whether requests of routes with more slack get a lower urgency at replicas, within the rank
+    /// of their account.
     pub by_slack: bool,
     /// Fraction of the latency target that a request waits for free capacity before it is refused;
     /// 0 to 10.
--- a/src/forward/own_answer.rs
+++ b/src/forward/own_answer.rs
@@ -19,7 +19,7 @@
     /// All replicas are full.
     Full,
     /// All replicas asked for a backoff that is longer than the request can wait.
-    Paused,
+    BackingOff,
     /// All replicas are in evacuated halls.
     Evacuated,
     /// The request's route and its account allow no region in common.
@@ -51,7 +51,7 @@
     pub(super) fn text(self) -> &'static str {
         match self {
             Self::Full => "all replicas are full",
-            Self::Paused => "all replicas asked for a pause",
+            Self::BackingOff => "all replicas asked for a pause",
             Self::Evacuated => "all replicas are in evacuated halls",
             Self::NoRegion => "its route and its account allow no region in common",
             Self::RateLimited => "all replicas take few requests, and have got them",
--- a/src/forward/replica_table.rs
+++ b/src/forward/replica_table.rs
@@ -37,12 +37,12 @@
     /// Replicas with free capacity hold the model, but none has the adapter or can load it now.
     NoAdapter,
     /// All candidates asked for a backoff; the first one ends after this many milliseconds.
-    Paused(u64),
+    BackingOff(u64),
     /// All candidates are rate limited and have used up their rate; the first one may take another
     /// request after this many milliseconds.
     RateLimited(u64),
-    /// All candidates are in evacuated data halls, and the leader does not load the model
-    /// elsewhere.
+    /// All candidates are in evacuated data halls, and the request needs no model that could be
+    /// loaded elsewhere.
     Evacuated,
     /// No replica holds the model.
     Absent,
@@ -254,7 +254,7 @@
             .values()
             .filter(|state| self.can_serve(state, need));
         let waits = candidates.filter_map(|state| {
-            let paused_ms = match self.block(state, now_ms) {
+            let blocked_ms = match self.block(state, now_ms) {
                 Some(SendBlock::Evacuated | SendBlock::Asked(SendBar::Leaving)) => return None,
                 Some(
                     SendBlock::Asked(SendBar::Paused { left_ms })
@@ -271,10 +271,10 @@
                 true => excess_ms.max(need.limit_ms as f64),
                 false => excess_ms.max(0.0),
             };
-            Some(capacity_ms.max(paused_ms))
+            Some(capacity_ms.max(blocked_ms))
         });
-        let least = waits.min_by(f64::total_cmp)?;
-        Some(least as u64)
+        let soonest = waits.min_by(f64::total_cmp)?;
+        Some(soonest as u64)
     }
 
     /// Describes the replicas that could serve a request, for a log line: load, predicted start of
@@ -313,8 +313,8 @@
             .states
             .values()
             .filter(|state| self.can_serve(state, need));
-        let pauses = candidates.map(|state| state.event_gap.at(now_ms));
-        pauses.fold(0.0, f64::max)
+        let gaps = candidates.map(|state| state.event_gap.at(now_ms));
+        gaps.fold(0.0, f64::max)
     }
 
     /// Returns the record of a replica.
@@ -394,13 +394,17 @@
         // Entries do not see each other's newest requests and find the same replica cheapest. A
         // per-request hash breaks ties, so that requests spread over replicas of equal cost.
         let costs = states.map(|state| {
-            let other = reserved.contains(&state.record.id);
-            let other_cost = if other { self.policy.apart_cost } else { 0.0 };
-            let cost = self.cost(state, need, now_ms) + other_cost;
+            let is_reserved = reserved.contains(&state.record.id);
+            let reserved_cost = if is_reserved {
+                self.policy.apart_cost
+            } else {
+                0.0
+            };
+            let cost = self.cost(state, need, now_ms) + reserved_cost;
             (cost, hash_rank(need.id_hash, &state.record.id), state)
         });
-        let least = costs.min_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
-        least.map(|(_, _, state)| state)
+        let best = costs.min_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
+        best.map(|(_, _, state)| state)
     }
 
     /// Returns the candidates that are reserved for requests of the other kind (long or short
@@ -420,9 +424,9 @@
             .iter()
             .filter(ready)
             .map(|state| &state.record.id);
-        let id_hash = u64::from(crc32fast::hash(model.as_str().as_bytes()));
+        let model_hash = u64::from(crc32fast::hash(model.as_str().as_bytes()));
         let mut homes: Vec<(u64, &ReplicaId)> =
-            ids.map(|id| (hash_rank(id_hash, id), id)).collect();
+            ids.map(|id| (hash_rank(model_hash, id), id)).collect();
         homes.sort_unstable();
         let range = answers.homes_for(need, homes.len());
         let indexed = homes.into_iter().enumerate();
@@ -460,9 +464,9 @@
         let (waiting, running) = state.loads(now_ms, self.policy.fade_ms);
         let fits = memory == 0 || state.tokens + need.tokens <= memory || state.tokens == 0;
         let ms_per_token = self.ms_per_token(state, need, now_ms);
-        let quick = state.starts_in_time(need, now_ms, self.policy.fade_ms, ms_per_token);
-        let room = waiting + running < f64::from(state.slots);
-        fits && quick && room && state.full_until_ms <= now_ms
+        let in_time = state.starts_in_time(need, now_ms, self.policy.fade_ms, ms_per_token);
+        let has_slot = waiting + running < f64::from(state.slots);
+        fits && in_time && has_slot && state.full_until_ms <= now_ms
     }
 
     /// Milliseconds until a response starts, for each token to be processed before it: measured at
@@ -600,13 +604,13 @@
             AttemptResult::Failed => {
                 state.failure_rate += (1.0 - state.failure_rate) * FAILURE_WEIGHT;
                 if state.failure_rate >= EJECT_FAILURE_RATE {
-                    let new_ejections = eject(state, &policy, now_ms, end);
-                    self.new_ejections.extend(new_ejections);
+                    let ejection = eject(state, &policy, now_ms, end);
+                    self.new_ejections.extend(ejection);
                 }
             }
             AttemptResult::Unreached => {
-                let new_ejections = eject(state, &policy, now_ms, end);
-                self.new_ejections.extend(new_ejections);
+                let ejection = eject(state, &policy, now_ms, end);
+                self.new_ejections.extend(ejection);
             }
             AttemptResult::Neutral => {}
         }
--- a/src/forward/replica_table/blocks.rs
+++ b/src/forward/replica_table/blocks.rs
@@ -201,10 +201,10 @@
         (Choice::Absent, Evacuated) => Choice::Evacuated,
         (choice, Evacuated | Asked(SendBar::Leaving)) => choice,
         (
-            choice @ (Choice::Paused(known_ms) | Choice::RateLimited(known_ms)),
+            choice @ (Choice::BackingOff(known_ms) | Choice::RateLimited(known_ms)),
             Asked(SendBar::Paused { left_ms }) | RateLimited { left_ms },
         ) if known_ms <= left_ms => choice,
-        (_, Asked(SendBar::Paused { left_ms })) => Choice::Paused(left_ms),
+        (_, Asked(SendBar::Paused { left_ms })) => Choice::BackingOff(left_ms),
         (_, RateLimited { left_ms }) => Choice::RateLimited(left_ms),
     }
 }
--- a/src/forward/request.rs
+++ b/src/forward/request.rs
@@ -255,12 +255,12 @@
         if let Err(refusal) = self.pay().await {
             return self.give_up(Refusal::Quota(refusal), writer).await;
         }
-        let mark = core.track_demand(&self.need);
+        let demand = core.track_demand(&self.need);
         loop {
             let replica = match self.choose_replica().await {
                 Ok(replica) => replica,
                 Err(refusal) => {
-                    mark.refuse();
+                    demand.refuse();
                     return self.give_up(refusal, writer).await;
                 }
             };
@@ -321,10 +321,10 @@
             return false;
         }
         let now_ms = clock::monotonic_ms();
-        let pause_ms = self.core.replicas.borrow().event_gap_ms(now_ms, &self.need);
+        let gap_ms = self.core.replicas.borrow().event_gap_ms(now_ms, &self.need);
         let answer_tokens = self.need.tokens.saturating_sub(self.need.prompt_tokens);
         let events = answer_tokens as f64 / f64::from(self.event_tokens);
-        let lasts_ms = events * pause_ms.max(MIN_EVENT_GAP_MS) * STREAM_TIME_FACTOR;
+        let lasts_ms = events * gap_ms.max(MIN_EVENT_GAP_MS) * STREAM_TIME_FACTOR;
         lasts_ms > left.as_millis() as f64
     }
 
@@ -398,7 +398,7 @@
             Refusal::Quota(QuotaRefusal::Over(short)) => short,
             Refusal::Quota(QuotaRefusal::Unknown) | Refusal::Caller(_) => UNKNOWN_RETRY,
             Refusal::Full
-            | Refusal::Paused
+            | Refusal::BackingOff
             | Refusal::RateLimited
             | Refusal::Adapter
             | Refusal::DeadlinePassed
@@ -683,10 +683,10 @@
             self.log.first_event();
             let now = Instant::now();
             if let Some(last) = last.replace(now) {
-                let pause_ms = (now - last).as_secs_f64() * 1000.0;
+                let gap_ms = (now - last).as_secs_f64() * 1000.0;
                 let now_ms = clock::monotonic_ms();
                 let mut replicas = core.replicas.borrow_mut();
-                replicas.record_event_gap(now_ms, &guard.replica, pause_ms);
+                replicas.record_event_gap(now_ms, &guard.replica, gap_ms);
                 drop(replicas);
                 self.log.record_gap(now - last);
             }
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -48,13 +48,13 @@
             core.record_limit(&incarnation, rate, permit.filter(|_| is_due));
         }
         let now_ms = clock::monotonic_ms();
-        if let Some(pause) = requested_backoff(head) {
+        if let Some(backoff) = requested_backoff(head) {
             core.replicas
                 .borrow_mut()
-                .back_off(now_ms, &incarnation.id, pause);
+                .back_off(now_ms, &incarnation.id, backoff);
             core.count("dunlinspring_pauses_asked_total", &[]);
             let (replica, status) = (&incarnation.id, head.status);
-            tracing::info!(%replica, request, status, pause_ms = pause.ms, "replica asked for a backoff");
+            tracing::info!(%replica, request, status, pause_ms = backoff.ms, "replica asked for a backoff");
         }
         if head::find(&head.headers, core.names.leaving).is_none() {
             return;
--- a/src/forward/request/crashes.rs
+++ b/src/forward/request/crashes.rs
@@ -36,11 +36,11 @@
             return false;
         }
         let content = self.content();
-        let barred = self.core.crashes.standing(&content) == ContentStanding::Barred;
-        if barred {
+        let quarantined = self.core.crashes.standing(&content) == ContentStanding::Barred;
+        if quarantined {
             self.log.content(content);
         }
-        barred
+        quarantined
     }
 
     /// Requests a lease for the replica if the content is suspect.
--- a/src/forward/request/placing.rs
+++ b/src/forward/request/placing.rs
@@ -51,8 +51,8 @@
                     (Refusal::Full, self.max_wait())
                 }
                 Choice::NoAdapter => (Refusal::Adapter, self.max_wait()),
-                Choice::Paused(left_ms) => {
-                    let refusal = Refusal::Paused;
+                Choice::BackingOff(left_ms) => {
+                    let refusal = Refusal::BackingOff;
                     (refusal, self.wait_limit(refusal, waited, left_ms)?)
                 }
                 Choice::RateLimited(left_ms) => {
--- a/src/forward/request_log.rs
+++ b/src/forward/request_log.rs
@@ -128,15 +128,15 @@
     }
 
     /// Records that a replica did not run the request, and its `Retry-After` value.
-    pub fn refused(&mut self, replica: &ReplicaId, pause: Option<&str>) {
-        let suffix = retry_after_suffix(pause);
+    pub fn refused(&mut self, replica: &ReplicaId, retry_after: Option<&str>) {
+        let suffix = retry_after_suffix(retry_after);
         self.notes
             .push(format!("refused by replica {replica}{suffix}"));
     }
 
     /// Records that a replica failed with a status of its own, and its `Retry-After` value.
-    pub fn failed_by(&mut self, replica: &ReplicaId, status: u16, pause: Option<&str>) {
-        let suffix = retry_after_suffix(pause);
+    pub fn failed_by(&mut self, replica: &ReplicaId, status: u16, retry_after: Option<&str>) {
+        let suffix = retry_after_suffix(retry_after);
         self.notes
             .push(format!("replica {replica} failed: {status}{suffix}"));
     }
@@ -154,8 +154,8 @@
     }
 
     /// Records the gap between two events.
-    pub fn record_gap(&mut self, pause: Duration) {
-        self.longest_pause = self.longest_pause.max(pause);
+    pub fn record_gap(&mut self, gap: Duration) {
+        self.longest_pause = self.longest_pause.max(gap);
     }
 
     /// Records that a replica's response was forwarded.
@@ -245,8 +245,8 @@
 }
 
 /// Returns the `Retry-After` value as a suffix for a note; empty if there is none.
-fn retry_after_suffix(pause: Option<&str>) -> String {
-    let shown = pause.map(|text| text.chars().take(MAX_SHOWN_CHARS).collect::<String>());
+fn retry_after_suffix(retry_after: Option<&str>) -> String {
+    let shown = retry_after.map(|text| text.chars().take(MAX_SHOWN_CHARS).collect::<String>());
     shown.map_or(String::new(), |text| format!(", retry after {text}"))
 }
 
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -161,13 +161,13 @@
     let choose = |book: &ReplicaTable, at_ms| {
         book.choose(at_ms, &need, &Default::default(), EngineBounds::default())
     };
-    assert_eq!(choose(&book, 1_500), Choice::Paused(2_500));
+    assert_eq!(choose(&book, 1_500), Choice::BackingOff(2_500));
     assert_eq!(book.capacity_in_ms(1_500, &need), Some(2_500));
     assert_eq!(choose(&book, 4_000), Choice::Send(a.clone()));
     // The one that asked is the only one, and is not asked all the same.
     let only = BTreeMap::from([(a.clone(), record("a", ReplicaPhase::Ready))]);
     book.update_records(0, &only);
-    assert_eq!(choose(&book, 3_999), Choice::Paused(1));
+    assert_eq!(choose(&book, 3_999), Choice::BackingOff(1));
     assert!(book.claim(3_999, &only[&a].life(), None).is_err());
 }
 
