--- a/src/control/order_dispatcher.rs
+++ b/src/control/order_dispatcher.rs
@@ -8,7 +8,7 @@
 //! voter, and its connection is reset when the permit expires without renewal. Otherwise an
 //! order of a leader that was suspended, was partitioned off, or whose connection buffers its
 //! bytes could arrive among those of the next leader. If the process itself is suspended, its
-//! kernel gives up soon after: see [`Connection::bound_sending`].
+//! kernel gives up soon after: see [`Connection::limit_send_time`].
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
 use crate::clock;
 use crate::control::event::{ControlEvent, ControlHandle, SendPermit};
 use crate::forward::head;
-use crate::forward::upstream::{Connection, Exchange, ExchangeError, Outgoing};
+use crate::forward::upstream::{Connection, Exchange, ExchangeError, OutgoingRequest};
 use crate::ids::{ModelName, ReplicaId, ReplicaIncarnation};
 use crate::placement::order::{EngineOrder, OrderKind, OrderOutcome};
 use crate::process::daemon;
@@ -344,7 +344,7 @@
     };
     let permit = permits.request().await.ok_or(CallError::NotLeader)?;
     let left = remaining(permit).ok_or(CallError::LeaseExpired)?;
-    connection.bound_sending(left)?;
+    connection.limit_send_time(left)?;
     permits.log_sent(left);
     tokio::select! {
         // The expiry is checked right before the first write, and again before anything else
@@ -376,7 +376,7 @@
     method: &str,
     text: &str,
 ) -> Result<(u16, Vec<u8>), CallError> {
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         bytes: text.as_bytes(),
         method,
         identity: None,
--- /dev/null
+++ b/src/forward/answer_separation.rs
@@ -0,0 +1,95 @@
+//! Separation of long answers from prompts: which replicas that hold a model serve which requests.
+//!
+//! A replica that processes prompts without a break stalls all its streams. A short answer ends
+//! before that happens; a long one is hit sooner or later. If enough replicas hold a model, some
+//! are therefore reserved for long answers and get fewer prompt tokens than the others. In two test
+//! runs of a day each, with 103 entries and 180 replicas, 4,315 instead of 3,852 of 7,820 long
+//! answers and 2,967 instead of 2,823 of 6,852 met their latency targets; of the short answers, 1%
+//! and 4% fewer did.
+//!
+//! Pure. All entries compute the same assignment without communication, as the order of the
+//! replicas follows from the model and the replica ids alone.
+
+use crate::forward::need::Need;
+
+/// An answer is long if it exceeds the mean answer by this factor.
+const LONG_ANSWER_FACTOR: f64 = 1.5;
+/// How much fewer prompt tokens a replica for long answers gets than the average replica.
+const LIGHT_PREFILL_FACTOR: f64 = 2.0;
+/// Largest fraction of the replicas reserved for long answers. If long answers have most of the
+/// prompt tokens, the few remaining replicas would be congested.
+const MAX_LONG_FRACTION: f64 = 0.5;
+/// Weight of the newest request in the means: covers about the last hundred requests.
+const MEAN_WEIGHT: f64 = 0.01;
+/// Requests observed before replicas are reserved.
+const MIN_REQUESTS: u32 = 30;
+
+/// Statistics of a service's answers, from the requests of this entry.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct AnswerStats {
+    requests: u32,
+    mean_answer: f64,
+    /// Mean prompt tokens of a request, and the part of them that belongs to long answers.
+    prompt_mean: f64,
+    long_prompt_mean: f64,
+}
+
+/// Which of a model's replicas a request prefers, by index in the order that all entries share.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HomeRange {
+    /// All replicas.
+    All,
+    /// Those before this index.
+    Before(usize),
+    /// Those from this index on.
+    From(usize),
+}
+
+impl HomeRange {
+    /// Whether the replica at an index is in the range.
+    pub fn contains(self, index: usize) -> bool {
+        match self {
+            Self::All => true,
+            Self::Before(end) => index < end,
+            Self::From(start) => index >= start,
+        }
+    }
+}
+
+fn answer_tokens(need: &Need) -> f64 {
+    need.tokens.saturating_sub(need.prompt_tokens) as f64
+}
+
+impl AnswerStats {
+    /// Adds a request to the statistics.
+    pub fn observe(&mut self, need: &Need) {
+        self.requests = self.requests.saturating_add(1);
+        // The first requests have equal weight, so that the mean is accurate early.
+        let step = MEAN_WEIGHT.max(1.0 / f64::from(self.requests));
+        let long = self.is_long(need);
+        let prompt = need.prompt_tokens as f64;
+        self.mean_answer += (answer_tokens(need) - self.mean_answer) * step;
+        self.prompt_mean += (prompt - self.prompt_mean) * step;
+        let long_prompt = if long { prompt } else { 0.0 };
+        self.long_prompt_mean += (long_prompt - self.long_prompt_mean) * step;
+    }
+
+    fn is_long(&self, need: &Need) -> bool {
+        answer_tokens(need) > self.mean_answer * LONG_ANSWER_FACTOR
+    }
+
+    /// Returns the range that a request prefers among `homes` replicas.
+    pub fn homes_for(&self, need: &Need, homes: usize) -> HomeRange {
+        if self.requests < MIN_REQUESTS || self.prompt_mean <= 0.0 {
+            return HomeRange::All;
+        }
+        let fraction = self.long_prompt_mean / self.prompt_mean * LIGHT_PREFILL_FACTOR;
+        let reserved = (homes as f64 * fraction) as usize;
+        match (reserved, self.is_long(need)) {
+            (0, _) => HomeRange::All,
+            _ if fraction > MAX_LONG_FRACTION => HomeRange::All,
+            (reserved, true) => HomeRange::Before(reserved),
+            (reserved, false) => HomeRange::From(reserved),
+        }
+    }
+}
--- a/src/forward/client.rs
+++ b/src/forward/client.rs
@@ -1,5 +1,5 @@
-//! Connections from clients: reads requests whole, has each answered, and
-//! notices when the client leaves.
+//! Connections of clients: reads complete requests, has each one served, and detects when the
+//! client disconnects.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -21,43 +21,44 @@
 
 /// Bytes read at once.
 const READ_SIZE: usize = 16 * 1024;
-/// Bytes of later requests that are read while one is answered.
-const MAX_AHEAD: usize = 64 * 1024;
-/// How long a refused client's bytes are read before its connection is closed,
-/// so that it can read why.
-const LINGER: Duration = Duration::from_millis(300);
+/// Bytes of later requests that are read while one is being served.
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
+/// How long the bytes of a refused client are read before its connection is closed, so that the
+/// client can read the refusal.
+const LINGER_TIME: Duration = Duration::from_millis(300);
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The head.
     pub head: RequestHead,
     /// The body.
     pub body: Vec<u8>,
-    /// When its head was whole.
+    /// When the head was complete.
     pub since: Instant,
-    /// The same by [`clock::monotonic_ms`], by which its time runs out.
+    /// The same on the clock of [`clock::monotonic_ms`], which the deadline is based on.
     pub since_ms: u64,
 }
 
-/// Writes answers to one client.
+/// Writes responses to one client.
 pub struct ClientWriter {
     stream: OwnedWriteHalf,
-    /// Bytes of the current answer have left.
+    /// Whether bytes of the current response were sent.
     begun: bool,
-    /// Longest time in which the client takes nothing.
+    /// Longest time in which the client may accept no bytes.
     stall: Duration,
 }
 
 impl ClientWriter {
-    /// Whether bytes of the current answer have left.
+    /// Whether bytes of the current response were sent.
     pub fn has_begun(&self) -> bool {
         self.begun
     }
 
-    /// Writes bytes of the current answer. Meanwhile nothing more is read of it, so that no
-    /// more than one piece is held for a client that reads slowly. One that takes nothing for
-    /// [`ForwardSettings::stall_ms`] has gone: its replica would hold the rest for it.
+    /// Writes bytes of the current response. No more of the response is read meanwhile, so that at
+    /// most one piece is buffered for a slow client. A client that accepts nothing for
+    /// [`ForwardSettings::stall_ms`] counts as disconnected, as its replica would have to buffer
+    /// the rest.
     pub async fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.begun = true;
         let mut rest = bytes;
@@ -74,30 +75,30 @@
     }
 }
 
-/// What becomes of the connection after an answer.
+/// What happens to the connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AfterAnswer {
+pub enum AfterResponse {
     /// It may carry another request.
     Keep,
-    /// It is closed in good order.
+    /// It is closed gracefully.
     Close,
-    /// It is cut: the answer must not look whole.
+    /// It is cut, so that the response does not look complete.
     Cut,
 }
 
 enum ReadError {
-    /// The client closed, or was idle for too long.
-    Gone,
-    /// The entry stops, and no request has come.
+    /// The client disconnected, or was idle for too long.
+    Disconnected,
+    /// The entry is stopping, and no request has arrived.
     Idle,
-    /// The request is refused with this status, and nothing more is read.
+    /// The request is refused with this status and reason, and nothing more is read.
     Refused(u16, &'static str),
 }
 
 struct ClientReader {
     stream: OwnedReadHalf,
     buffer: Vec<u8>,
-    /// A request has been answered on the connection.
+    /// Whether a request has been served on the connection.
     served: bool,
 }
 
@@ -105,15 +106,15 @@
     async fn fill(&mut self) -> Result<(), ReadError> {
         self.buffer.reserve(READ_SIZE);
         match self.stream.read_buf(&mut self.buffer).await {
-            Ok(0) | Err(_) => Err(ReadError::Gone),
+            Ok(0) | Err(_) => Err(ReadError::Disconnected),
             Ok(_) => Ok(()),
         }
     }
 
-    /// Returns when the client has left.
-    async fn gone(&mut self) {
+    /// Returns when the client has disconnected.
+    async fn disconnected(&mut self) {
         loop {
-            if self.buffer.len() > MAX_AHEAD {
+            if self.buffer.len() > MAX_PIPELINED_BYTES {
                 return std::future::pending().await;
             }
             if self.fill().await.is_err() {
@@ -132,16 +133,16 @@
         if self.buffer.is_empty() {
             let served = self.served;
             tokio::select! {
-                // A request that has come already is taken before the connection is closed.
+                // A request that has already arrived is served before the connection is closed.
                 biased;
                 first = tokio::time::timeout(idle, self.fill()) => {
-                    first.map_err(|_| ReadError::Gone)??;
+                    first.map_err(|_| ReadError::Disconnected)??;
                 }
-                () = core.closes_resting(served) => return Err(ReadError::Idle),
+                () = core.idle_close_due(served) => return Err(ReadError::Idle),
             }
         }
         first_byte();
-        let whole = async {
+        let complete = async {
             loop {
                 match head::parse_request(&self.buffer) {
                     Ok(Some((head, len))) => {
@@ -165,8 +166,10 @@
             }
         };
         let limit = Duration::from_millis(limits.header_ms);
-        let late = ReadError::Refused(408, "the head took too long");
-        tokio::time::timeout(limit, whole).await.map_err(|_| late)?
+        let timed_out = ReadError::Refused(408, "the head took too long");
+        tokio::time::timeout(limit, complete)
+            .await
+            .map_err(|_| timed_out)?
     }
 
     async fn read_body(
@@ -204,18 +207,18 @@
         }
     }
 
-    /// Reads and drops what the client still sends, so that a refusal reaches it.
+    /// Reads and discards what the client still sends, so that it can read the refusal.
     async fn linger(&mut self) {
         let drain = async {
             while self.fill().await.is_ok() {
                 self.buffer.clear();
             }
         };
-        let _ = tokio::time::timeout(LINGER, drain).await;
+        let _ = tokio::time::timeout(LINGER_TIME, drain).await;
     }
 }
 
-/// Serves one client's connection until it ends.
+/// Serves one client connection until it ends.
 pub async fn serve(core: Rc<EntryCore>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
@@ -232,13 +235,13 @@
     loop {
         let after = serve_one(&core, &mut reader, &mut writer).await;
         match after {
-            AfterAnswer::Keep => reader.served = true,
-            AfterAnswer::Close => {
+            AfterResponse::Keep => reader.served = true,
+            AfterResponse::Close => {
                 let _ = writer.stream.shutdown().await;
                 reader.linger().await;
                 return;
             }
-            AfterAnswer::Cut => return,
+            AfterResponse::Cut => return,
         }
     }
 }
@@ -247,26 +250,26 @@
     core: &Rc<EntryCore>,
     reader: &mut ClientReader,
     writer: &mut ClientWriter,
-) -> AfterAnswer {
+) -> AfterResponse {
     writer.begun = false;
     let limits = core.limits();
-    let busy = core.busy();
+    let busy = core.busy_guard();
     let request = match read_request(core, reader, writer, &limits, &|| busy.mark()).await {
         Ok(request) => request,
-        Err(ReadError::Gone) => return AfterAnswer::Cut,
-        Err(ReadError::Idle) => return AfterAnswer::Close,
+        Err(ReadError::Disconnected) => return AfterResponse::Cut,
+        Err(ReadError::Idle) => return AfterResponse::Close,
         Err(ReadError::Refused(status, reason)) => {
             core.count_refused_read(status);
             let answer = own_answer::own_answer(core, status, reason, None, None, true);
             let _ = writer.write(&answer).await;
-            return AfterAnswer::Close;
+            return AfterResponse::Close;
         }
     };
     let answered = request::answer(core, &request, writer);
     tokio::select! {
         after = answered => after,
-        // Dropping the answer closes the connection to the replica.
-        () = reader.gone() => AfterAnswer::Cut,
+        // Dropping the response closes the connection to the replica.
+        () = reader.disconnected() => AfterResponse::Cut,
     }
 }
 
@@ -282,15 +285,15 @@
     let expects = head::names_token(&head.headers, "expect", "100-continue");
     if expects && reader.buffer.is_empty() && head.framing != Framing::Length(0) {
         let sent = writer.write(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        sent.map_err(|_| ReadError::Gone)?;
+        sent.map_err(|_| ReadError::Disconnected)?;
         writer.begun = false;
     }
     let limit = Duration::from_millis(limits.idle_ms);
     let body = reader.read_body(head.framing, limits);
-    let late = ReadError::Refused(408, "the body took too long");
+    let timed_out = ReadError::Refused(408, "the body took too long");
     let body = tokio::time::timeout(limit, body)
         .await
-        .map_err(|_| late)??;
+        .map_err(|_| timed_out)??;
     Ok(ClientRequest {
         head,
         body,
--- a/src/forward/daemon.rs
+++ b/src/forward/daemon.rs
@@ -1,4 +1,4 @@
-//! The entry that forwards straight to replicas: its shared state and its tasks.
+//! The entry that forwards requests directly to replicas: its shared state and its tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,16 +15,16 @@
 
 use crate::clock;
 use crate::consensus::directory::ReplicaRecord;
-use crate::forward::book::{ChoicePolicy, EjectNews, Need, ReplicaBook};
 use crate::forward::budget::{ResendBudget, ResendPolicy};
 use crate::forward::client;
-use crate::forward::crashes::CrashWatch;
-use crate::forward::crowd;
+use crate::forward::crashes::CrashTracker;
 use crate::forward::dialect::HeaderNames;
 use crate::forward::limits;
-use crate::forward::place::EntryPlace;
+use crate::forward::locality::EntryLocation;
+use crate::forward::queue_reports;
 use crate::forward::quotas::{self, QuotaClient};
-use crate::forward::request_log::LineBudget;
+use crate::forward::replica_table::{ChoicePolicy, Ejection, Need, ReplicaTable};
+use crate::forward::request_log::LogLineLimit;
 use crate::forward::unknown_headers::UnknownHeaders;
 use crate::forward::upstream::ConnectionPool;
 use crate::ids::{HallName, HostName, ModelName, RegionName, ReplicaId};
@@ -32,7 +32,7 @@
 use crate::placement::report::EntryReport;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::follow::ControlFollower;
-use crate::process::metrics::{MetricKey, MetricRegistry};
+use crate::process::metrics::{MetricRegistry, MetricKey};
 use crate::process::peers::{ControlLink, SiteSecret};
 use crate::process::settings::LogSettings;
 use crate::routing::view::SiteView;
@@ -41,32 +41,32 @@
 use crate::table::quota::{EntryIncarnation, QuotaHolder};
 
 /// Time between two reports to the leader.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
-/// Time for a report or a wish.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Time limit of a report or an adapter request.
 const REPORT_TIME: Duration = Duration::from_millis(1_000);
-/// Least time between two wishes for the same adapter, in milliseconds.
-const WISH_EVERY_MS: u64 = 150;
-/// Time between two looks whether a configuration that was proven has come.
-const AUTHORITY_LOOK: Duration = Duration::from_millis(50);
-/// Most lines on replicas, each way, for one step of the copy: an entry that has just started
-/// learns of thousands at once.
-const MAX_REPLICA_LINES: usize = 32;
-/// Time between two looks at idle connections.
-const PRUNE_EVERY: Duration = Duration::from_millis(500);
-/// Time between two looks at whether a stopping entry is done.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Shortest time between two requests for the same adapter, in milliseconds.
+const ADAPTER_REQUEST_INTERVAL_MS: u64 = 150;
+/// Time between two checks whether a configuration whose proof has arrived is present.
+const AUTHORITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Most log lines on new replicas, and on removed ones, for one update: an entry that has just
+/// started learns of thousands at once.
+const MAX_REPLICA_LOG_LINES: usize = 32;
+/// Time between two prunings of replica state and idle connections.
+const PRUNE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two checks whether a stopping entry is idle.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Default of [`ForwardSettings::connect_ms`].
 pub const CONNECT_MS: u64 = 400;
 /// Default of [`ForwardSettings::stale_ms`].
 pub const STALE_MS: u64 = 10_000;
-/// Default of [`ForwardSettings::stall_ms`]: clients give a stream up after a pause of some
-/// seconds, and replicas cut off what stays unread for longer.
+/// Default of [`ForwardSettings::stall_ms`]: clients abandon a stream after a pause of some
+/// seconds, and replicas cut a stream that stays unread for longer.
 pub const STALL_MS: u64 = 5_000;
 /// Default of [`ForwardSettings::config_wait_ms`].
 pub const CONFIG_WAIT_MS: u64 = 1_000;
 
-/// Settings of an entry that forwards to registered replicas.
+/// Settings of an entry that forwards to replicas that register themselves.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ForwardSettings {
@@ -74,49 +74,48 @@
     pub host: HostName,
     /// Its data hall.
     pub hall: HallName,
-    /// The region of each data hall; a hall that is not named is in none.
+    /// Region of each data hall. A hall that is not listed has none.
     #[serde(default)]
     pub regions: BTreeMap<HallName, RegionName>,
-    /// Where clients reach it.
+    /// Address for clients.
     pub clients: SocketAddr,
-    /// Where readiness, health and metrics are served.
+    /// Address for readiness, health and metrics.
     pub watch: SocketAddr,
-    /// Control hosts to begin with; the others are learnt from them.
+    /// Control hosts to start with; they report the others.
     pub control: Vec<SocketAddr>,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
     /// How replicas are chosen.
     #[serde(default)]
     pub choice: ChoicePolicy,
-    /// How much may be sent again.
+    /// How many requests may be resent.
     #[serde(default)]
     pub resend: ResendPolicy,
-    /// Time to open a connection to a replica, in milliseconds.
+    /// Time limit to connect to a replica, in milliseconds.
     #[serde(default = "default_connect")]
     pub connect_ms: u64,
-    /// Longest time without word of a leader while the entry calls itself ready,
-    /// in milliseconds.
+    /// Longest time without contact to a leader during which the entry reports itself as ready, in
+    /// milliseconds.
     #[serde(default = "default_stale")]
     pub stale_ms: u64,
-    /// Oldest word on client accounts that keys are obeyed by, in milliseconds: a key that
-    /// was taken away is refused everywhere after this.
+    /// Greatest age of the proof that the known client accounts are current, in milliseconds. A
+    /// revoked key is refused everywhere after this time.
     #[serde(default = "default_authority")]
     pub authority_ms: u64,
-    /// Longest wait of a request for the first configuration, in milliseconds: control
-    /// hosts that start with the entry tell it within this, and a caller that is refused
-    /// asks once more.
+    /// Longest wait of a request for the first configuration, in milliseconds: control hosts that
+    /// start together with the entry deliver it within this time, and a refused caller retries.
     #[serde(default = "default_config_wait")]
     pub config_wait_ms: u64,
-    /// Longest time in which a client takes nothing of its answer, in milliseconds; then its
-    /// connection is cut.
+    /// Longest time in which a client may accept no bytes of its response, in milliseconds; then
+    /// its connection is cut.
     #[serde(default = "default_stall")]
     pub stall_ms: u64,
-    /// Least time from a request to stop to the end, in milliseconds: callers
-    /// must have noticed by then.
+    /// Shortest time from a stop request to the exit, in milliseconds: callers must have noticed
+    /// the stop by then.
     #[serde(default = "default_stop")]
     pub stop_ms: u64,
-    /// Most time from a request to stop to the end, in milliseconds.
+    /// Longest time from a stop request to the exit, in milliseconds.
     #[serde(default = "default_grace")]
     pub grace_ms: u64,
 }
@@ -149,16 +148,16 @@
     7_500
 }
 
-/// A configuration with its index.
+/// A configuration with its indexes.
 #[derive(Debug)]
 pub struct Routing {
     /// The configuration.
     pub configuration: Configuration,
-    /// Its routes by place.
+    /// Index of its routes.
     pub index: RouteIndex,
-    /// How well each route can wait.
+    /// Slack rank of each route: how well its requests can wait.
     pub slack_ranks: Vec<u32>,
-    /// Its accounts by key.
+    /// Index of its accounts by key.
     pub keys: KeyIndex,
 }
 
@@ -166,47 +165,47 @@
 pub struct EntryCore {
     /// Names of headers.
     pub names: HeaderNames,
-    /// What is known of replicas.
-    pub book: RefCell<ReplicaBook>,
+    /// State of the replicas.
+    pub replicas: RefCell<ReplicaTable>,
     /// Idle connections.
     pub pool: RefCell<ConnectionPool>,
-    /// The budget for sending again.
+    /// Budget for resends.
     pub budget: RefCell<ResendBudget>,
-    /// Woken when a replica may have room, or another one may be there.
+    /// Notified when a replica may have free capacity, or another replica may be available.
     pub changed: Notify,
-    /// What is known of contents under which replicas ended.
-    pub crashes: CrashWatch,
+    /// Crashes, and the contents that are suspect because of them.
+    pub crashes: CrashTracker,
     settings: ForwardSettings,
     follower: Arc<ControlFollower>,
     routing: RefCell<Option<Rc<Routing>>>,
-    busy: RefCell<BTreeMap<ModelName, u32>>,
-    lately: RefCell<BTreeMap<ModelName, f64>>,
+    in_flight: RefCell<BTreeMap<ModelName, u32>>,
+    recent_demand: RefCell<BTreeMap<ModelName, f64>>,
     adapters: RefCell<BTreeSet<AdapterPlacement>>,
-    wishes: RefCell<BTreeMap<AdapterPlacement, u64>>,
-    /// What is drawn of accounts' quotas.
+    adapter_requests: RefCell<BTreeMap<AdapterPlacement, u64>>,
+    /// Quotas drawn for accounts.
     pub quotas: QuotaClient,
-    /// A replica is crowded, as far as this entry sees.
-    pub crowd_seen: Notify,
-    /// Something of replicas' limits is to be told to the leader.
-    pub limit_heard: Notify,
+    /// Notified when this entry sees a congested replica.
+    pub congestion_seen: Notify,
+    /// Notified when a change of a replica's rate limit should be reported to the leader.
+    pub limit_changed: Notify,
     active: Cell<usize>,
     stopping: Arc<AtomicBool>,
-    stop_told: Notify,
+    stop_requested: Notify,
     stopped_at: Cell<Option<Instant>>,
     ready: Arc<AtomicBool>,
     pub(super) metrics: Arc<Mutex<MetricRegistry>>,
-    pub(super) lines: RefCell<LineBudget>,
+    pub(super) lines: RefCell<LogLineLimit>,
     pub(super) unknown_headers: RefCell<UnknownHeaders>,
 }
 
-/// Counts a client's connection as busy from the first byte of a request on.
-pub struct BusyMark<'a> {
+/// Counts a client connection as busy from the first byte of a request on.
+pub struct BusyGuard<'a> {
     core: &'a EntryCore,
     marked: Cell<bool>,
 }
 
-impl BusyMark<'_> {
-    /// A request has begun to come.
+impl BusyGuard<'_> {
+    /// Marks the connection as busy: a request has begun to arrive.
     pub fn mark(&self) {
         if !self.marked.replace(true) {
             self.core.active.set(self.core.active.get() + 1);
@@ -214,7 +213,7 @@
     }
 }
 
-impl Drop for BusyMark<'_> {
+impl Drop for BusyGuard<'_> {
     fn drop(&mut self) {
         if self.marked.get() {
             self.core.active.set(self.core.active.get() - 1);
@@ -222,82 +221,82 @@
     }
 }
 
-/// Counts a request for its model.
-pub struct ModelMark<'a> {
+/// Counts a request in the demand for its model while it is present.
+pub struct DemandGuard<'a> {
     core: &'a EntryCore,
     model: Option<ModelName>,
     since: Instant,
     refused: Cell<bool>,
 }
 
-impl ModelMark<'_> {
-    /// The request is refused: what it would have taken counts.
+impl DemandGuard<'_> {
+    /// Marks the request as refused: it counts as demand for a whole report interval.
     pub fn refuse(&self) {
         self.refused.set(true);
     }
 }
 
-impl Drop for ModelMark<'_> {
+impl Drop for DemandGuard<'_> {
     fn drop(&mut self) {
         let Some(model) = &self.model else {
             return;
         };
-        if let Some(count) = self.core.busy.borrow_mut().get_mut(model) {
+        if let Some(count) = self.core.in_flight.borrow_mut().get_mut(model) {
             *count = count.saturating_sub(1);
         }
-        // The time it was here, as a part of the time between two reports. One
-        // that was refused would have been here for longer.
-        let part = match self.refused.get() {
+        // The time that the request was present, as a fraction of the report interval. A refused
+        // request would have been present for longer.
+        let fraction = match self.refused.get() {
             true => 1.0,
-            false => self.since.elapsed().as_secs_f64() / REPORT_EVERY.as_secs_f64(),
+            false => self.since.elapsed().as_secs_f64() / REPORT_INTERVAL.as_secs_f64(),
         };
-        let mut lately = self.core.lately.borrow_mut();
-        *lately.entry(model.clone()).or_default() += part.min(1.0);
+        let mut recent_demand = self.core.recent_demand.borrow_mut();
+        *recent_demand.entry(model.clone()).or_default() += fraction.min(1.0);
     }
 }
 
 impl EntryCore {
-    /// The configuration in force, once one is known.
+    /// Returns the configuration in force, if one is known.
     pub fn routing(&self) -> Option<Rc<Routing>> {
         self.routing.borrow().clone()
     }
 
-    /// The configuration in force, waiting for the first one. A stopping entry does
+    /// Waits for the first configuration and returns it, or the one in force. A stopping entry does
     /// not wait.
-    pub async fn await_routing(&self, patience: Duration) -> Option<Rc<Routing>> {
-        let give_up = Instant::now() + patience;
+    pub async fn await_routing(&self, max_wait: Duration) -> Option<Rc<Routing>> {
+        let deadline = Instant::now() + max_wait;
         loop {
             let changed = self.changed.notified();
             let routing = self.routing();
-            if routing.is_some() || self.is_stopping() || Instant::now() >= give_up {
+            if routing.is_some() || self.is_stopping() || Instant::now() >= deadline {
                 return routing;
             }
-            let _ = tokio::time::timeout_at(give_up.into(), changed).await;
+            let _ = tokio::time::timeout_at(deadline.into(), changed).await;
         }
     }
 
-    /// Whether what is known of client accounts is young enough to act by.
+    /// Whether the known client accounts are proven recently enough to authorize requests.
     pub fn has_authority(&self) -> bool {
         let proof_age_ms = self.follower.proof_age_ms(self.version());
         proof_age_ms.is_some_and(|age_ms| age_ms < self.settings.authority_ms)
     }
 
-    /// Waits for word of the newest configuration, for so long at the most.
-    pub async fn await_authority(&self, patience: Duration) -> bool {
-        let give_up = Instant::now() + patience;
+    /// Waits up to `max_wait` for a proof of the newest configuration.
+    pub async fn await_authority(&self, max_wait: Duration) -> bool {
+        let deadline = Instant::now() + max_wait;
         loop {
             let proven = self.follower.proof_received();
             let known = self.has_authority();
-            if known || self.is_stopping() || Instant::now() >= give_up {
+            if known || self.is_stopping() || Instant::now() >= deadline {
                 return known;
             }
-            // A proof may be for a configuration that is still on its way here.
-            let until = give_up.min(Instant::now() + AUTHORITY_LOOK);
+            // The proof may be for a configuration that is still in transit.
+            let until = deadline.min(Instant::now() + AUTHORITY_POLL_INTERVAL);
             let _ = tokio::time::timeout_at(until.into(), proven).await;
         }
     }
 
-    /// Takes over a newer configuration at once, if the copy of the log has one.
+    /// Applies a newer configuration at once, if the local copy of the log has one.
     pub fn catch_up(self: &Rc<Self>) {
         let held = self.version();
         let view = self.follower.view();
@@ -311,49 +310,49 @@
         }
     }
 
-    /// The limits on clients.
+    /// Returns the limits on clients.
     pub fn limits(&self) -> ClientLimits {
         let routing = self.routing.borrow();
         let limits = routing.as_ref().map(|routing| routing.configuration.limits);
         limits.unwrap_or_default()
     }
 
-    /// Whether the entry was asked to stop.
+    /// Whether the entry was requested to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// How long a stopping entry still runs; none while it was not asked to stop.
+    /// Time until a stopping entry exits; `None` if it is not stopping.
     pub fn time_to_end(&self) -> Option<Duration> {
         let since = self.stopped_at.get()?;
         let grace = Duration::from_millis(self.settings.grace_ms);
         Some(grace.saturating_sub(since.elapsed()))
     }
 
-    /// Returns once the entry stops and a resting connection is to be closed: at
-    /// once where it has been served, else when no new ones are taken either.
-    pub async fn closes_resting(&self, served: bool) {
+    /// Returns once the entry stops and an idle connection should be closed: immediately if it has
+    /// served a request, otherwise when the listener closes.
+    pub async fn idle_close_due(&self, served: bool) {
         match served {
-            true => self.stops().await,
-            false => self.closes_listener().await,
+            true => self.stop_begins().await,
+            false => self.listener_close_due().await,
         }
     }
 
-    /// Returns once the entry was asked to stop.
-    async fn stops(&self) {
+    /// Returns once the entry is requested to stop.
+    async fn stop_begins(&self) {
         loop {
-            let told = self.stop_told.notified();
+            let notified = self.stop_requested.notified();
             if self.is_stopping() {
                 return;
             }
-            told.await;
+            notified.await;
         }
     }
 
     /// Returns once callers must have noticed that the entry stops.
-    async fn closes_listener(&self) {
-        self.stops().await;
-        // By the time of the stop: a connection may have come at any moment since.
+    async fn listener_close_due(&self) {
+        self.stop_begins().await;
+        // Counted from the stop request, as this connection may have come at any time since.
         let since = self.stopped_at.get().unwrap_or_else(Instant::now);
         let until = since + Duration::from_millis(self.settings.stop_ms);
         tokio::time::sleep_until(until.into()).await;
@@ -364,17 +363,17 @@
         &self.settings.choice
     }
 
-    /// Time to open a connection to a replica.
+    /// Time limit to connect to a replica.
     pub fn connect_time(&self) -> Duration {
         Duration::from_millis(self.settings.connect_ms)
     }
 
-    /// Longest time in which a client takes nothing.
+    /// Longest time in which a client may accept no bytes.
     pub fn stall_time(&self) -> Duration {
         Duration::from_millis(self.settings.stall_ms)
     }
 
-    /// The way to control hosts.
+    /// Client for calls to the control hosts.
     pub fn link(&self) -> &ControlLink {
         self.follower.link()
     }
@@ -389,20 +388,24 @@
         Duration::from_millis(self.settings.config_wait_ms)
     }
 
-    /// Marks a connection as busy once a request begins to come.
-    pub fn busy(&self) -> BusyMark<'_> {
-        BusyMark {
+    /// Returns a guard that marks a connection as busy once a request begins to arrive.
+    pub fn busy_guard(&self) -> BusyGuard<'_> {
+        BusyGuard {
             core: self,
             marked: Cell::new(false),
         }
     }
 
-    /// Counts a request for its model while it is here.
-    pub fn track(&self, need: &Need) -> ModelMark<'_> {
+    /// Counts a request in the demand for its model until the guard is dropped.
+    pub fn track_demand(&self, need: &Need) -> DemandGuard<'_> {
         if let Some(model) = &need.model {
-            *self.busy.borrow_mut().entry(model.clone()).or_default() += 1;
+            *self
+                .in_flight
+                .borrow_mut()
+                .entry(model.clone())
+                .or_default() += 1;
         }
-        ModelMark {
+        DemandGuard {
             core: self,
             model: need.model.clone(),
             since: Instant::now(),
@@ -410,26 +413,26 @@
         }
     }
 
-    /// Notes that an adapter is used on a replica, for the next report.
-    pub fn note_adapter(&self, replica: &ReplicaId, need: &Need) {
-        if let Some(place) = adapter_place(replica, need) {
-            self.adapters.borrow_mut().insert(place);
+    /// Records that an adapter is used on a replica, for the next report.
+    pub fn record_adapter_use(&self, replica: &ReplicaId, need: &Need) {
+        if let Some(slot) = adapter_slot(replica, need) {
+            self.adapters.borrow_mut().insert(slot);
         }
     }
 
-    /// Asks the leader for an adapter on a replica.
-    pub fn wish(self: &Rc<Self>, replica: &ReplicaId, need: &Need) {
-        let Some(wish) = adapter_place(replica, need) else {
+    /// Requests an adapter on a replica from the leader, unless it was requested just before.
+    pub fn request_adapter(self: &Rc<Self>, replica: &ReplicaId, need: &Need) {
+        let Some(request) = adapter_slot(replica, need) else {
             return;
         };
         let now_ms = clock::monotonic_ms();
-        let mut wishes = self.wishes.borrow_mut();
-        wishes.retain(|_, at_ms| *at_ms + WISH_EVERY_MS > now_ms);
-        if wishes.contains_key(&wish) {
+        let mut recent = self.adapter_requests.borrow_mut();
+        recent.retain(|_, at_ms| *at_ms + ADAPTER_REQUEST_INTERVAL_MS > now_ms);
+        if recent.contains_key(&request) {
             return;
         }
-        wishes.insert(wish.clone(), now_ms);
-        daemon::spawn_local(ask_adapter(self.clone(), wish));
+        recent.insert(request.clone(), now_ms);
+        daemon::spawn_local(send_adapter_request(self.clone(), request));
     }
 
     /// Counts a connection opened to a replica.
@@ -448,7 +451,7 @@
         metrics.count(MetricKey::new(name, labels), 1);
     }
 
-    /// Logs a request that got no further than its route.
+    /// Logs a request that was refused before forwarding began.
     pub fn log_plain(&self, id: &str, status: u16, reason: &str) {
         let text = status.to_string();
         self.count("dunlinspring_unrouted_total", &[("status", &text)]);
@@ -458,21 +461,21 @@
         }
     }
 
-    /// Logs replicas that are passed over from now on.
-    pub fn log_ejected(&self, news: &[EjectNews]) {
-        for ejected in news {
+    /// Counts and logs ejected replicas.
+    pub fn log_ejected(&self, ejections: &[Ejection]) {
+        for ejection in ejections {
             self.count("dunlinspring_ejections_total", &[]);
             tracing::warn!(
-                replica = %ejected.replica,
-                failing = ejected.failing,
-                pause_ms = ejected.pause_ms,
-                end = ?ejected.end,
-                "replica passed over"
+                replica = %ejection.replica,
+                failing = ejection.failure_rate,
+                pause_ms = ejection.duration_ms,
+                end = ?ejection.end,
+                "replica ejected"
             );
         }
     }
 
-    /// The version of the configuration in force; 0 for none.
+    /// Version of the configuration in force; 0 for none.
     pub(super) fn version(&self) -> u64 {
         let routing = self.routing.borrow();
         routing
@@ -480,18 +483,18 @@
             .map_or(0, |routing| routing.configuration.version)
     }
 
-    /// Takes over what the log holds.
+    /// Applies the state of the log.
     fn follow(self: &Rc<Self>) {
         let view = self.follower.view();
-        self.follow_crashes(&view);
+        self.update_crashes(&view);
         self.log_replicas(&view);
-        let mut book = self.book.borrow_mut();
-        if book.follow_halls(&view.evacuated) {
+        let mut replicas = self.replicas.borrow_mut();
+        if replicas.update_evacuated(&view.evacuated) {
             let (evacuated, position) = (&view.evacuated, view.position);
-            tracing::info!(?evacuated, %position, "evacuated halls");
+            tracing::info!(?evacuated, %position, "evacuated halls changed");
         }
-        book.follow(clock::monotonic_ms(), &view.replicas);
-        drop(book);
+        replicas.update_records(clock::monotonic_ms(), &view.replicas);
+        drop(replicas);
         let held = self.version();
         let newer = view.configuration.as_ref().filter(|c| c.version > held);
         if let Some(configuration) = newer {
@@ -500,7 +503,7 @@
             let routes = configuration.routes.len();
             let configuration = (**configuration).clone();
             let services = &configuration.services;
-            self.book.borrow_mut().follow_services(services);
+            self.replicas.borrow_mut().update_services(services);
             let accounts = configuration.accounts.as_ref();
             let keys = accounts.map(KeyIndex::new).unwrap_or_default();
             let slack_ranks = slack_ranks(&configuration.routes);
@@ -516,29 +519,30 @@
             tracing::info!(version, held, routes, %position, "configuration in force");
         }
         drop(view);
-        self.look_ready();
+        self.update_readiness();
         self.changed.notify_waiters();
     }
 
-    /// Logs what is new of replicas: phase and models; adapters come and go too often.
+    /// Logs new and changed replicas, by phase and models, and removed ones. Adapters change too
+    /// often to be logged.
     fn log_replicas(&self, view: &SiteView) {
-        let book = self.book.borrow();
+        let replicas = self.replicas.borrow();
         let position = view.position;
         let is_new = |(id, record): &(&ReplicaId, &ReplicaRecord)| {
-            let known = book.record(id);
+            let known = replicas.record(id);
             let same = known.is_some_and(|known| {
                 known.phase == record.phase && known.models.keys().eq(record.models.keys())
             });
             !same
         };
         let mut known = view.replicas.iter().filter(is_new);
-        for (id, record) in known.by_ref().take(MAX_REPLICA_LINES) {
+        for (id, record) in known.by_ref().take(MAX_REPLICA_LOG_LINES) {
             let models: Vec<&str> = record.models.keys().map(ModelName::as_str).collect();
             let models = models.join(",");
             tracing::info!(replica = %id, phase = ?record.phase, models, %position, "replica known");
         }
-        let mut gone = book.ids().filter(|id| !view.replicas.contains_key(*id));
-        for id in gone.by_ref().take(MAX_REPLICA_LINES) {
+        let mut gone = replicas.ids().filter(|id| !view.replicas.contains_key(*id));
+        for id in gone.by_ref().take(MAX_REPLICA_LOG_LINES) {
             tracing::info!(replica = %id, %position, "replica gone");
         }
         let (more_known, more_gone) = (known.count(), gone.count());
@@ -547,7 +551,7 @@
         }
     }
 
-    fn look_ready(&self) {
+    fn update_readiness(&self) {
         let routing = self.routing();
         let known = routing.is_some();
         let fresh = self.follower.stale_ms() < self.settings.stale_ms;
@@ -561,29 +565,29 @@
     }
 
     fn report(&self) -> EntryReport {
-        let mut busy = std::mem::take(&mut *self.lately.borrow_mut());
-        for (model, count) in self.busy.borrow().iter() {
+        let mut busy = std::mem::take(&mut *self.recent_demand.borrow_mut());
+        for (model, count) in self.in_flight.borrow().iter() {
             *busy.entry(model.clone()).or_default() += f64::from(*count);
         }
-        self.busy.borrow_mut().retain(|_, count| *count > 0);
+        self.in_flight.borrow_mut().retain(|_, count| *count > 0);
         EntryReport {
             host: self.settings.host.0.clone(),
             busy,
             adapters: std::mem::take(&mut *self.adapters.borrow_mut()),
-            limits: self.book.borrow().limits().cursor(),
+            limits: self.replicas.borrow().limits().cursor(),
         }
     }
 }
 
 /// A running entry.
 pub struct ForwardDaemon {
-    /// Where clients reach it.
+    /// Address for clients.
     pub address: SocketAddr,
     core: Rc<EntryCore>,
 }
 
 impl ForwardDaemon {
-    /// Starts on the current thread's runtime.
+    /// Starts an entry on the current thread's runtime.
     pub async fn start(
         settings: ForwardSettings,
         secret: SiteSecret,
@@ -605,26 +609,26 @@
         };
         let core = Rc::new(EntryCore {
             names,
-            book: RefCell::new(ReplicaBook::new(
+            replicas: RefCell::new(ReplicaTable::new(
                 settings.choice,
-                EntryPlace::new(settings.hall.clone(), settings.regions.clone()),
+                EntryLocation::new(settings.hall.clone(), settings.regions.clone()),
             )),
             pool: RefCell::default(),
             budget: RefCell::new(ResendBudget::new(settings.resend)),
             changed: Notify::new(),
-            crashes: CrashWatch::default(),
+            crashes: CrashTracker::default(),
             follower: follower.clone(),
             routing: RefCell::default(),
-            busy: RefCell::default(),
-            lately: RefCell::default(),
+            in_flight: RefCell::default(),
+            recent_demand: RefCell::default(),
             adapters: RefCell::default(),
-            wishes: RefCell::default(),
+            adapter_requests: RefCell::default(),
             quotas: QuotaClient::new(QuotaHolder::new(life, clock::monotonic_ms())),
-            crowd_seen: Notify::new(),
-            limit_heard: Notify::new(),
+            congestion_seen: Notify::new(),
+            limit_changed: Notify::new(),
             active: Cell::new(0),
             stopping: Arc::default(),
-            stop_told: Notify::new(),
+            stop_requested: Notify::new(),
             stopped_at: Cell::default(),
             ready: Arc::default(),
             metrics: Arc::default(),
@@ -639,17 +643,17 @@
         daemon::spawn_local(follow(core.clone()));
         daemon::spawn_local(report(core.clone()));
         daemon::spawn_local(quotas::draw_quotas(core.clone()));
-        daemon::spawn_local(crowd::tell_crowd(core.clone()));
-        daemon::spawn_local(limits::tell_limits(core.clone()));
+        daemon::spawn_local(queue_reports::report_queued_tokens(core.clone()));
+        daemon::spawn_local(limits::report_limits(core.clone()));
         daemon::spawn_local(prune(core.clone()));
         daemon::spawn_local(accept(core.clone(), listener));
         tracing::info!(clients = %address, "entry started");
         Ok(Self { address, core })
     }
 
-    /// Whether the entry knows a replica in this life.
+    /// Whether the entry knows the replica.
     pub fn knows(&self, replica: &ReplicaId) -> bool {
-        self.core.book.borrow().record(replica).is_some()
+        self.core.replicas.borrow().record(replica).is_some()
     }
 
     /// Watches further control hosts, after a change of the settings.
@@ -659,24 +663,24 @@
         }
     }
 
-    /// Takes no new connections on, finishes what is under way, and returns.
+    /// Stops accepting connections, finishes outstanding requests and returns.
     pub async fn stop(&self) {
         let core = &self.core;
         let since = Instant::now();
         core.stopped_at.set(Some(since));
         core.stopping.store(true, Ordering::SeqCst);
-        core.stop_told.notify_waiters();
-        core.look_ready();
+        core.stop_requested.notify_waiters();
+        core.update_readiness();
         let least = Duration::from_millis(core.settings.stop_ms);
         let most = Duration::from_millis(core.settings.grace_ms);
         tracing::info!(active = core.active.get(), "stopping");
         loop {
-            let idle = core.active.get() == 0 && since.elapsed() > least + STOP_LOOK;
+            let idle = core.active.get() == 0 && since.elapsed() > least + STOP_POLL_INTERVAL;
             if idle || since.elapsed() >= most {
                 tracing::info!(active = core.active.get(), "stopped");
                 return;
             }
-            tokio::time::sleep(STOP_LOOK).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
     }
 }
@@ -686,27 +690,27 @@
     let metrics = core.metrics.clone();
     let read = move || {
         let ready = ready.load(Ordering::SeqCst);
-        let book = metrics.lock().unwrap_or_else(|b| b.into_inner());
+        let registry = metrics.lock().unwrap_or_else(|b| b.into_inner());
         let page = daemon::HealthPage {
             ready,
-            metrics: book.render(),
+            metrics: registry.render(),
         };
         Box::pin(async move { page }) as daemon::HealthFuture
     };
     daemon::serve_health(core.settings.watch, Arc::new(read)).await
 }
 
-/// Accepts clients until some time after the entry was asked to stop.
+/// Accepts clients until some time after the stop request.
 async fn accept(core: Rc<EntryCore>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = core.closes_listener() => return,
+            () = core.listener_close_due() => return,
         };
         match accepted {
             Ok((stream, _)) => daemon::spawn_local(client::serve(core.clone(), stream)),
             Err(error) => {
-                tracing::warn!(%error, "cannot accept a client");
+                tracing::warn!(%error, "cannot accept a client connection");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -723,9 +727,9 @@
 
 async fn report(core: Rc<EntryCore>) {
     loop {
-        tokio::time::sleep(REPORT_EVERY).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
         let report = core.report();
-        let told = core
+        let reply = core
             .follower
             .link()
             .call_leader("report", REPORT_TIME, |client, context| {
@@ -733,17 +737,17 @@
                 async move { client.report(context, report).await }
             })
             .await;
-        match told {
+        match reply {
             Ok(reply) => {
-                core.budget.borrow_mut().share_among(reply.entries);
-                core.follow_limits(&reply.limits);
+                core.budget.borrow_mut().set_entries(reply.entries);
+                core.apply_limits(&reply.limits);
             }
-            Err(error) => tracing::debug!(%error, "a report was not heard"),
+            Err(error) => tracing::debug!(%error, "report to the leader failed"),
         }
     }
 }
 
-fn adapter_place(replica: &ReplicaId, need: &Need) -> Option<AdapterPlacement> {
+fn adapter_slot(replica: &ReplicaId, need: &Need) -> Option<AdapterPlacement> {
     Some(AdapterPlacement {
         replica: replica.clone(),
         model: need.model.clone()?,
@@ -751,36 +755,38 @@
     })
 }
 
-async fn ask_adapter(core: Rc<EntryCore>, wish: AdapterPlacement) {
+async fn send_adapter_request(core: Rc<EntryCore>, request: AdapterPlacement) {
     let link = core.follower.link();
-    let asked = link
+    let reply = link
         .call_leader("wish", REPORT_TIME, |client, context| {
-            let wish = wish.clone();
-            async move { client.wish(context, wish).await }
+            let request = request.clone();
+            async move { client.wish(context, request).await }
         })
         .await;
-    let (replica, model, adapter) = (&wish.replica, &wish.model, &wish.adapter);
-    match asked {
+    let (replica, model, adapter) = (&request.replica, &request.model, &request.adapter);
+    match reply {
         Ok(soon) => {
-            tracing::info!(%replica, %model, adapter, soon, "wish for an adapter");
+            tracing::info!(%replica, %model, adapter, soon, "adapter requested");
             if !soon {
                 let now_ms = clock::monotonic_ms();
-                core.book.borrow_mut().refuse_fetch(now_ms, replica);
+                core.replicas
+                    .borrow_mut()
+                    .record_fetch_refusal(now_ms, replica);
                 core.changed.notify_waiters();
             }
         }
         Err(error) => {
-            tracing::warn!(%error, %replica, %model, adapter, "a wish was not heard");
+            tracing::warn!(%error, %replica, %model, adapter, "adapter request failed");
         }
     }
 }
 
 async fn prune(core: Rc<EntryCore>) {
     loop {
-        tokio::time::sleep(PRUNE_EVERY).await;
-        let mut book = core.book.borrow_mut();
-        book.prune(clock::monotonic_ms());
+        tokio::time::sleep(PRUNE_INTERVAL).await;
+        let mut replicas = core.replicas.borrow_mut();
+        replicas.prune(clock::monotonic_ms());
         let mut pool = core.pool.borrow_mut();
-        pool.prune(|id| book.record(id).is_some());
+        pool.prune(|id| replicas.record(id).is_some());
     }
 }
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -1,4 +1,5 @@
-//! Tells the leader of limits that replicas name, and hears of those that others heard of.
+//! Reports to the leader the rate limits that replicas advertise, and receives those seen by other
+//! entries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,104 +10,111 @@
 use crate::placement::named_limits::{LimitPage, PermitStamp};
 use crate::placement::named_rate::AdvertisedRate;
 
-/// Least time between two reports.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Pause after a report that was not heard, or not by a leader that knows all limits.
-const DUE_PAUSE: Duration = Duration::from_millis(300);
-/// Time for a report.
-const REPORT_TIME: Duration = Duration::from_millis(250);
+/// Shortest time between two reports.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
+/// Wait after a report that failed, or that reached a leader which does not know all limits yet.
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
+/// Time limit of a report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Reports at once what is heard of limits. The first report is empty: it brings what others
-/// heard before this entry started.
-pub async fn tell_limits(core: Rc<EntryCore>) {
+/// Reports changes of rate limits immediately. The first report is empty: its reply brings the
+/// limits that other entries saw before this one started.
+pub async fn report_limits(core: Rc<EntryCore>) {
     let mut due = true;
     loop {
-        let heard = core.limit_heard.notified();
-        if !due && !core.book.borrow().limits().is_report_due() {
-            heard.await;
+        let changed = core.limit_changed.notified();
+        if !due && !core.replicas.borrow().limits().is_report_due() {
+            changed.await;
         }
-        let told = tell_once(&core).await;
-        // A new leader that still gathers what entries know has told nothing yet.
-        due = !told || !core.book.borrow().limits().follows_leader();
-        tokio::time::sleep(if due { DUE_PAUSE } else { PAUSE }).await;
+        let reply = report_once(&core).await;
+        // A new leader that still collects the limits known to entries has returned none.
+        due = !reply || !core.replicas.borrow().limits().follows_leader();
+        tokio::time::sleep(if due {
+            RETRY_INTERVAL
+        } else {
+            MIN_REPORT_INTERVAL
+        })
+        .await;
     }
 }
 
-/// Returns whether the leader heard it.
-async fn tell_once(core: &EntryCore) -> bool {
-    let asked_ms = clock::monotonic_ms();
-    let report = core.book.borrow_mut().limits_mut().report(asked_ms);
-    let told = core
+/// Returns whether the leader received the report.
+async fn report_once(core: &EntryCore) -> bool {
+    let sent_ms = clock::monotonic_ms();
+    let report = core.replicas.borrow_mut().limits_mut().report(sent_ms);
+    let reply = core
         .link()
-        .call_leader("limits", REPORT_TIME, |client, context| {
+        .call_leader("limits", REPORT_TIMEOUT, |client, context| {
             let report = report.clone();
             async move { client.limits(context, report).await }
         })
         .await;
-    match told {
+    match reply {
         Ok(page) => {
-            let mut book = core.book.borrow_mut();
-            book.limits_mut().acknowledge(asked_ms, &report);
-            drop(book);
-            core.follow_limits(&page);
+            let mut replicas = core.replicas.borrow_mut();
+            replicas.limits_mut().acknowledge(sent_ms, &report);
+            drop(replicas);
+            core.apply_limits(&page);
             true
         }
         Err(error) => {
-            tracing::debug!(%error, "limits of replicas were not told");
-            core.book.borrow_mut().limits_mut().record_failed_report();
+            tracing::debug!(%error, "report of rate limits failed");
+            core.replicas.borrow_mut().limits_mut().record_failed_report();
             false
         }
     }
 }
 
 impl EntryCore {
-    /// An answer of a replica names a limit.
-    pub fn hear_limit(
+    /// Records a rate limit that a replica advertised in a response.
+    pub fn record_limit(
         &self,
         replica: &ReplicaIncarnation,
         rate: AdvertisedRate,
         permit: Option<PermitStamp>,
     ) {
         let now_ms = clock::monotonic_ms();
-        let mut book = self.book.borrow_mut();
-        if book
+        let mut replicas = self.replicas.borrow_mut();
+        if replicas
             .limits_mut()
             .record_limit(now_ms, replica, rate, permit)
         {
             self.count("dunlinspring_limits_named_total", &[]);
-            tracing::info!(%replica, per_s = rate.per_s(), "replica names a limit");
-            self.limit_heard.notify_one();
+            tracing::info!(%replica, per_s = rate.per_s(), "replica advertises a rate limit");
+            self.limit_changed.notify_one();
         }
     }
 
-    /// An answer of a replica, to a request that needed a permit, names no limit.
-    pub fn hear_no_limit(&self, replica: &ReplicaIncarnation, permit: PermitStamp) {
-        let mut book = self.book.borrow_mut();
-        if book.limits_mut().record_no_limit(replica, permit) {
-            tracing::info!(%replica, "replica names no limit any more");
-            self.limit_heard.notify_one();
+    /// Records a response without a rate limit, to a request that needed a permit.
+    pub fn record_limit_end(&self, replica: &ReplicaIncarnation, permit: PermitStamp) {
+        let mut replicas = self.replicas.borrow_mut();
+        if replicas.limits_mut().record_no_limit(replica, permit) {
+            tracing::info!(%replica, "replica no longer advertises a rate limit");
+            self.limit_changed.notify_one();
         }
     }
 
-    /// Takes over the leader's changes of limits.
-    pub fn follow_limits(&self, page: &LimitPage) {
-        let mut book = self.book.borrow_mut();
+    /// Applies changes of rate limits from the leader.
+    pub fn apply_limits(&self, page: &LimitPage) {
+        let mut replicas = self.replicas.borrow_mut();
         for state in &page.limits {
-            if book.limits().changes_rate(state) {
+            if replicas.limits().changes_rate(state) {
                 let per_s = state.rate.map(|rate| rate.per_s());
-                tracing::info!(replica = %state.replica, per_s, "limit of a replica");
-                book.pace_mut().update_rate(&state.replica.id, state.rate);
+                tracing::info!(replica = %state.replica, per_s, "rate limit of a replica changed");
+                replicas
+                    .permit_pace_mut()
+                    .update_rate(&state.replica.id, state.rate);
             }
         }
-        let limits = book.limits_mut();
+        let limits = replicas.limits_mut();
         let ended = limits.apply_page(clock::monotonic_ms(), page);
         let has_news = limits.is_report_due();
-        drop(book);
+        drop(replicas);
         if ended {
             self.changed.notify_waiters();
         }
         if has_news {
-            self.limit_heard.notify_one();
+            self.limit_changed.notify_one();
         }
     }
 }
--- a/src/forward/own_answer.rs
+++ b/src/forward/own_answer.rs
@@ -1,16 +1,16 @@
-//! Answers of this system's own: why a request is refused, and how a caller is told.
+//! Responses that this system produces itself: reasons for refusal, and how they are sent.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use crate::forward::caller::CallerRefusal;
-use crate::forward::client::{AfterAnswer, ClientRequest, ClientWriter};
+use crate::forward::client::{AfterResponse, ClientRequest, ClientWriter};
 use crate::forward::daemon::EntryCore;
 use crate::forward::head;
 use crate::forward::quotas::QuotaRefusal;
 
-/// When a caller comes back whose key or quota is not known here: an election takes longer,
-/// but another entry may know.
+/// Retry time if the caller's key or quota is not known here: an election takes longer, but another
+/// entry may know.
 pub(super) const UNKNOWN_RETRY: Duration = Duration::from_millis(200);
 
 /// Why a request is refused without having run.
@@ -18,57 +18,57 @@
 pub(super) enum Refusal {
     /// All replicas are full.
     Full,
-    /// All replicas asked to be left alone for longer than it can wait.
-    Paused,
+    /// All replicas asked for a backoff that is longer than the request can wait.
+    BackingOff,
     /// All replicas are in evacuated halls.
     Evacuated,
-    /// Its route and its account allow no region in common.
+    /// The request's route and its account allow no region in common.
     NoRegion,
-    /// All replicas take few requests, and none of them one more in time.
+    /// All replicas are rate limited, and none can take another request in time.
     RateLimited,
-    /// No replica holds the model, and it cannot be there in time.
+    /// No replica holds the model, and it cannot be loaded in time.
     Absent,
-    /// The adapter did not come in time.
+    /// The adapter was not loaded in time.
     Adapter,
-    /// Time ran out before it was sent.
-    Late,
-    /// Replicas refused it, and the budget for sending it again is spent.
+    /// The deadline passed before the request was sent.
+    DeadlinePassed,
+    /// Replicas refused the request, and the retry budget or the limit of refusals is exhausted.
     Budget,
-    /// This entry stops before such a stream is likely to end.
+    /// This entry stops before the stream is likely to end.
     Stopping,
-    /// A replica ended under it, and another attempt of it is being tried.
-    Turn,
-    /// Too many replicas ended under it.
-    Barred,
-    /// The caller may not act, or not any more.
+    /// A replica crashed during the request, and another attempt of it holds the lease.
+    Suspect,
+    /// Too many replicas crashed during the request.
+    Quarantined,
+    /// The caller is not authorized, or not any more.
     Caller(CallerRefusal),
-    /// Its account does not pay for it.
+    /// The request could not be charged to its account.
     Quota(QuotaRefusal),
 }
 
 impl Refusal {
-    /// What the caller is told.
+    /// Returns the reason shown to the caller.
     pub(super) fn text(self) -> &'static str {
         match self {
             Self::Full => "all replicas are full",
-            Self::Paused => "all replicas asked for a pause",
+            Self::BackingOff => "all replicas asked for a pause",
             Self::Evacuated => "all replicas are in evacuated halls",
             Self::NoRegion => "its route and its account allow no region in common",
             Self::RateLimited => "all replicas take few requests, and have got them",
             Self::Absent => "no replica holds the model",
             Self::Adapter => "the adapter did not come in time",
-            Self::Late => "time ran out before it was sent",
+            Self::DeadlinePassed => "time ran out before it was sent",
             Self::Budget => "replicas refused it",
             Self::Stopping => "this entry stops before it would end",
-            Self::Turn => "a replica ended under it, and another attempt of it is tried first",
-            Self::Barred => "replicas ended under it each time: it is sent no more",
+            Self::Suspect => "a replica ended under it, and another attempt of it is tried first",
+            Self::Quarantined => "replicas ended under it each time: it is sent no more",
             Self::Caller(refusal) => refusal.text(),
             Self::Quota(QuotaRefusal::Over(_)) => "the account is at its limit",
             Self::Quota(QuotaRefusal::Unknown) => "what is left of the limit is not known",
         }
     }
 
-    /// The status of a request that has not run.
+    /// Returns the status of a request that has not run.
     pub(super) fn status(self) -> u16 {
         match self {
             Self::Caller(refusal) => refusal.status(),
@@ -78,40 +78,40 @@
     }
 }
 
-/// Refuses a request that got no further than its route.
-pub(super) async fn refuse_plainly(
+/// Refuses a request before forwarding begins.
+pub(super) async fn refuse_unrouted(
     core: &Rc<EntryCore>,
     request: &ClientRequest,
     writer: &mut ClientWriter,
     status: u16,
     reason: &str,
-) -> AfterAnswer {
+) -> AfterResponse {
     let id = head::find(&request.head.headers, core.names.request_id);
-    let close = closes(core, request);
+    let close = closes_connection(core, request);
     let retry = (status == 503).then_some(UNKNOWN_RETRY);
     let bytes = own_answer(core, status, reason, id, retry, close);
     core.log_plain(id.unwrap_or_default(), status, reason);
     finish(writer, &bytes, close).await
 }
 
-/// Writes an answer's last bytes.
-pub(super) async fn finish(writer: &mut ClientWriter, bytes: &[u8], close: bool) -> AfterAnswer {
+/// Writes the last bytes of a response.
+pub(super) async fn finish(writer: &mut ClientWriter, bytes: &[u8], close: bool) -> AfterResponse {
     match (writer.write(bytes).await, close) {
-        (Err(_), _) => AfterAnswer::Cut,
-        (Ok(()), true) => AfterAnswer::Close,
-        (Ok(()), false) => AfterAnswer::Keep,
+        (Err(_), _) => AfterResponse::Cut,
+        (Ok(()), true) => AfterResponse::Close,
+        (Ok(()), false) => AfterResponse::Keep,
     }
 }
 
-/// Whether the connection ends after this request.
-pub(super) fn closes(core: &EntryCore, request: &ClientRequest) -> bool {
+/// Whether the connection is closed after this request.
+pub(super) fn closes_connection(core: &EntryCore, request: &ClientRequest) -> bool {
     let headers = &request.head.headers;
     !request.head.is_http11
         || head::names_token(headers, "connection", "close")
         || core.is_stopping()
 }
 
-/// An answer of this system's own.
+/// Builds a response of this system's own.
 pub fn own_answer(
     core: &EntryCore,
     status: u16,
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -1,5 +1,5 @@
-//! Permits to send to replicas that take few requests: asked of the leader for each request.
-//! See [`crate::placement::replica_rates`].
+//! Permits to send to rate-limited replicas, requested from the leader for each request. See
+//! [`crate::placement::replica_rates`].
 
 use std::time::Duration;
 
@@ -13,48 +13,47 @@
 use crate::process::peers::PeerError;
 use crate::routing::permit_throttle::PERMIT_REQUEST_TIMEOUT_MS;
 
-/// What stands for an answer that nobody gave: other replicas are sent to
-/// meanwhile.
-const SILENT: PermitRefusal = PermitRefusal {
+/// Stands in for a missing reply: other replicas are used meanwhile.
+const NO_REPLY: PermitRefusal = PermitRefusal {
     wait_ms: 300,
     rate: None,
 };
 
-/// The permit to send one request to a replica.
+/// Permit to send one request to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RatePermit {
-    /// The replica, in the life that was meant.
+    /// The intended incarnation of the replica.
     pub replica: ReplicaIncarnation,
-    /// Until when it may be used, in milliseconds of the steady clock.
+    /// End of validity, in milliseconds of the monotonic clock.
     pub until_ms: u64,
-    /// When the leader gave it.
+    /// When the leader granted it.
     pub stamp: PermitStamp,
 }
 
 impl RatePermit {
-    /// Whether it may still be used for a replica.
-    pub fn holds(&self, now_ms: u64, replica: &ReplicaIncarnation) -> bool {
+    /// Whether the permit is still valid, and for this replica.
+    pub fn is_valid_for(&self, now_ms: u64, replica: &ReplicaIncarnation) -> bool {
         now_ms < self.until_ms && self.replica == *replica
     }
 }
 
 impl EntryCore {
-    /// The record of a replica that takes few requests; none where it takes any number.
-    pub fn limited_record(&self, replica: &ReplicaId) -> Option<ReplicaRecord> {
-        let book = self.book.borrow();
-        let limited = book.needs_permit(clock::monotonic_ms(), replica);
-        book.record(replica).filter(|_| limited).cloned()
+    /// Returns the record of a replica that is rate limited; `None` if it is not.
+    pub fn rate_limited_record(&self, replica: &ReplicaId) -> Option<ReplicaRecord> {
+        let replicas = self.replicas.borrow();
+        let limited = replicas.needs_permit(clock::monotonic_ms(), replica);
+        replicas.record(replica).filter(|_| limited).cloned()
     }
 
-    /// Asks whether one request may go to a replica that takes few.
-    pub async fn ask_permit(&self, record: &ReplicaRecord) -> Option<RatePermit> {
-        let asked_ms = clock::monotonic_ms();
-        let request = self.permit_request(asked_ms, record);
-        self.book
+    /// Requests a permit to send one request to a rate-limited replica.
+    pub async fn request_permit(&self, record: &ReplicaRecord) -> Option<RatePermit> {
+        let sent_ms = clock::monotonic_ms();
+        let request = self.permit_request(sent_ms, record);
+        self.replicas
             .borrow_mut()
-            .pace_mut()
-            .record_request(asked_ms, &record.id);
-        let asked = self
+            .permit_pace_mut()
+            .record_request(sent_ms, &record.id);
+        let reply = self
             .link()
             .call_leader(
                 "permit",
@@ -65,40 +64,40 @@
                 },
             )
             .await;
-        let granted = self.take_reply(asked_ms, &request.replica, asked);
-        // Others wait for the answer to ask for themselves.
+        let granted = self.handle_reply(sent_ms, &request.replica, reply);
+        // Other requests wait for this reply before they request a permit.
         self.changed.notify_waiters();
         granted.map(|stamp| RatePermit {
             replica: request.replica,
-            until_ms: asked_ms + PERMIT_VALIDITY_MS,
+            until_ms: sent_ms + PERMIT_VALIDITY_MS,
             stamp,
         })
     }
 
-    fn take_reply(
+    fn handle_reply(
         &self,
-        asked_ms: u64,
+        sent_ms: u64,
         replica: &ReplicaIncarnation,
-        asked: Result<PermitReply, PeerError>,
+        reply: Result<PermitReply, PeerError>,
     ) -> Option<PermitStamp> {
         let now_ms = clock::monotonic_ms();
-        let mut book = self.book.borrow_mut();
-        if asked.is_ok() {
-            book.limits_mut().acknowledge_limit(asked_ms, replica);
+        let mut replicas = self.replicas.borrow_mut();
+        if reply.is_ok() {
+            replicas.limits_mut().acknowledge_limit(sent_ms, replica);
         }
-        let pace = book.pace_mut();
-        let (answer, granted) = match asked {
+        let pace = replicas.permit_pace_mut();
+        let (answer, granted) = match reply {
             Ok(PermitReply::Granted(stamp)) => {
-                pace.record_grant(asked_ms, &replica.id);
+                pace.record_grant(sent_ms, &replica.id);
                 ("granted", Some(stamp))
             }
             Ok(PermitReply::Refused(refusal)) => {
-                pace.record_refusal(now_ms, asked_ms, &replica.id, refusal);
+                pace.record_refusal(now_ms, sent_ms, &replica.id, refusal);
                 ("wait", None)
             }
             Err(error) => {
-                tracing::debug!(%error, %replica, "a permit to send was not asked for");
-                pace.record_refusal(now_ms, asked_ms, &replica.id, SILENT);
+                tracing::debug!(%error, %replica, "permit request failed");
+                pace.record_refusal(now_ms, sent_ms, &replica.id, NO_REPLY);
                 ("none", None)
             }
         };
@@ -107,11 +106,11 @@
     }
 
     fn permit_request(&self, now_ms: u64, record: &ReplicaRecord) -> PermitRequest {
-        let book = self.book.borrow();
-        let (limits, replica) = (book.limits(), record.incarnation());
+        let replicas = self.replicas.borrow();
+        let (limits, replica) = (replicas.limits(), record.incarnation());
         PermitRequest {
             service: record.service.clone(),
-            is_cold: book.is_cold(now_ms, &record.id),
+            is_cold: replicas.is_cold(now_ms, &record.id),
             is_limited: limits.is_limited(&replica),
             observed: limits.latest_limit(now_ms, &replica),
             cursor: limits.cursor(),
--- a/src/forward/request.rs
+++ b/src/forward/request.rs
@@ -1,13 +1,13 @@
-//! One request, from its route to its one final answer.
+//! Handling of one request, from its route to its one final response.
 //!
-//! After a byte has gone to a replica, a request that may not be repeated is
-//! sent again only where the answer says that it did not run. What is not known
-//! to have run or not is a 502 or 504, never a 503.
+//! Once a byte has been sent to a replica, a request that may not be repeated is resent only if the
+//! response states that it did not run. A request whose execution is unknown ends with 502 or 504,
+//! never with 503.
 
 mod answer_heads;
+mod attempt_guard;
 mod crashes;
 mod placing;
-mod try_guard;
 mod wire_heads;
 
 use std::collections::BTreeSet;
@@ -15,164 +15,166 @@
 use std::time::{Duration, Instant};
 
 use crate::clock;
-use crate::forward::book::{self, EngineBounds, Need, TryEnd};
 use crate::forward::caller::{self, CallerIdentity, CallerRefusal};
-use crate::forward::client::{AfterAnswer, ClientRequest, ClientWriter};
-use crate::forward::crashes::{CrashCase, SentTo};
+use crate::forward::client::{AfterResponse, ClientRequest, ClientWriter};
+use crate::forward::crashes::{CrashInvestigation, SentTo};
 use crate::forward::daemon::{EntryCore, Routing};
-use crate::forward::events::EventCutter;
+use crate::forward::events::EventBuffer;
 use crate::forward::head::{self, ResponseHead};
-use crate::forward::own_answer::{self, Refusal, UNKNOWN_RETRY, closes, finish, refuse_plainly};
+use crate::forward::locality::AllowedRegions;
+use crate::forward::own_answer::{
+    self, Refusal, UNKNOWN_RETRY, closes_connection, finish, refuse_unrouted,
+};
 use crate::forward::permits::RatePermit;
-use crate::forward::place::AllowedRegions;
 use crate::forward::quotas::QuotaRefusal;
+use crate::forward::replica_table::{self, AttemptResult, EngineBounds, Need};
 use crate::forward::request_log::{Outcome, RequestLog};
-use crate::forward::turns::TurnGuard;
-use crate::forward::upstream::{Connection, Exchange, ExchangeError, Outgoing};
+use crate::forward::suspect_leases::SuspectLeaseGuard;
+use crate::forward::upstream::{Connection, Exchange, ExchangeError, OutgoingRequest};
 use crate::ids::{ContentDigest, ReplicaId};
 use crate::routing::backoff::SlotOutcome;
 use crate::routing::suspects::QUARANTINE_RETRY_MS;
 use crate::table::configuration::{RouteKind, RouteSpec};
 
-use try_guard::TryGuard;
-
-/// Largest answer that is held until it is whole, in bytes.
-const MAX_HELD: usize = 1024 * 1024;
-/// Part of the aim after which a refused request comes back at the soonest.
-const RETURN_PART: u32 = 4;
-/// Refusals by replicas that one request takes before it is refused itself.
-const MAX_REFUSALS: u32 = 4;
-/// Part of its time that a request waits for the first configuration.
-const CONFIG_WAIT_PART: u32 = 4;
-/// Least time between two events of a stream that a stopping entry counts with, in
-/// milliseconds: what engines show that are half full.
-const LEAST_PAUSE_MS: f64 = 50.0;
-/// How much longer than predicted a stream may last: pauses grow while demand moves.
-const STREAM_MARGIN: f64 = 2.0;
-/// When a request comes back whose replicas are all in evacuated halls.
+use attempt_guard::AttemptGuard;
+
+/// Largest response that is buffered until it is complete, in bytes.
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
+/// A refused request is told to retry no sooner than its latency target divided by this.
+const RETRY_DIVISOR: u32 = 4;
+/// Replica refusals after which a request may still be resent.
+const MAX_REPLICA_REFUSALS: u32 = 4;
+/// A request waits for the first configuration for its deadline divided by this, at most.
+const CONFIG_WAIT_DIVISOR: u32 = 4;
+/// Smallest gap between two stream events that a stopping entry assumes, in milliseconds: the gap
+/// of engines at half load.
+const MIN_EVENT_GAP_MS: f64 = 50.0;
+/// Factor on the predicted duration of a stream: gaps grow while load shifts between replicas.
+const STREAM_TIME_FACTOR: f64 = 2.0;
+/// Retry time if all replicas are in evacuated data halls.
 const EVACUATED_RETRY: Duration = Duration::from_millis(1_000);
-/// Time that is left for a request to be worth sending.
-const LEAST_LEFT: Duration = Duration::from_millis(20);
-
-/// How a try at one replica ended.
-enum Tried {
-    /// The client has its answer.
-    Answered(AfterAnswer),
-    /// The replica did not run it.
+/// A request with less time left than this is not sent.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
+
+/// Outcome of an attempt at one replica.
+enum AttemptOutcome {
+    /// The response was sent to the client, or the client disconnected.
+    Answered(AfterResponse),
+    /// The replica did not run the request.
     NotRun,
-    /// The replica does not hold what is asked for, or is another one.
+    /// The replica does not hold the model or adapter, or is another instance than expected.
     Misplaced,
     /// Nothing was sent.
-    Unsent,
-    /// It may have run; the client has nothing yet.
+    NotSent,
+    /// The request may have run; nothing was sent to the client.
     Unknown,
-    /// It may have run; the client has a part of the answer.
-    Begun,
-    /// The replica was too slow for a request that may be repeated.
-    Slow,
-    /// Nothing was sent: the caller may not act any more.
-    Barred(CallerRefusal),
+    /// The request may have run; a part of the response was sent to the client.
+    PartlyAnswered,
+    /// No response, or no complete one, arrived in time.
+    TimedOut,
+    /// Nothing was sent: the caller is no longer authorized.
+    CallerRefused(CallerRefusal),
 }
 
-/// Answers one request.
+/// Handles one request.
 pub async fn answer(
     core: &Rc<EntryCore>,
     request: &ClientRequest,
     writer: &mut ClientWriter,
-) -> AfterAnswer {
-    let patience = config_wait(core, request);
-    let Some(routing) = core.await_routing(patience).await else {
-        return refuse_plainly(core, request, writer, 503, "no configuration yet").await;
+) -> AfterResponse {
+    let max_wait = config_wait(core, request);
+    let Some(routing) = core.await_routing(max_wait).await else {
+        return refuse_unrouted(core, request, writer, 503, "no configuration yet").await;
     };
-    let host = asked_host(&request.head.headers);
+    let host = request_host(&request.head.headers);
     let path = request.head.target.split('?').next().unwrap_or_default();
     let routes = &routing.configuration.routes;
     let Some(number) = routing.index.find(routes, host, path) else {
-        return refuse_plainly(core, request, writer, 404, "no such route").await;
+        return refuse_unrouted(core, request, writer, 404, "no such route").await;
     };
     let (route, slack) = (&routes[number], routing.slack_ranks[number]);
     let headers = &request.head.headers;
-    let caller = match caller::identify(core, &routing, route, headers, patience).await {
+    let caller = match caller::identify(core, &routing, route, headers, max_wait).await {
         Ok(caller) => caller,
         Err(refusal) => {
             let (status, reason) = (refusal.status(), refusal.text());
-            return refuse_plainly(core, request, writer, status, reason).await;
+            return refuse_unrouted(core, request, writer, status, reason).await;
         }
     };
-    let mut flight = Flight::new(core, request, &routing, (route, slack), caller);
-    flight.run(writer).await
+    let mut forwarded = ForwardedRequest::new(core, request, &routing, (route, slack), caller);
+    forwarded.run(writer).await
 }
 
-/// The host that is asked for, without a port.
-fn asked_host(headers: &[head::Header]) -> &str {
+/// Returns the requested host without its port.
+fn request_host(headers: &[head::Header]) -> &str {
     let host = head::find(headers, "host").unwrap_or_default();
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
-/// How long the client will wait, by its own word, in milliseconds.
-fn asked_ms(core: &EntryCore, request: &ClientRequest) -> Option<u64> {
-    let asked = head::find(&request.head.headers, core.names.deadline_ms)?;
-    asked.trim().parse().ok()
+/// Returns the deadline that the client set in its header, in milliseconds.
+fn request_deadline_ms(core: &EntryCore, request: &ClientRequest) -> Option<u64> {
+    let deadline = head::find(&request.head.headers, core.names.deadline_ms)?;
+    deadline.trim().parse().ok()
 }
 
-/// How long a request waits for the first configuration of an entry that has just
-/// started.
+/// How long a request waits for the first configuration of an entry that has just started.
 fn config_wait(core: &EntryCore, request: &ClientRequest) -> Duration {
     let longest = core.config_wait();
-    let part = asked_ms(core, request).map(|ms| Duration::from_millis(ms) / CONFIG_WAIT_PART);
+    let part = request_deadline_ms(core, request)
+        .map(|ms| Duration::from_millis(ms) / CONFIG_WAIT_DIVISOR);
     part.map_or(longest, |part| part.min(longest))
 }
 
-/// A number drawn for a request by its id, so that a resend takes the same way.
-fn draw(id: &str) -> u64 {
+/// Hash of a request's id, so that a resend makes the same choices.
+fn id_hash(id: &str) -> u64 {
     u64::from(crc32fast::hash(id.as_bytes()))
 }
 
-/// One request on its way.
-struct Flight<'a> {
+/// One request being forwarded.
+struct ForwardedRequest<'a> {
     core: &'a Rc<EntryCore>,
     request: &'a ClientRequest,
     routing: &'a Routing,
     route: &'a RouteSpec,
     caller: Option<CallerIdentity>,
-    /// Units of its account's quota that are paid for a run that has not begun.
+    /// Units of the account's quota that are paid for a run that has not begun.
     paid: u64,
     id: String,
     need: Need,
     bounds: EngineBounds,
-    /// Tokens in one event of a stream; 0 where the service has no engines.
+    /// Tokens in one event of a stream; 0 if the service has no engines.
     event_tokens: u32,
-    /// When it has to be over, by [`clock::monotonic_ms`].
+    /// Deadline of the request, on the clock of [`clock::monotonic_ms`].
     until_ms: u64,
-    passed: BTreeSet<ReplicaId>,
-    /// Replicas that may have run it.
+    attempted: BTreeSet<ReplicaId>,
+    /// Attempts that may have run the request.
     runs: u32,
     refusals: u32,
-    cutter: EventCutter,
+    event_buffer: EventBuffer,
     log: RequestLog,
-    /// Its name, once somebody needed it.
+    /// Digest of the content, computed on first use.
     content: Option<ContentDigest>,
-    /// Its turn, where its content is suspect.
-    turn: Option<TurnGuard>,
-    /// The leader's permit to send it, where the chosen replica takes few requests.
+    /// Lease to run suspect content.
+    lease: Option<SuspectLeaseGuard>,
+    /// The leader's permit, if the chosen replica is rate limited.
     permit: Option<RatePermit>,
-    /// Where it was sent, while it may run there.
+    /// Where the request was sent, while it may still run there.
     sent: Option<SentTo>,
-    /// What is being found out of a replica that broke off under it.
-    case: Option<Rc<CrashCase>>,
-    /// Replicas where other suspects run; passed as well.
-    shared: BTreeSet<ReplicaId>,
+    /// Investigation of the replica that lost the connection during the last run.
+    investigation: Option<Rc<CrashInvestigation>>,
+    /// Replicas that run other suspect contents; also excluded from the choice.
+    shared_with_suspects: BTreeSet<ReplicaId>,
 }
 
-impl Drop for Flight<'_> {
+impl Drop for ForwardedRequest<'_> {
     fn drop(&mut self) {
-        self.leave_run();
+        self.abandon_run();
         self.refund();
-        self.log.end(self.core);
+        self.log.write(self.core);
     }
 }
 
-impl<'a> Flight<'a> {
+impl<'a> ForwardedRequest<'a> {
     fn new(
         core: &'a Rc<EntryCore>,
         request: &'a ClientRequest,
@@ -184,15 +186,15 @@
         let id = head::find(headers, core.names.request_id)
             .unwrap_or_default()
             .to_owned();
-        let service = route.pick(draw(&id)).cloned();
-        let limit_ms = asked_ms(core, request)
+        let service = route.pick(id_hash(&id)).cloned();
+        let limit_ms = request_deadline_ms(core, request)
             .unwrap_or(u64::MAX)
             .min(route.timeout_ms);
         let mut need = wire_heads::need(core, headers, service.clone());
         let rank = caller.as_ref().and_then(|caller| caller.priority);
         need.urgency = core.choice().urgency(rank, route.priority, slack);
         need.limit_ms = route.latency_goal_ms.min(limit_ms);
-        need.draw = draw(&id);
+        need.id_hash = id_hash(&id);
         let regions = caller.as_ref().map(|caller| &caller.regions);
         need.regions = AllowedRegions::of(&route.regions, regions);
         let spec = service
@@ -218,16 +220,16 @@
             }),
             event_tokens: engine.map_or(0, |engine| engine.event_tokens),
             until_ms: request.since_ms.saturating_add(limit_ms),
-            passed: BTreeSet::new(),
+            attempted: BTreeSet::new(),
             runs: 0,
             refusals: 0,
-            cutter: EventCutter::default(),
+            event_buffer: EventBuffer::default(),
             content: None,
-            turn: None,
+            lease: None,
             permit: None,
             sent: None,
-            case: None,
-            shared: BTreeSet::new(),
+            investigation: None,
+            shared_with_suspects: BTreeSet::new(),
         }
     }
 
@@ -239,13 +241,13 @@
         Duration::from_millis(self.route.latency_goal_ms)
     }
 
-    async fn run(&mut self, writer: &mut ClientWriter) -> AfterAnswer {
+    async fn run(&mut self, writer: &mut ClientWriter) -> AfterResponse {
         let core = self.core;
-        if self.outlives_entry() {
+        if self.would_outlive_entry() {
             return self.give_up(Refusal::Stopping, writer).await;
         }
-        if self.is_barred() {
-            return self.give_up(Refusal::Barred, writer).await;
+        if self.is_quarantined() {
+            return self.give_up(Refusal::Quarantined, writer).await;
         }
         if self.need.regions.is_none() {
             return self.give_up(Refusal::NoRegion, writer).await;
@@ -253,24 +255,26 @@
         if let Err(refusal) = self.pay().await {
             return self.give_up(Refusal::Quota(refusal), writer).await;
         }
-        let mark = core.track(&self.need);
+        let demand = core.track_demand(&self.need);
         loop {
-            let replica = match self.place().await {
+            let replica = match self.choose_replica().await {
                 Ok(replica) => replica,
                 Err(refusal) => {
-                    mark.refuse();
+                    demand.refuse();
                     return self.give_up(refusal, writer).await;
                 }
             };
-            let tried = self.try_at(&replica, writer).await;
-            self.end_turn(&tried);
-            self.passed.insert(replica);
-            let again = match tried {
-                Tried::Answered(after) => return after,
-                Tried::Unsent => Ok(()),
-                Tried::NotRun | Tried::Misplaced => self.may_resend(),
-                Tried::Barred(refusal) => Err(Refusal::Caller(refusal)),
-                Tried::Unknown | Tried::Slow | Tried::Begun => {
+            let outcome = self.attempt(&replica, writer).await;
+            self.end_attempt(&outcome);
+            self.attempted.insert(replica);
+            let again = match outcome {
+                AttemptOutcome::Answered(after) => return after,
+                AttemptOutcome::NotSent => Ok(()),
+                AttemptOutcome::NotRun | AttemptOutcome::Misplaced => self.may_resend(),
+                AttemptOutcome::CallerRefused(refusal) => Err(Refusal::Caller(refusal)),
+                AttemptOutcome::Unknown
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::PartlyAnswered => {
                     self.runs += 1;
                     match self.may_rerun() {
                         Ok(()) => self.rerun().await,
@@ -284,7 +288,7 @@
         }
     }
 
-    /// Pays for one run, where its account has a quota and nothing is paid yet.
+    /// Pays for one run, if the account has a quota and nothing is paid yet.
     async fn pay(&mut self) -> Result<(), QuotaRefusal> {
         let Some(caller) = self.caller.as_ref().filter(|_| self.paid == 0) else {
             return Ok(());
@@ -299,7 +303,7 @@
         Ok(())
     }
 
-    /// Gives back what is paid for a run that has not begun.
+    /// Refunds what was paid for a run that has not begun.
     fn refund(&mut self) {
         let paid = std::mem::take(&mut self.paid);
         if let (Some(caller), true) = (&self.caller, paid > 0) {
@@ -307,9 +311,9 @@
         }
     }
 
-    /// Whether this entry stops, and would have to cut the stream off: at the pace of
-    /// others it might last for longer than the entry does.
-    fn outlives_entry(&self) -> bool {
+    /// Whether this entry is stopping and the stream would probably last longer than the entry, at
+    /// the event gap that other streams show.
+    fn would_outlive_entry(&self) -> bool {
         let Some(left) = self.core.time_to_end() else {
             return false;
         };
@@ -317,17 +321,17 @@
             return false;
         }
         let now_ms = clock::monotonic_ms();
-        let pause_ms = self.core.book.borrow().pause_ms(now_ms, &self.need);
+        let gap_ms = self.core.replicas.borrow().event_gap_ms(now_ms, &self.need);
         let answer_tokens = self.need.tokens.saturating_sub(self.need.prompt_tokens);
         let events = answer_tokens as f64 / f64::from(self.event_tokens);
-        let lasts_ms = events * pause_ms.max(LEAST_PAUSE_MS) * STREAM_MARGIN;
+        let lasts_ms = events * gap_ms.max(MIN_EVENT_GAP_MS) * STREAM_TIME_FACTOR;
         lasts_ms > left.as_millis() as f64
     }
 
     /// Whether a request that did not run may be sent to another replica.
     fn may_resend(&mut self) -> Result<(), Refusal> {
         self.refusals += 1;
-        match self.refusals <= MAX_REFUSALS && self.spend() {
+        match self.refusals <= MAX_REPLICA_REFUSALS && self.spend() {
             true => Ok(()),
             false => Err(Refusal::Budget),
         }
@@ -349,60 +353,60 @@
         spent
     }
 
-    /// The final answer of a request that no replica has answered.
-    async fn give_up(&mut self, refusal: Refusal, writer: &mut ClientWriter) -> AfterAnswer {
+    /// Sends the final response of a request that no replica completed.
+    async fn give_up(&mut self, refusal: Refusal, writer: &mut ClientWriter) -> AfterResponse {
         if writer.has_begun() {
-            self.log.ends(Outcome::Cut, 0, "broken off midway");
-            return AfterAnswer::Cut;
+            self.log.set_end(Outcome::Cut, 0, "broken off midway");
+            return AfterResponse::Cut;
         }
-        if refusal == Refusal::Barred {
+        if refusal == Refusal::Quarantined {
             self.core.count("dunlinspring_barred_total", &[]);
         }
-        let late = self.left() < LEAST_LEFT;
+        let late = self.left() < MIN_TIME_LEFT;
         let (status, reason) = match (self.runs, late) {
             (0, _) => (refusal.status(), refusal.text()),
             (_, true) => (504, "no answer in time; it may have run"),
             (_, false) => (502, "the replica failed; it may have run"),
         };
         if self.runs == 0 {
-            let book = self.core.book.borrow();
+            let replicas = self.core.replicas.borrow();
             self.log
-                .note(&book.describe(clock::monotonic_ms(), &self.need));
+                .note(&replicas.describe(clock::monotonic_ms(), &self.need));
         }
-        let retry = matches!(status, 429 | 503).then(|| self.come_back(refusal));
+        let retry = matches!(status, 429 | 503).then(|| self.retry_after(refusal));
         let outcome = match self.runs {
             0 => Outcome::Refused,
             _ => Outcome::Unknown,
         };
-        self.log.ends(outcome, status, reason);
-        let close = closes(self.core, self.request);
+        self.log.set_end(outcome, status, reason);
+        let close = closes_connection(self.core, self.request);
         let bytes = own_answer::own_answer(self.core, status, reason, Some(&self.id), retry, close);
         finish(writer, &bytes, close).await
     }
 
-    /// When a refused request is worth sending again.
-    fn come_back(&self, refusal: Refusal) -> Duration {
+    /// Returns when it is worth sending a refused request again.
+    fn retry_after(&self, refusal: Refusal) -> Duration {
         match refusal {
             Refusal::Absent => self.load_time(),
             Refusal::Evacuated => EVACUATED_RETRY,
             // Another entry takes it at once.
             Refusal::Stopping => Duration::ZERO,
-            // Until an operator changes that.
-            Refusal::Barred | Refusal::NoRegion => Duration::from_millis(QUARANTINE_RETRY_MS),
-            // About as long as the other attempt takes.
-            Refusal::Turn => self.aim(),
+            // Only an operator can change this.
+            Refusal::Quarantined | Refusal::NoRegion => Duration::from_millis(QUARANTINE_RETRY_MS),
+            // The other attempt takes about this long.
+            Refusal::Suspect => self.aim(),
             Refusal::Quota(QuotaRefusal::Over(short)) => short,
             Refusal::Quota(QuotaRefusal::Unknown) | Refusal::Caller(_) => UNKNOWN_RETRY,
             Refusal::Full
-            | Refusal::Paused
+            | Refusal::BackingOff
             | Refusal::RateLimited
             | Refusal::Adapter
-            | Refusal::Late
+            | Refusal::DeadlinePassed
             | Refusal::Budget => {
                 let now_ms = clock::monotonic_ms();
-                let book = self.core.book.borrow();
-                let room_ms = book.room_in_ms(now_ms, &self.need).unwrap_or(0);
-                Duration::from_millis(room_ms).max(self.aim() / RETURN_PART)
+                let replicas = self.core.replicas.borrow();
+                let room_ms = replicas.capacity_in_ms(now_ms, &self.need).unwrap_or(0);
+                Duration::from_millis(room_ms).max(self.aim() / RETRY_DIVISOR)
             }
         }
     }
@@ -416,8 +420,8 @@
         Duration::from_millis(model.map_or(1_000, |model| model.load_ms))
     }
 
-    /// Until when a replica may begin its answer.
-    fn try_until_ms(&self) -> u64 {
+    /// Time until which a replica may start its response.
+    fn attempt_until_ms(&self) -> u64 {
         let more = self.route.is_repeatable() && self.runs + 1 < self.route.attempts;
         let quick_ms = clock::monotonic_ms() + self.route.latency_goal_ms * 2;
         match more {
@@ -426,15 +430,15 @@
         }
     }
 
-    async fn try_at(&mut self, replica: &ReplicaId, writer: &mut ClientWriter) -> Tried {
+    async fn attempt(&mut self, replica: &ReplicaId, writer: &mut ClientWriter) -> AttemptOutcome {
         let core = self.core;
-        let sent = core.book.borrow().record(replica).map(SentTo::new);
+        let sent = core.replicas.borrow().record(replica).map(SentTo::new);
         let Some(sent) = sent else {
-            return Tried::Unsent;
+            return AttemptOutcome::NotSent;
         };
-        let mut guard = TryGuard::start(core, replica, &self.need);
-        core.note_adapter(replica, &self.need);
-        self.log.sent(replica);
+        let mut guard = AttemptGuard::start(core, replica, &self.need);
+        core.record_adapter_use(replica, &self.need);
+        self.log.record_attempt(replica);
         let kept = core.pool.borrow_mut().take(replica);
         let opened = match kept {
             Some(connection) => Ok(connection),
@@ -446,25 +450,25 @@
         let connection = match opened {
             Ok(connection) => connection,
             Err(error) => {
-                guard.end = TryEnd::Unreached;
-                self.suspect_start(replica);
+                guard.end = AttemptResult::Unreached;
+                self.suspect_restart(replica);
                 self.log.failed(&error);
-                return Tried::Unsent;
+                return AttemptOutcome::NotSent;
             }
         };
-        if let Err(refusal) = caller::may_act(core, self.caller.as_ref()) {
+        if let Err(refusal) = caller::recheck_caller(core, self.caller.as_ref()) {
             core.pool.borrow_mut().put(replica, connection);
-            return Tried::Barred(refusal);
+            return AttemptOutcome::CallerRefused(refusal);
         }
-        // What the replica asked for may have come since it was chosen: a turn, a connection
-        // that was slow to open and a suspension lie between.
+        // The replica may have asked for a backoff since it was chosen: waiting for a suspect
+        // lease, a slow connection or a suspended process may lie between.
         let permit = self.permit.take();
         guard.permit = permit.as_ref().map(|permit| permit.stamp);
         guard.claim = match self.claim(&sent, permit) {
             Ok(claim) => Some(claim),
             Err(_) => {
                 core.pool.borrow_mut().put(replica, connection);
-                return Tried::Unsent;
+                return AttemptOutcome::NotSent;
             }
         };
         let id = self.id.clone();
@@ -473,47 +477,51 @@
         let bytes = self.outgoing(replica);
         let paid = std::mem::take(&mut self.paid);
         let method = self.request.head.method.clone();
-        let outgoing = Outgoing {
+        let outgoing = OutgoingRequest {
             bytes: &bytes,
             method: &method,
             identity: Some((core.names.request_id, &id)),
             on_head: &observer,
         };
         let sent = Exchange::send(connection, &outgoing);
-        let sent = clock::wait_until(self.try_until_ms(), sent).await;
+        let sent = clock::wait_until(self.attempt_until_ms(), sent).await;
         match sent {
             Some(Ok((exchange, head))) => {
-                let tried = self.take_answer(exchange, head, &mut guard, writer).await;
-                if matches!(tried, Tried::NotRun | Tried::Misplaced) {
+                let outcome = self
+                    .handle_response(exchange, head, &mut guard, writer)
+                    .await;
+                if matches!(outcome, AttemptOutcome::NotRun | AttemptOutcome::Misplaced) {
                     self.paid = paid;
                 }
-                tried
+                outcome
             }
             Some(Err(error)) => {
-                guard.end = TryEnd::Failed;
-                self.broke_off(&error);
-                Tried::Unknown
+                guard.end = AttemptResult::Failed;
+                self.handle_connection_lost(&error);
+                AttemptOutcome::Unknown
             }
             None => {
-                guard.end = TryEnd::Failed;
-                self.log.note("no answer in time");
-                Tried::Slow
+                guard.end = AttemptResult::Failed;
+                self.log.note("no response in time");
+                AttemptOutcome::TimedOut
             }
         }
     }
 
-    async fn take_answer(
+    async fn handle_response(
         &mut self,
         exchange: Exchange,
         head: ResponseHead,
-        guard: &mut TryGuard<'_>,
+        guard: &mut AttemptGuard<'_>,
         writer: &mut ClientWriter,
-    ) -> Tried {
+    ) -> AttemptOutcome {
         let core = self.core;
-        let load = head::find(&head.headers, core.names.load).and_then(book::parse_load);
+        let load = head::find(&head.headers, core.names.load).and_then(replica_table::parse_load);
         if let Some(load) = load {
             let now_ms = clock::monotonic_ms();
-            core.book.borrow_mut().tell(now_ms, &guard.replica, load);
+            core.replicas
+                .borrow_mut()
+                .record_load(now_ms, &guard.replica, load);
         }
         let not_executed = head::find(&head.headers, core.names.not_executed).is_some();
         let end = match head.status {
@@ -522,33 +530,37 @@
             _ => SlotOutcome::Accepted,
         };
         guard.release(end);
-        self.hear_end_of_limit(&head, guard.permit, end);
+        self.record_end_of_limit(&head, guard.permit, end);
         if head.status == 421 || not_executed {
             return self.not_run(exchange, &head, guard).await;
         }
         let signed = head::find(&head.headers, core.names.stamp).is_some();
         let good = (200..300).contains(&head.status);
-        // A promise that the replica did not make must not be passed on.
+        // These statuses promise that the request did not run. Without the replica's own mark that
+        // is not known, so they must not reach the client.
         let promise = matches!(head.status, 408 | 421 | 429 | 503);
         let fails = head.status >= 500 || (good && !signed) || promise;
         if fails && (self.route.is_repeatable() || promise || good || !signed) {
-            guard.end = TryEnd::Failed;
+            guard.end = AttemptResult::Failed;
             self.sent = None;
-            self.log
-                .failed_by(&guard.replica, head.status, answer_heads::pause_text(&head));
-            keep(core, &guard.replica, exchange).await;
-            return Tried::Unknown;
+            self.log.failed_by(
+                &guard.replica,
+                head.status,
+                answer_heads::retry_after_text(&head),
+            );
+            drain_and_keep(core, &guard.replica, exchange).await;
+            return AttemptOutcome::Unknown;
         }
         let streams = self.route.kind == RouteKind::Streaming && good;
         if writer.has_begun() && !streams {
-            guard.end = TryEnd::Failed;
-            self.log.note("the stream cannot go on there");
-            return Tried::Begun;
+            guard.end = AttemptResult::Failed;
+            self.log.note("the replica cannot resume the stream");
+            return AttemptOutcome::PartlyAnswered;
         }
         guard.begin();
         match streams {
-            true => self.pass_stream(exchange, &head, guard, writer).await,
-            false => self.pass_whole(exchange, &head, guard, writer).await,
+            true => self.forward_stream(exchange, &head, guard, writer).await,
+            false => self.forward_buffered(exchange, &head, guard, writer).await,
         }
     }
 
@@ -556,38 +568,38 @@
         &mut self,
         exchange: Exchange,
         head: &ResponseHead,
-        guard: &mut TryGuard<'_>,
-    ) -> Tried {
+        guard: &mut AttemptGuard<'_>,
+    ) -> AttemptOutcome {
         let misplaced = head.status == 421;
         guard.end = match misplaced {
-            true => TryEnd::Neutral,
-            false => TryEnd::Full,
+            true => AttemptResult::Neutral,
+            false => AttemptResult::Full,
         };
         match misplaced {
             true => self.log.note("misplaced"),
             false => self
                 .log
-                .refused(&guard.replica, answer_heads::pause_text(head)),
+                .refused(&guard.replica, answer_heads::retry_after_text(head)),
         }
-        keep(self.core, &guard.replica, exchange).await;
+        drain_and_keep(self.core, &guard.replica, exchange).await;
         match misplaced {
             true => {
-                let mut book = self.core.book.borrow_mut();
-                book.correct(&guard.replica, &self.need);
-                Tried::Misplaced
+                let mut replicas = self.core.replicas.borrow_mut();
+                replicas.forget_model(&guard.replica, &self.need);
+                AttemptOutcome::Misplaced
             }
-            false => Tried::NotRun,
+            false => AttemptOutcome::NotRun,
         }
     }
 
-    /// Passes on an answer once it is whole.
-    async fn pass_whole(
+    /// Forwards a response once it is complete.
+    async fn forward_buffered(
         &mut self,
         mut exchange: Exchange,
         head: &ResponseHead,
-        guard: &mut TryGuard<'_>,
+        guard: &mut AttemptGuard<'_>,
         writer: &mut ClientWriter,
-    ) -> Tried {
+    ) -> AttemptOutcome {
         let mut body = Vec::new();
         loop {
             let next = clock::wait_until(self.until_ms, exchange.next()).await;
@@ -595,54 +607,54 @@
                 Some(Ok(Some(bytes))) => body.extend_from_slice(&bytes),
                 Some(Ok(None)) => break,
                 Some(Err(error)) => {
-                    guard.end = TryEnd::Failed;
-                    self.broke_off(&error);
-                    return Tried::Unknown;
+                    guard.end = AttemptResult::Failed;
+                    self.handle_connection_lost(&error);
+                    return AttemptOutcome::Unknown;
                 }
                 None => {
-                    self.log.note("no whole answer in time");
-                    return Tried::Slow;
+                    self.log.note("response not complete in time");
+                    return AttemptOutcome::TimedOut;
                 }
             }
-            if body.len() > MAX_HELD {
-                self.log.note("the answer is too long to be held");
-                guard.end = TryEnd::Failed;
-                return Tried::Unknown;
+            if body.len() > MAX_BUFFERED_BYTES {
+                self.log.note("response too long to be buffered");
+                guard.end = AttemptResult::Failed;
+                return AttemptOutcome::Unknown;
             }
         }
         guard.end = if head.status < 500 {
-            TryEnd::Good
+            AttemptResult::Good
         } else {
-            TryEnd::Failed
+            AttemptResult::Failed
         };
         put_back(self.core, &guard.replica, exchange);
-        let close = closes(self.core, self.request);
+        let close = closes_connection(self.core, self.request);
         let length = body.len().to_string();
-        let mut bytes = self.answer_head(head, &[("Content-Length", &length)], close);
+        let mut bytes = self.response_head(head, &[("Content-Length", &length)], close);
         if self.request.head.method != "HEAD" {
             bytes.extend_from_slice(&body);
         }
         self.log.answered(head.status);
-        Tried::Answered(finish(writer, &bytes, close).await)
+        AttemptOutcome::Answered(finish(writer, &bytes, close).await)
     }
 
-    /// Passes on the events of a stream as they come whole.
-    async fn pass_stream(
+    /// Forwards the events of a stream, each one once it is complete.
+    async fn forward_stream(
         &mut self,
         mut exchange: Exchange,
         head: &ResponseHead,
-        guard: &mut TryGuard<'_>,
+        guard: &mut AttemptGuard<'_>,
         writer: &mut ClientWriter,
-    ) -> Tried {
+    ) -> AttemptOutcome {
         let core = self.core;
-        let close = closes(core, self.request);
+        let close = closes_connection(core, self.request);
         let chunked = self.request.head.is_http11;
         let mut out = Vec::new();
         if !writer.has_begun() {
             let coding = [("Transfer-Encoding", "chunked")];
-            out = self.answer_head(head, if chunked { &coding } else { &[] }, close);
+            out = self.response_head(head, if chunked { &coding } else { &[] }, close);
         }
-        self.cutter.drop_part();
+        self.event_buffer.discard_partial();
         let mut last: Option<Instant> = None;
         loop {
             let next = clock::wait_until(self.until_ms, exchange.next()).await;
@@ -650,19 +662,19 @@
                 Some(Ok(Some(bytes))) => bytes,
                 Some(Ok(None)) => break,
                 Some(Err(error)) => {
-                    guard.end = TryEnd::Failed;
-                    self.broke_off(&error);
+                    guard.end = AttemptResult::Failed;
+                    self.handle_connection_lost(&error);
                     return self.broken(writer);
                 }
                 None => {
-                    self.log.note("the stream ran out of time");
+                    self.log.note("deadline passed during the stream");
                     self.runs = self.route.attempts;
                     return self.broken(writer);
                 }
             };
-            let Ok(events) = self.cutter.push(&bytes) else {
-                guard.end = TryEnd::Failed;
-                self.log.note("an event is too long");
+            let Ok(events) = self.event_buffer.push(&bytes) else {
+                guard.end = AttemptResult::Failed;
+                self.log.note("stream event too long");
                 return self.broken(writer);
             };
             if events.is_empty() {
@@ -671,45 +683,45 @@
             self.log.first_event();
             let now = Instant::now();
             if let Some(last) = last.replace(now) {
-                let pause_ms = (now - last).as_secs_f64() * 1000.0;
+                let gap_ms = (now - last).as_secs_f64() * 1000.0;
                 let now_ms = clock::monotonic_ms();
-                let mut book = core.book.borrow_mut();
-                book.note_pause(now_ms, &guard.replica, pause_ms);
-                drop(book);
-                self.log.pause(now - last);
+                let mut replicas = core.replicas.borrow_mut();
+                replicas.record_event_gap(now_ms, &guard.replica, gap_ms);
+                drop(replicas);
+                self.log.record_gap(now - last);
             }
-            push_piece(&mut out, &events, chunked);
+            push_chunk(&mut out, &events, chunked);
             if writer.write(&std::mem::take(&mut out)).await.is_err() {
-                return Tried::Answered(AfterAnswer::Cut);
+                return AttemptOutcome::Answered(AfterResponse::Cut);
             }
         }
-        if !self.cutter.is_between() {
-            // A length or chunks that end inside an event: the replica broke off.
-            guard.end = TryEnd::Failed;
-            self.log.note("the stream ended inside an event");
-            self.suspect_crash();
+        if !self.event_buffer.is_at_boundary() {
+            // The body ended inside an event: the replica lost the connection.
+            guard.end = AttemptResult::Failed;
+            self.log.note("stream ended inside an event");
+            self.investigate_crash();
             return self.broken(writer);
         }
-        guard.end = TryEnd::Good;
+        guard.end = AttemptResult::Good;
         put_back(self.core, &guard.replica, exchange);
         if chunked {
             out.extend_from_slice(b"0\r\n\r\n");
         }
         self.log.answered(head.status);
-        // A stop may have been asked for since the head left.
+        // The entry may have begun to stop since the head was sent.
         let close = close || !chunked || core.is_stopping();
-        Tried::Answered(finish(writer, &out, close).await)
+        AttemptOutcome::Answered(finish(writer, &out, close).await)
     }
 
-    fn broken(&self, writer: &ClientWriter) -> Tried {
+    fn broken(&self, writer: &ClientWriter) -> AttemptOutcome {
         match writer.has_begun() {
-            true => Tried::Begun,
-            false => Tried::Unknown,
+            true => AttemptOutcome::PartlyAnswered,
+            false => AttemptOutcome::Unknown,
         }
     }
 }
 
-fn push_piece(out: &mut Vec<u8>, bytes: &[u8], chunked: bool) {
+fn push_chunk(out: &mut Vec<u8>, bytes: &[u8], chunked: bool) {
     match chunked {
         true => {
             out.extend_from_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
@@ -720,8 +732,8 @@
     }
 }
 
-/// Reads the rest of a short answer, so that its connection can be kept.
-async fn keep(core: &EntryCore, replica: &ReplicaId, mut exchange: Exchange) {
+/// Reads the rest of a short response, so that the connection can be reused.
+async fn drain_and_keep(core: &EntryCore, replica: &ReplicaId, mut exchange: Exchange) {
     let rest = async {
         let mut left = 64;
         while let Ok(Some(_)) = exchange.next().await {
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -1,78 +1,83 @@
-//! What replicas say of themselves in the heads of their answers, whatever becomes of the
-//! answer: that they want to be left alone for a time, that they leave, or that they take so
-//! many requests a second.
+//! What replicas announce in the heads of their responses, independent of the outcome of the
+//! request: a backoff, their shutdown, or a rate limit.
 
 use std::rc::Rc;
 
 use crate::clock;
-use crate::forward::book::ReplicaBar;
 use crate::forward::crashes::SentTo;
 use crate::forward::daemon::EntryCore;
 use crate::forward::head::{self, ResponseHead};
 use crate::forward::permits::RatePermit;
+use crate::forward::replica_table::SendBlock;
 use crate::ids::ReplicaId;
 use crate::placement::named_limits::PermitStamp;
 use crate::placement::named_rate::AdvertisedRate;
-use crate::routing::backoff::{RequestedBackoff, SendSlot, SlotOutcome};
+use crate::routing::backoff::{RequestedBackoff, SlotOutcome, SendSlot};
 
-use super::Flight;
+use super::ForwardedRequest;
 
-/// Tells when to come back, in seconds.
+/// Header with the time after which to retry, in seconds.
 const RETRY_AFTER: &str = "retry-after";
 
-/// The pause that a head asks for, as it words it.
-pub(super) fn pause_text(head: &ResponseHead) -> Option<&str> {
+/// Returns the unparsed `Retry-After` value.
+pub(super) fn retry_after_text(head: &ResponseHead) -> Option<&str> {
     head::find(&head.headers, RETRY_AFTER)
 }
 
-/// The pause that a head asks for. Only who turns a request away asks for one.
-fn asked_pause(head: &ResponseHead) -> Option<RequestedBackoff> {
+/// Returns the backoff that a response asks for. Only 429 and 503 ask for one.
+fn requested_backoff(head: &ResponseHead) -> Option<RequestedBackoff> {
     let turned_away = matches!(head.status, 429 | 503);
     let values = head::find_all(&head.headers, RETRY_AFTER).filter(|_| turned_away);
     RequestedBackoff::parse(values)
 }
 
-/// Notes what the replica says in each head that comes.
+/// Returns an observer that records what the replica announces in each response head.
 pub(super) fn observer<'a>(
     core: &'a Rc<EntryCore>,
     sent: &SentTo,
     request: &'a str,
     permit: Option<PermitStamp>,
 ) -> impl Fn(&ResponseHead) + use<'a> {
-    let life = sent.life.clone();
+    let incarnation = sent.incarnation.clone();
     move |head| {
-        count_unknown(core, &life.id, request, head);
-        if let Some(rate) = named_rate(core, head) {
-            // The permit proves when the answered request left, not that of a surplus answer.
+        count_unknown(core, &incarnation.id, request, head);
+        if let Some(rate) = advertised_rate(core, head) {
+            // The permit proves when this request was sent, but not when that of a surplus response
+            // was.
             let is_due = head::find(&head.headers, core.names.request_id) == Some(request);
-            core.hear_limit(&life, rate, permit.filter(|_| is_due));
+            core.record_limit(&incarnation, rate, permit.filter(|_| is_due));
         }
         let now_ms = clock::monotonic_ms();
-        if let Some(pause) = asked_pause(head) {
-            core.book.borrow_mut().pause(now_ms, &life.id, pause);
+        if let Some(backoff) = requested_backoff(head) {
+            core.replicas
+                .borrow_mut()
+                .back_off(now_ms, &incarnation.id, backoff);
             core.count("dunlinspring_pauses_asked_total", &[]);
-            let (replica, status) = (&life.id, head.status);
-            tracing::info!(%replica, request, status, pause_ms = pause.ms, "replica asks for a pause");
+            let (replica, status) = (&incarnation.id, head.status);
+            tracing::info!(%replica, request, status, pause_ms = backoff.ms, "replica asked for a backoff");
         }
         if head::find(&head.headers, core.names.leaving).is_none() {
             return;
         }
-        let news = core.book.borrow_mut().leave(now_ms, &life);
-        if news {
-            core.pool.borrow_mut().forget(&life.id);
+        let is_new = core
+            .replicas
+            .borrow_mut()
+            .record_draining(now_ms, &incarnation);
+        if is_new {
+            core.pool.borrow_mut().forget(&incarnation.id);
             core.count("dunlinspring_replicas_leaving_total", &[]);
-            let replica = &life.id;
-            tracing::info!(%replica, born_ms = life.started_ms, request, "replica says that it leaves");
+            let replica = &incarnation.id;
+            tracing::info!(%replica, born_ms = incarnation.started_ms, request, "replica is shutting down");
         }
     }
 }
 
-/// The rate that a head names.
-fn named_rate(core: &EntryCore, head: &ResponseHead) -> Option<AdvertisedRate> {
+/// Returns the rate limit that a response advertises.
+fn advertised_rate(core: &EntryCore, head: &ResponseHead) -> Option<AdvertisedRate> {
     AdvertisedRate::parse(head::find_all(&head.headers, core.names.limit))
 }
 
-/// Counts headers that this system does not know, with one line for each name.
+/// Counts unknown headers and logs one line for each new name.
 fn count_unknown(core: &EntryCore, replica: &ReplicaId, request: &str, head: &ResponseHead) {
     let mut known = core.unknown_headers.borrow_mut();
     for header in known.find(&core.names, &head.headers) {
@@ -80,32 +85,33 @@
         core.count("dunlinspring_unknown_headers_total", &labels);
         if header.is_new {
             let (name, value) = (&header.name, &header.value);
-            tracing::info!(%replica, request, name, value, "unknown header of a replica");
+            tracing::info!(%replica, request, name, value, "unknown header in a replica's response");
         }
     }
 }
 
-impl Flight<'_> {
-    /// The last look at whether the replica may be sent to, right before the request leaves.
+impl ForwardedRequest<'_> {
+    /// Makes the final check whether the replica may be sent to, right before the request is
+    /// written.
     pub(super) fn claim(
         &mut self,
         sent: &SentTo,
         permit: Option<RatePermit>,
-    ) -> Result<SendSlot, ReplicaBar> {
+    ) -> Result<SendSlot, SendBlock> {
         let now_ms = clock::monotonic_ms();
-        let mut book = self.core.book.borrow_mut();
-        let claimed = book.claim(now_ms, &sent.life, permit);
-        drop(book);
-        if let Err(bar) = &claimed {
+        let mut replicas = self.core.replicas.borrow_mut();
+        let claimed = replicas.claim(now_ms, &sent.incarnation, permit);
+        drop(replicas);
+        if let Err(block) = &claimed {
             self.core.count("dunlinspring_held_back_total", &[]);
             self.log
-                .note(&format!("held back from {}: {bar:?}", sent.life.id));
+                .note(&format!("not sent to {}: {block:?}", sent.incarnation.id));
         }
         claimed
     }
 
-    /// Notes where a replica that took the request names no limit any more.
-    pub(super) fn hear_end_of_limit(
+    /// Records that a replica which took the request no longer advertises a limit.
+    pub(super) fn record_end_of_limit(
         &self,
         head: &ResponseHead,
         permit: Option<PermitStamp>,
@@ -114,7 +120,7 @@
         let names_limit = head::find(&head.headers, self.core.names.limit).is_some();
         match (permit, &self.sent) {
             (Some(permit), Some(sent)) if end == SlotOutcome::Accepted && !names_limit => {
-                self.core.hear_no_limit(&sent.life, permit);
+                self.core.record_limit_end(&sent.incarnation, permit);
             }
             _ => {}
         }
--- a/src/forward/request_log.rs
+++ b/src/forward/request_log.rs
@@ -1,35 +1,35 @@
-//! One line and the figures of each request, at its end; lines are bounded each second,
-//! those of failures apart from the others.
+//! The log line and the metrics of each request, written at its end. Lines are limited per second,
+//! with separate limits for successes and failures.
 
 use std::time::{Duration, Instant};
 
 use crate::clock;
-use crate::forward::book::Need;
 use crate::forward::caller::CallerIdentity;
 use crate::forward::daemon::EntryCore;
+use crate::forward::replica_table::Need;
 use crate::ids::{ContentDigest, ReplicaId};
 use crate::process::metrics::MetricKey;
 use crate::table::configuration::RouteSpec;
 
-/// Log lines a second for requests that went well.
-const GOOD_LINES: u32 = 10;
-/// Log lines a second for requests that failed or were refused.
-const BAD_LINES: u32 = 40;
-/// Longest part of a header's value that a line shows, in characters.
-const MAX_SHOWN: usize = 32;
+/// Log lines per second for successful requests.
+const MAX_SUCCESS_LINES: u32 = 10;
+/// Log lines per second for failed or refused requests.
+const MAX_FAILURE_LINES: u32 = 40;
+/// Longest part of a header value shown in a log line, in characters.
+const MAX_SHOWN_CHARS: usize = 32;
 
 /// How a request ended, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A replica's answer was passed on whole.
+    /// A replica's complete response was forwarded.
     Answered,
-    /// It did not run.
+    /// The request did not run.
     Refused,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Broken off midway.
+    /// The response was cut off.
     Cut,
-    /// The client left first.
+    /// The client disconnected first.
     Left,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// What is logged of one request, in one line at its end.
+/// Data for the log line of one request.
 #[derive(Debug)]
 pub struct RequestLog {
     id: String,
@@ -54,12 +54,13 @@
     service: String,
     model: String,
     prompt_tokens: u64,
-    /// The route's bounds on the first event, or a whole answer, and on a pause.
+    /// The route's limits on the time to the first event, or to a complete response, and on the gap
+    /// between events.
     aim: Duration,
     gap: Duration,
     since: Instant,
     replica: Option<ReplicaId>,
-    tries: u32,
+    attempts: u32,
     resent: u32,
     waited: Duration,
     first: Option<Duration>,
@@ -70,7 +71,7 @@
 }
 
 impl RequestLog {
-    /// A request that has no end yet.
+    /// Creates the log of a request that has not ended.
     pub fn new(
         id: &str,
         route: &RouteSpec,
@@ -91,7 +92,7 @@
             gap: Duration::from_millis(route.max_event_gap_ms),
             since,
             replica: None,
-            tries: 0,
+            attempts: 0,
             resent: 0,
             waited: Duration::ZERO,
             first: None,
@@ -102,76 +103,77 @@
         }
     }
 
-    /// A replica was found after a wait.
-    pub fn placed(&mut self, waited: Duration) {
+    /// Adds the time spent waiting for a replica.
+    pub fn record_wait(&mut self, waited: Duration) {
         self.waited += waited;
     }
 
-    /// It goes to a replica.
-    pub fn sent(&mut self, replica: &ReplicaId) {
-        self.tries += 1;
+    /// Records that the request is sent to a replica.
+    pub fn record_attempt(&mut self, replica: &ReplicaId) {
+        self.attempts += 1;
         self.replica = Some(replica.clone());
     }
 
-    /// Whether the budget let it be sent again.
+    /// Records whether the budget allowed a resend.
     pub fn resent(&mut self, allowed: bool) {
         match allowed {
             true => self.resent += 1,
-            false => self.note("no budget to send it again"),
+            false => self.note("resend budget exhausted"),
         }
     }
 
-    /// Something that happened on the way.
+    /// Adds a note to the log line.
     pub fn note(&mut self, text: &str) {
         self.notes.push(text.to_owned());
     }
 
-    /// A replica did not run it, and asked for so long a pause.
-    pub fn refused(&mut self, replica: &ReplicaId, pause: Option<&str>) {
-        let asked = asked_text(pause);
+    /// Records that a replica did not run the request, and its `Retry-After` value.
+    pub fn refused(&mut self, replica: &ReplicaId, retry_after: Option<&str>) {
+        let suffix = retry_after_suffix(retry_after);
         self.notes
-            .push(format!("refused by the replica {replica}{asked}"));
+            .push(format!("refused by replica {replica}{suffix}"));
     }
 
-    /// A replica failed it by a status of its own, and asked for so long a pause.
-    pub fn failed_by(&mut self, replica: &ReplicaId, status: u16, pause: Option<&str>) {
-        let asked = asked_text(pause);
+    /// Records that a replica failed with a status of its own, and its `Retry-After` value.
+    pub fn failed_by(&mut self, replica: &ReplicaId, status: u16, retry_after: Option<&str>) {
+        let suffix = retry_after_suffix(retry_after);
         self.notes
-            .push(format!("the replica {replica} failed: {status}{asked}"));
+            .push(format!("replica {replica} failed: {status}{suffix}"));
     }
 
-    /// What it asks: shown where a replica broke off under it, or it is refused for that.
+    /// Records the content digest: shown if a replica lost the connection during the request, or if
+    /// the request was refused for its content.
     pub fn content(&mut self, digest: ContentDigest) {
         self.content = Some(digest);
     }
 
-    /// The first event leaves.
+    /// Records when the first event is sent.
     pub fn first_event(&mut self) {
         let since = self.since;
         self.first.get_or_insert_with(|| since.elapsed());
     }
 
-    /// An event came so long after the one before.
-    pub fn pause(&mut self, pause: Duration) {
-        self.longest_pause = self.longest_pause.max(pause);
+    /// Records the gap between two events.
+    pub fn record_gap(&mut self, gap: Duration) {
+        self.longest_pause = self.longest_pause.max(gap);
     }
 
-    /// A replica's answer was passed on.
+    /// Records that a replica's response was forwarded.
     pub fn answered(&mut self, status: u16) {
         self.end = (Outcome::Answered, status, "");
     }
 
-    /// Whether a replica's whole answer was passed on.
+    /// Whether a replica's complete response was forwarded.
     pub fn is_answered(&self) -> bool {
         self.end.0 == Outcome::Answered
     }
 
-    /// It ends without a replica's answer.
-    pub fn ends(&mut self, outcome: Outcome, status: u16, reason: &'static str) {
+    /// Records an end without a replica's complete response.
+    pub fn set_end(&mut self, outcome: Outcome, status: u16, reason: &'static str) {
         self.end = (outcome, status, reason);
     }
 
-    /// Which bound of its route an answer missed; empty for none.
+    /// Returns which latency limit of its route a response missed; empty if none.
     fn late(&self, took: Duration) -> &'static str {
         match self.first {
             _ if self.end.0 != Outcome::Answered => "",
@@ -182,8 +184,8 @@
         }
     }
 
-    /// Writes the line and the metrics.
-    pub fn end(&self, core: &EntryCore) {
+    /// Writes the log line and the metrics.
+    pub fn write(&self, core: &EntryCore) {
         let (outcome, status, reason) = self.end;
         let took = self.since.elapsed();
         let labels = [
@@ -224,7 +226,7 @@
                 prompt_tokens = self.prompt_tokens,
                 version = core.version(),
                 replica = self.replica.as_ref().map_or("", |id| id.as_str()),
-                tries = self.tries,
+                tries = self.attempts,
                 resent = self.resent,
                 waited_ms = millis(self.waited),
                 first_ms = self.first.map(millis),
@@ -242,28 +244,28 @@
     }
 }
 
-/// The pause that came with a refusal, for a line; empty for none.
-fn asked_text(pause: Option<&str>) -> String {
-    let shown = pause.map(|text| text.chars().take(MAX_SHOWN).collect::<String>());
+/// Returns the `Retry-After` value as a suffix for a note; empty if there is none.
+fn retry_after_suffix(retry_after: Option<&str>) -> String {
+    let shown = retry_after.map(|text| text.chars().take(MAX_SHOWN_CHARS).collect::<String>());
     shown.map_or(String::new(), |text| format!(", retry after {text}"))
 }
 
-/// Log lines that may be written in the current second.
+/// Counts the log lines of the current second.
 #[derive(Debug, Default)]
-pub(super) struct LineBudget {
+pub(super) struct LogLineLimit {
     second: u64,
     good: u32,
     bad: u32,
-    passed: u32,
+    suppressed: u32,
 }
 
-impl LineBudget {
-    /// Whether one more line may be written; what went well has a bound of its own.
+impl LogLineLimit {
+    /// Whether one more line may be written. Successes have a limit of their own.
     pub(super) fn may_write(&mut self, good: bool) -> bool {
         let second = clock::monotonic_ms() / 1_000;
         if second != self.second {
-            if self.passed > 0 {
-                tracing::info!(lines = self.passed, "request lines passed over");
+            if self.suppressed > 0 {
+                tracing::info!(lines = self.suppressed, "request log lines suppressed");
             }
             *self = Self {
                 second,
@@ -271,12 +273,12 @@
             };
         }
         let (count, most) = match good {
-            true => (&mut self.good, GOOD_LINES),
-            false => (&mut self.bad, BAD_LINES),
+            true => (&mut self.good, MAX_SUCCESS_LINES),
+            false => (&mut self.bad, MAX_FAILURE_LINES),
         };
         *count += 1;
         let allowed = *count <= most;
-        self.passed += u32::from(!allowed);
+        self.suppressed += u32::from(!allowed);
         allowed
     }
 }
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -102,20 +102,20 @@
 mutant snapshot-with-each-heartbeat src/consensus/raft.rs 's/progress\.install_until_ms = now_ms \+ SNAPSHOT_RESEND_MS;/progress.install_until_ms = 0;/' raft a_snapshot_is_sent_once_until_it_may_be_lost
 mutant no-entries-before-the-snapshot src/consensus/raft.rs 's/self\.retained\.extend\(self\.entries\.drain\(\.\.kept\)\);/self.entries.drain(..kept);/' raft a_follower_that_lags_across_a_compaction_is_sent_entries
 mutant lone-leader-waits src/consensus/raft.rs 's/(peers\.contains\(node\)\);)\n        self\.advance_commit\(\);/$1/' raft a_leader_that_is_its_own_quorum_commits_what_a_heartbeat_sends_first
-mutant crowd-not-heeded src/forward/book.rs 's/tokens: tokens\.saturating_sub\(own/tokens: 0 * tokens.saturating_sub(own/' crowd entries_that_know_of_each_other_keep_no_queue_that_makes_all_late
-mutant own-counted-as-crowd src/forward/book.rs 's/own\.get\(id\)\.copied\(\)\.unwrap_or\(0\)/0 * own.get(id).copied().unwrap_or(0)/' forward_parts a_home_that_others_crowd_takes_no_more
+mutant crowd-not-heeded src/forward/replica_table.rs 's/tokens: tokens\.saturating_sub\(own/tokens: 0 * tokens.saturating_sub(own/' crowd entries_that_know_of_each_other_keep_no_queue_that_makes_all_late
+mutant own-counted-as-crowd src/forward/replica_table.rs 's/own\.get\(id\)\.copied\(\)\.unwrap_or\(0\)/0 * own.get(id).copied().unwrap_or(0)/' forward_parts a_home_that_others_crowd_takes_no_more
 mutant silent-entry-counts src/placement/congestion.rs 's/        self\.expire_reports\(now_ms, threshold\);\n//' crowd an_entry_that_falls_silent_counts_no_more
 mutant third-end-bars-nothing src/consensus/crashes.rs 's/MAX_CRASHES\.\. => Self::Barred,/MAX_CRASHES.. => Self::Suspect(2),/' crashes the_third_end_bars_a_content_whoever_tells_of_each
 mutant one-end-counts-twice src/consensus/crashes.rs 's/ \&\& !record\.crashes\.contains\(\&report\.replica\)//' crashes the_third_end_bars_a_content_whoever_tells_of_each
 mutant turns-for-all src/placement/suspect_leases.rs 's/return SuspectLeaseReply::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
 mutant suspects-together src/placement/suspect_leases.rs 's/\*\*key != request\.content \&\& lease\.replica == request\.replica/**key != request.content \&\& false/' crashes suspects_are_kept_apart
-mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.life\.id, connection\);\s+)Probe::Lives/$1Probe::Ended/' forwarding a_connection_that_breaks_off_is_no_crash
+mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.incarnation\.id, connection\);\s+)Probe::Alive/$1Probe::Ended/' forwarding a_connection_that_breaks_off_is_no_crash
 mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.started_ms > known\.started_ms => HeartbeatStatus::New,\n//' replica_born a_new_life_is_heard_though_its_numbers_begin_anew
 mutant pause-not-kept src/routing/backoff.rs 's/peer if now_ms < peer\.until_ms => /peer if false \&\& now_ms < peer.until_ms => /' backoff a_named_time_brings_two_requests_at_most
 mutant trials-without-bound src/routing/backoff.rs 's/peer\.probes >= MAX_PROBES/false/' backoff a_named_time_brings_two_requests_at_most
 mutant crowd-after-a-pause src/routing/backoff.rs 's/peer\.limit = 1;/peer.limit = UNLIMITED_REQUESTS;/' backoff after_a_pause_one_request_goes_first
 mutant leaving-not-kept src/routing/backoff.rs 's/peer if peer\.is_draining\(incarnation\) => /peer if false \&\& peer.is_draining(incarnation) => /' forwarding a_replica_that_says_in_an_answer
-mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return Tried::Unsent;\n            \}/Err(_) => None,/' forwarding a_request_whose_connection_was_slow
+mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return AttemptOutcome::NotSent;\n            \}/Err(_) => None,/' forwarding a_request_whose_connection_was_slow
 mutant refusals-not-kept src/entry/flight_steps.rs 's/state\.refusals\.record\([^;]*;//' overload a_home_that_refused_a_row
 limits=no_span_brings_more_than_a_replica_named
 mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(named_us\)/cold_us/' replica_limits $limits
