--- a/src/forward/crashes.rs
+++ b/src/forward/crashes.rs
@@ -193,8 +193,7 @@
         watched.retain(|watched| watched.until_ms > now_ms);
         let restarted = |watched: &&WatchedReplica| has_restarted(view, &watched.at);
         let ended = watched.iter().filter(restarted);
-        let ended: BTreeSet<ReplicaIncarnation> =
-            ended
+        let ended: BTreeSet<ReplicaIncarnation> = ended
             .map(|watched| watched.at.incarnation.clone())
             .collect();
         drop(watched);
@@ -214,7 +213,9 @@
         Some(record) if record.incarnation() == at.incarnation => false,
         _ => {
             let mut others = view.replicas.values();
-            others.any(|record| record.address == at.address && record.incarnation() != at.incarnation)
+            others.any(|record| {
+                record.address == at.address && record.incarnation() != at.incarnation
+            })
         }
     }
 }
--- a/src/forward/daemon.rs
+++ b/src/forward/daemon.rs
@@ -32,7 +32,7 @@
 use crate::placement::report::EntryReport;
 use crate::process::daemon::{self, DaemonError};
 use crate::process::follow::ControlFollower;
-use crate::process::metrics::{MetricRegistry, MetricKey};
+use crate::process::metrics::{MetricKey, MetricRegistry};
 use crate::process::peers::{ControlLink, SiteSecret};
 use crate::process::settings::LogSettings;
 use crate::routing::view::SiteView;
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -59,7 +59,10 @@
         }
         Err(error) => {
             tracing::debug!(%error, "report of rate limits failed");
-            core.replicas.borrow_mut().limits_mut().record_failed_report();
+            core.replicas
+                .borrow_mut()
+                .limits_mut()
+                .record_failed_report();
             false
         }
     }
--- a/src/forward/replica_table.rs
+++ b/src/forward/replica_table.rs
@@ -194,7 +194,9 @@
                 self.warm_ups.record_report(now_ms, id, record.cold_ms);
             }
             match state {
-                Some(state) if state.record.started_ms != record.started_ms => state.restart(record),
+                Some(state) if state.record.started_ms != record.started_ms => {
+                    state.restart(record)
+                }
                 Some(state) => state.record = record.clone(),
                 None => {
                     let state = ReplicaState::new(record.clone());
@@ -214,12 +216,7 @@
 
     /// Records the leader's totals of queued tokens at congested replicas. `own` is the part that
     /// this entry had reported, which is subtracted.
-    pub fn update_congestion(
-        &mut self,
-        now_ms: u64,
-        own: &QueuedTokens,
-        congested: &QueuedTokens,
-    ) {
+    pub fn update_congestion(&mut self, now_ms: u64, own: &QueuedTokens, congested: &QueuedTokens) {
         self.congestion_until_ms = now_ms + CONGESTION_TTL_MS;
         for (id, state) in &mut self.states {
             let reported = congested.get(id).map(|tokens| CongestionSample {
--- a/src/forward/replica_table/blocks.rs
+++ b/src/forward/replica_table/blocks.rs
@@ -8,7 +8,7 @@
 use crate::forward::permits::RatePermit;
 use crate::forward::replica_state::ReplicaState;
 use crate::ids::{HallName, ReplicaId, ReplicaIncarnation, ServiceName};
-use crate::routing::backoff::{RequestedBackoff, SlotOutcome, Blocked, SendSlot};
+use crate::routing::backoff::{Blocked, RequestedBackoff, SendSlot, SlotOutcome};
 use crate::routing::limited_peers::LimitedPeers;
 use crate::routing::permit_pace::PermitThrottle;
 use crate::table::configuration::ServiceSpec;
@@ -45,7 +45,8 @@
 
     /// Whether a replica has announced its shutdown.
     pub fn is_draining(&self, incarnation: &ReplicaIncarnation) -> bool {
-        self.backoffs.is_draining(&incarnation.id, incarnation.started_ms)
+        self.backoffs
+            .is_draining(&incarnation.id, incarnation.started_ms)
     }
 
     /// Makes the final check before a request is sent to a replica. `permit` is the leader's
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -12,7 +12,7 @@
 use crate::ids::ReplicaId;
 use crate::placement::named_limits::PermitStamp;
 use crate::placement::named_rate::AdvertisedRate;
-use crate::routing::backoff::{RequestedBackoff, SlotOutcome, SendSlot};
+use crate::routing::backoff::{RequestedBackoff, SendSlot, SlotOutcome};
 
 use super::ForwardedRequest;
 
--- a/src/forward/request/attempt_guard.rs
+++ b/src/forward/request/attempt_guard.rs
@@ -7,7 +7,7 @@
 use crate::forward::replica_table::{AttemptResult, Need};
 use crate::ids::ReplicaId;
 use crate::placement::named_limits::PermitStamp;
-use crate::routing::backoff::{SlotOutcome, SendSlot};
+use crate::routing::backoff::{SendSlot, SlotOutcome};
 
 /// Reports the end of an attempt to the replica table, even if the request is dropped midway.
 pub(super) struct AttemptGuard<'a> {
--- a/src/forward/suspect_leases.rs
+++ b/src/forward/suspect_leases.rs
@@ -8,7 +8,9 @@
 use crate::forward::crashes::CrashInvestigation;
 use crate::forward::daemon::EntryCore;
 use crate::ids::ContentDigest;
-use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeaseRelease};
+use crate::placement::suspect_leases::{
+    SuspectLeaseRelease, SuspectLeaseReply, SuspectLeaseRequest,
+};
 use crate::process::{crash_report, daemon};
 
 /// Time limit of a call that requests or releases a lease.
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -7,7 +7,9 @@
 use std::collections::BTreeMap;
 
 use dunlinspring::consensus::directory::{ReplicaPhase, ReplicaRecord};
-use dunlinspring::forward::replica_table::{Choice, ChoicePolicy, EngineBounds, Need, ReplicaTable};
+use dunlinspring::forward::replica_table::{
+    Choice, ChoicePolicy, EngineBounds, Need, ReplicaTable,
+};
 use dunlinspring::ids::{ReplicaId, ServiceName};
 use dunlinspring::routing::backoff::{
     BackoffTracker, Blocked, MAX_BACKOFF_MS, RequestedBackoff, SlotOutcome,
--- a/tests/forward_parts.rs
+++ b/tests/forward_parts.rs
@@ -6,13 +6,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunlinspring::consensus::directory::{ReplicaPhase, ReplicaRecord};
-use dunlinspring::forward::replica_table::{
-    Choice, ChoicePolicy, EngineBounds, LoadReport, Need, ReplicaTable, AttemptResult, parse_load,
-};
 use dunlinspring::forward::budget::{ResendBudget, ResendPolicy};
 use dunlinspring::forward::chunked::ChunkDecoder;
 use dunlinspring::forward::events::EventBuffer;
 use dunlinspring::forward::head::{self, Framing, HeadError};
+use dunlinspring::forward::replica_table::{
+    AttemptResult, Choice, ChoicePolicy, EngineBounds, LoadReport, Need, ReplicaTable, parse_load,
+};
 use dunlinspring::ids::{HallName, ModelName, ReplicaId, ServiceName};
 use dunlinspring::placement::congestion::QueuedTokens;
 use dunlinspring::table::configuration::{
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -9,8 +9,8 @@
 
 use dunlinspring::consensus::directory::{HeartbeatStatus, ReplicaPhase, ReplicaRecord};
 use dunlinspring::consensus::state::{Change, Command, SiteState};
-use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, SendBlock, ReplicaTable};
 use dunlinspring::forward::need::ChoicePolicy;
+use dunlinspring::forward::replica_table::{Choice, EngineBounds, Need, ReplicaTable, SendBlock};
 use dunlinspring::ids::{HallName, ReplicaId, ReplicaIncarnation, ServiceName};
 use dunlinspring::placement::rate_limit::{PERMIT_VALIDITY_MS, RateLimiter};
 use dunlinspring::placement::replica_rates::PermitRefusal;
@@ -207,7 +207,8 @@
     assert!(book.is_cold(1_100, &id));
     let barred = book.claim(1_100, &life(), None);
     assert_eq!(barred, Err(SendBlock::RateLimited { left_ms: 0 }));
-    book.permit_pace_mut().record_refusal(1_100, 1_100, &id, wait(140));
+    book.permit_pace_mut()
+        .record_refusal(1_100, 1_100, &id, wait(140));
     assert_eq!(choose(&book, 1_200), Choice::RateLimited(40));
     assert_eq!(book.capacity_in_ms(1_200, &need()), Some(40));
     assert_eq!(choose(&book, 1_240), Choice::Send(id.clone()));
