--- a/src/forward/replica_table.rs
+++ b/src/forward/replica_table.rs
@@ -20,7 +20,7 @@
 use crate::placement::congestion::QueuedTokens;
 use crate::routing::backoff::{BackoffTracker, Blocked};
 use crate::routing::limited_peers::LimitedPeers;
-use crate::routing::permit_pace::PermitThrottle;
+use crate::routing::permit_throttle::PermitThrottle;
 use crate::routing::warm_up::WarmupTracker;
 use crate::table::configuration::WarmupSpec;
 pub use blocks::SendBlock;
--- a/src/forward/replica_table/blocks.rs
+++ b/src/forward/replica_table/blocks.rs
@@ -10,7 +10,7 @@
 use crate::ids::{HallName, ReplicaId, ReplicaIncarnation, ServiceName};
 use crate::routing::backoff::{Blocked, RequestedBackoff, SendSlot, SlotOutcome};
 use crate::routing::limited_peers::LimitedPeers;
-use crate::routing::permit_pace::PermitThrottle;
+use crate::routing::permit_throttle::PermitThrottle;
 use crate::table::configuration::ServiceSpec;
 
 use super::{Choice, ReplicaTable};
