--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -12,8 +12,8 @@
 use tokio::sync::mpsc;
 
 use crate::admission::controller::EngineCall;
-use crate::entry::flight_steps::{self, CallerRequest, FlightNote};
 use crate::entry::operator;
+use crate::entry::request_driver::{self, CallerRequest, FlightNote};
 use crate::entry::shell::{self, EntryShared, InFlight};
 use crate::ids::{CallKey, ModelName, PartnerName};
 use crate::process::auth;
@@ -421,9 +421,9 @@
 /// The flight runs as a task of its own: it outlives a caller that leaves, for
 /// as long as it takes to end what it began.
 fn launch(entry: &Entry, request: CallerRequest, guard: InFlight) -> mpsc::Receiver<FlightNote> {
-    let (sender, notes) = mpsc::channel(flight_steps::NOTES);
+    let (sender, notes) = mpsc::channel(request_driver::NOTES);
     let entry = Arc::clone(entry);
-    ntex::rt::spawn(flight_steps::fly(entry, request, sender, guard));
+    ntex::rt::spawn(request_driver::fly(entry, request, sender, guard));
     notes
 }
 
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -4,6 +4,6 @@
 //! [`crate::routing::lifecycle`]. Uses the pure folders and `process`.
 
 pub mod caller;
-pub mod flight_steps;
 pub mod operator;
+pub mod request_driver;
 pub mod shell;
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::consensus::state::MemberRole;
 use crate::entry::caller;
-use crate::entry::flight_steps::CallerRequest;
+use crate::entry::request_driver::CallerRequest;
 use crate::ids::{AttemptId, Incarnation, ModelName, Position, RowId};
 use crate::placement::target_controller::EntryHeartbeat;
 use crate::process::daemon::{self, DaemonError};
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -116,7 +116,7 @@
 mutant crowd-after-a-pause src/routing/backoff.rs 's/peer\.limit = 1;/peer.limit = UNLIMITED_REQUESTS;/' backoff after_a_pause_one_request_goes_first
 mutant leaving-not-kept src/routing/backoff.rs 's/peer if peer\.is_draining\(incarnation\) => /peer if false \&\& peer.is_draining(incarnation) => /' forwarding a_replica_that_says_in_an_answer
 mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return Tried::Unsent;\n            \}/Err(_) => None,/' forwarding a_request_whose_connection_was_slow
-mutant refusals-not-kept src/entry/flight_steps.rs 's/state\.refusals\.record\([^;]*;//' overload a_home_that_refused_a_row
+mutant refusals-not-kept src/entry/request_driver.rs 's/state\.refusals\.record\([^;]*;//' overload a_home_that_refused_a_row
 limits=no_span_brings_more_than_a_replica_named
 mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(named_us\)/cold_us/' replica_limits $limits
 mutant permit-outside-of-the-known-term src/placement/replica_rates.rs 's/if request\.is_limited && !self\.limits/if false \&\& !self.limits/' replica_limits a_new_leader_gives_no_permit
