--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -15,17 +15,17 @@
 use crate::table::rows::Urgency;
 
 /// Time for an order's answer: a load's answer says that it began.
-pub const ORDER_TIME: Duration = Duration::from_millis(1000);
+pub const ORDER_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Time for a report.
-pub const REPORT_TIME: Duration = Duration::from_millis(1000);
+pub const REPORT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Silence after which a stream counts as lost.
-const SILENCE: Duration = Duration::from_secs(10);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest line of a stream, in bytes.
-const MAX_LINE: usize = 1 << 20;
+const MAX_LINE_BYTES: usize = 1 << 20;
 /// Longest answer of a plain service, in bytes.
-const MAX_ANSWER: usize = 1 << 20;
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 /// Connections to one engine; runs beyond it wait for one.
-const CONNECTIONS: usize = 1024;
+const MAX_CONNECTIONS: usize = 1024;
 
 /// Why a call to a target brought nothing.
 #[derive(Debug, Snafu)]
@@ -85,7 +85,7 @@
 }
 
 /// The marker after the last piece.
-pub const DONE: &str = "[DONE]";
+pub const DONE_MARKER: &str = "[DONE]";
 
 /// Calls to one target.
 #[derive(Clone)]
@@ -113,7 +113,9 @@
 impl EngineClient {
     /// A client for the target at an HTTP URL without a path.
     pub async fn new(url: &str) -> Self {
-        let connector = Connector::new().limit(CONNECTIONS).keep_alive(Seconds(60));
+        let connector = Connector::new()
+            .limit(MAX_CONNECTIONS)
+            .keep_alive(Seconds(60));
         let client = Client::builder()
             .connector::<()>(connector)
             .disable_timeout();
@@ -137,59 +139,61 @@
             fence: dispatch.fence,
             boot: dispatch.boot,
         };
-        let call = self.http.post(self.at("/v1/completions"));
-        let answer = self.answered("run", call.send_json(&body)).await?;
-        Ok(self.stream(answer))
+        let call = self.http.post(self.url_of("/v1/completions"));
+        let response = self.call_engine("run", call.send_json(&body)).await?;
+        Ok(self.stream(response))
     }
 
     /// Goes on with a run's stream from a piece.
     pub async fn resume(&self, run: AttemptId, from: u32) -> Result<EngineStream, EngineError> {
         let path = format!("/v1/runs/{run}?from={from}");
-        let call = self.http.get(self.at(&path));
-        let answer = self.answered("resume", call.send()).await?;
-        Ok(self.stream(answer))
+        let call = self.http.get(self.url_of(&path));
+        let response = self.call_engine("resume", call.send()).await?;
+        Ok(self.stream(response))
     }
 
     /// Cancels a run; once this answers, it uses no memory.
     pub async fn cancel(&self, run: AttemptId) -> Result<(), EngineError> {
-        let call = self.http.delete(self.at(&format!("/v1/runs/{run}")));
-        self.answered("cancel", call.send()).await.map(|_| ())
+        let call = self.http.delete(self.url_of(&format!("/v1/runs/{run}")));
+        self.call_engine("cancel", call.send()).await.map(|_| ())
     }
 
     /// Calls a plain service; its whole answer is one piece.
-    pub async fn serve(&self, dispatch: &RunDispatch) -> Result<String, EngineError> {
+    pub async fn call_service(&self, dispatch: &RunDispatch) -> Result<String, EngineError> {
         let path = dispatch.call.path.as_deref().unwrap_or("");
-        let call = self.http.post(self.at(&format!("/{path}")));
+        let call = self.http.post(self.url_of(&format!("/{path}")));
         let call = call.header("x-request-id", dispatch.attempt.to_string());
         let sent = call.send_body(dispatch.call.prompt.clone());
         // A service may have acted before it answered with a failure.
-        let answer = self.sorted("serve", sent, |_| false).await?;
-        let body = answer.body().limit(MAX_ANSWER).await;
+        let response = self.classify("serve", sent, |_| false).await?;
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|error| self.lost("serve", error.to_string()))?;
         String::from_utf8(body.to_vec()).map_err(|error| self.lost("serve", error.to_string()))
     }
 
     /// Gives an order.
     pub async fn order(&self, order: &EngineOrder) -> Result<(), EngineError> {
-        let call = self.http.post(self.at("/control/orders"));
-        let sent = self.answered("order", call.send_json(order));
-        self.in_time("order", ORDER_TIME, sent).await.map(|_| ())
+        let call = self.http.post(self.url_of("/control/orders"));
+        let sent = self.call_engine("order", call.send_json(order));
+        self.with_timeout("order", ORDER_TIMEOUT, sent)
+            .await
+            .map(|_| ())
     }
 
     /// Asks for a report.
     pub async fn report(&self) -> Result<EngineReport, EngineError> {
         let read = async {
-            let call = self.http.get(self.at("/control/report"));
-            let answer = self.answered("report", call.send()).await?;
-            let body = answer.body().limit(MAX_ANSWER).await;
+            let call = self.http.get(self.url_of("/control/report"));
+            let response = self.call_engine("report", call.send()).await?;
+            let body = response.body().limit(MAX_RESPONSE_BYTES).await;
             let body = body.map_err(|error| self.lost("report", error.to_string()))?;
             let report = serde_json::from_slice(&body);
             report.map_err(|error| self.lost("report", error.to_string()))
         };
-        self.in_time("report", REPORT_TIME, read).await
+        self.with_timeout("report", REPORT_TIMEOUT, read).await
     }
 
-    fn at(&self, path: &str) -> String {
+    fn url_of(&self, path: &str) -> String {
         format!("{}{path}", self.url)
     }
 
@@ -201,7 +205,7 @@
         }
     }
 
-    async fn in_time<T>(
+    async fn with_timeout<T>(
         &self,
         step: &'static str,
         time: Duration,
@@ -212,16 +216,16 @@
     }
 
     /// The answer of an engine, whose refusals say that it did nothing.
-    async fn answered(
+    async fn call_engine(
         &self,
         step: &'static str,
         sent: impl Future<Output = Result<ClientResponse, ClientError>>,
     ) -> Result<ClientResponse, EngineError> {
-        self.sorted(step, sent, is_refusal).await
+        self.classify(step, sent, is_refusal).await
     }
 
     /// Sorts the answer into done, surely not done, and not known.
-    async fn sorted(
+    async fn classify(
         &self,
         step: &'static str,
         sent: impl Future<Output = Result<ClientResponse, ClientError>>,
@@ -233,20 +237,20 @@
             reason,
         };
         match sent.await {
-            Ok(answer) if answer.status().is_success() => Ok(answer),
-            Ok(answer) if is_refusal(answer.status()) => {
-                Err(refused(format!("status {}", answer.status())))
+            Ok(response) if response.status().is_success() => Ok(response),
+            Ok(response) if is_refusal(response.status()) => {
+                Err(refused(format!("status {}", response.status())))
             }
-            Ok(answer) => Err(self.lost(step, format!("status {}", answer.status()))),
+            Ok(response) => Err(self.lost(step, format!("status {}", response.status()))),
             Err(error) if was_never_sent(&error) => Err(refused(error.to_string())),
             Err(error) => Err(self.lost(step, error.to_string())),
         }
     }
 
-    fn stream(&self, answer: ClientResponse) -> EngineStream {
+    fn stream(&self, response: ClientResponse) -> EngineStream {
         EngineStream {
             url: self.url.clone(),
-            payload: answer.take_payload(),
+            payload: response.take_payload(),
             buffer: Vec::new(),
         }
     }
@@ -259,7 +263,7 @@
             if let Some(part) = self.take_event()? {
                 return Ok(part);
             }
-            let chunk = tokio::time::timeout(SILENCE, self.payload.recv()).await;
+            let chunk = tokio::time::timeout(STREAM_IDLE_TIMEOUT, self.payload.recv()).await;
             match chunk {
                 Ok(Some(Ok(bytes))) => self.buffer.extend_from_slice(&bytes),
                 Ok(Some(Err(error))) => return Err(self.lost(error.to_string())),
@@ -277,14 +281,14 @@
                 continue;
             };
             return match data.trim() {
-                DONE => Ok(Some(StreamPart::End)),
+                DONE_MARKER => Ok(Some(StreamPart::End)),
                 data => match serde_json::from_str::<EnginePiece>(data) {
                     Ok(piece) => Ok(Some(StreamPart::Piece(piece.index, piece.text))),
                     Err(error) => Err(self.lost(error.to_string())),
                 },
             };
         }
-        match self.buffer.len() > MAX_LINE {
+        match self.buffer.len() > MAX_LINE_BYTES {
             true => Err(self.lost("a line is too long".to_owned())),
             false => Ok(None),
         }
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -34,36 +34,36 @@
 use crate::routing::view::SiteView;
 
 /// Time between two beats.
-const BEAT: Duration = Duration::from_millis(200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// Time for one beat's answer.
-const BEAT_TIME: Duration = Duration::from_millis(800);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Longest pause between two looks at the queue.
-const PUMP: Duration = Duration::from_millis(20);
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two sweeps of forgotten attempts.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest wait of a pull.
 const MAX_PULL_MS: u64 = 2_000;
 /// Calls that one entry may have under way.
-const CALLS_A_PEER: usize = 8192;
+const MAX_CALLS_PER_PEER: usize = 8192;
 /// Time that a stopping agent waits for what is in flight.
-const STOP_TIME: Duration = Duration::from_secs(120);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(120);
 /// Time that a stopping agent goes on telling entries that it leaves.
-const LEAVE_NOTICE: Duration = Duration::from_millis(500);
+const DRAIN_NOTICE: Duration = Duration::from_millis(500);
 
 struct AgentShared {
     settings: AgentSettings,
     link: Arc<ControlLink>,
     follower: SiteFollower,
-    gate: Mutex<AdmissionController>,
-    life: Incarnation,
+    admission: Mutex<AdmissionController>,
+    incarnation: Incarnation,
     address: String,
     wake: Notify,
     readers: Mutex<BTreeMap<AttemptId, Arc<Notify>>>,
 }
 
 impl AgentShared {
-    fn gate(&self) -> MutexGuard<'_, AdmissionController> {
-        self.gate
+    fn admission(&self) -> MutexGuard<'_, AdmissionController> {
+        self.admission
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
@@ -78,26 +78,26 @@
         self.readers().entry(attempt).or_default().clone()
     }
 
-    fn tell(&self, attempt: AttemptId) {
+    fn wake_reader(&self, attempt: AttemptId) {
         if let Some(reader) = self.readers().get(&attempt) {
             reader.notify_waiters();
         }
     }
 
     /// Wakes all readers: what was queued may have been refused.
-    fn tell_all(&self) {
+    fn wake_all_readers(&self) {
         for reader in self.readers().values() {
             reader.notify_waiters();
         }
     }
 
-    fn word(&self, status: AttemptStatus) -> AgentReply {
+    fn reply(&self, status: AttemptStatus) -> AgentReply {
         // The copy's lock is never taken under the gate's.
         let position = self.follower.position();
-        let gate = self.gate();
+        let admission = self.admission();
         AgentReply {
             status,
-            load: (gate.queued() + gate.running()) as u32,
+            load: (admission.queued() + admission.running()) as u32,
             position,
         }
     }
@@ -121,8 +121,8 @@
         let control = control.map(|voter| voter.address.to_string()).collect();
         let link = Arc::new(ControlLink::new(secret.clone(), control));
         let common = &settings.common;
-        let text = address.to_string();
-        let life = member::join(&link, common, MemberRole::Agent, &text).await?;
+        let advertised = address.to_string();
+        let incarnation = member::join(&link, common, MemberRole::Agent, &advertised).await?;
         let follower = SiteFollower::new(link.clone());
         follower.start().await?;
         let services = settings.services.iter().cloned().collect();
@@ -132,23 +132,24 @@
             lease_ms: settings.lease_ms,
             queue: settings.queue.policy(),
         };
-        let gate = AdmissionController::new(life, policy, services, clock::monotonic_ms());
+        let admission =
+            AdmissionController::new(incarnation, policy, services, clock::monotonic_ms());
         let engine = EngineClient::new(&settings.target_url).await;
         let shared = Arc::new(AgentShared {
             settings,
             link,
             follower,
-            gate: Mutex::new(gate),
-            life,
-            address: text,
+            admission: Mutex::new(admission),
+            incarnation,
+            address: advertised,
             wake: Notify::new(),
             readers: Mutex::new(BTreeMap::new()),
         });
-        learn_rows(&shared, &shared.follower.view());
+        record_rows(&shared, &shared.follower.view());
         serve(listener, secret, shared.clone());
         let watch = serve_health(&shared).await?;
         start_tasks(&shared, &engine);
-        tracing::info!(%address, %watch, %life, "agent started");
+        tracing::info!(%address, %watch, life = %incarnation, "agent started");
         Ok(Self {
             address,
             watch,
@@ -159,21 +160,21 @@
     /// Turns new work away, ends what is in flight, and leaves the site.
     pub async fn stop(&self) {
         let shared = &self.shared;
-        shared.gate().drain();
+        shared.admission().drain();
         let drained = async {
             // Entries learn of it from control meanwhile.
-            tokio::time::sleep(LEAVE_NOTICE).await;
-            while !shared.gate().is_idle() {
-                tokio::time::sleep(PUMP).await;
+            tokio::time::sleep(DRAIN_NOTICE).await;
+            while !shared.admission().is_idle() {
+                tokio::time::sleep(DISPATCH_INTERVAL).await;
             }
         };
-        if tokio::time::timeout(STOP_TIME, drained).await.is_err() {
+        if tokio::time::timeout(DRAIN_TIMEOUT, drained).await.is_err() {
             tracing::warn!("stops with work in flight");
         }
         // The last pages are read within one pull.
-        tokio::time::sleep(LEAVE_NOTICE).await;
-        let beat = make_beat(shared, true);
-        if let Err(error) = send_beat(shared, beat).await {
+        tokio::time::sleep(DRAIN_NOTICE).await;
+        let heartbeat = make_heartbeat(shared, true);
+        if let Err(error) = send_heartbeat(shared, heartbeat).await {
             tracing::debug!(%error, "left without a word");
         }
     }
@@ -184,39 +185,39 @@
     tokio::spawn(async move {
         let seed = member::spread_seed(&agent.settings.common.host);
         let follower = &agent.follower;
-        follower.run(seed, |view| learn_rows(&agent, view)).await;
+        follower.run(seed, |view| record_rows(&agent, view)).await;
     });
     let agent = shared.clone();
-    tokio::spawn(async move { beat_loop(&agent).await });
+    tokio::spawn(async move { heartbeat_loop(&agent).await });
     let agent = shared.clone();
     tokio::spawn(async move { sweep_loop(&agent).await });
-    daemon::spawn_local(pump_loop(shared.clone(), engine.clone()));
+    daemon::spawn_local(dispatch_loop(shared.clone(), engine.clone()));
     if shared.settings.memory_mib > 0 {
         daemon::spawn_local(report_loop(shared.clone(), engine.clone()));
     }
 }
 
-fn learn_rows(agent: &AgentShared, view: &SiteView) {
-    let mut gate = agent.gate();
+fn record_rows(agent: &AgentShared, view: &SiteView) {
+    let mut admission = agent.admission();
     for (id, row) in &view.rows {
-        gate.record_row_version(id, row.version);
+        admission.record_row_version(id, row.version);
     }
 }
 
 async fn sweep_loop(agent: &AgentShared) {
     loop {
-        tokio::time::sleep(SWEEP).await;
-        agent.gate().forget(clock::monotonic_ms());
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        agent.admission().forget(clock::monotonic_ms());
         agent
             .readers()
             .retain(|_, reader| Arc::strong_count(reader) > 1);
     }
 }
 
-fn make_beat(agent: &AgentShared, stopped: bool) -> AgentHeartbeat {
+fn make_heartbeat(agent: &AgentShared, stopped: bool) -> AgentHeartbeat {
     let position = agent.follower.position();
-    let gate = agent.gate();
-    let ledger = gate.ledger();
+    let admission = agent.admission();
+    let ledger = admission.ledger();
     let fixed = agent.settings.services.iter();
     let fixed = fixed.map(|service| (service.clone(), true));
     let loaded = ledger.models();
@@ -224,50 +225,50 @@
     let known = ledger.is_initialized() || agent.settings.memory_mib == 0;
     AgentHeartbeat {
         host: agent.settings.common.host.clone(),
-        incarnation: agent.life,
+        incarnation: agent.incarnation,
         position,
-        plan: gate.plan_position(),
+        plan: admission.plan_position(),
         holds: known.then(|| loaded.chain(fixed).collect()),
-        busy: gate.busy(),
-        leaving: gate.is_draining(),
+        busy: admission.busy(),
+        leaving: admission.is_draining(),
         stopped,
     }
 }
 
-async fn send_beat(
+async fn send_heartbeat(
     agent: &AgentShared,
-    beat: AgentHeartbeat,
+    heartbeat: AgentHeartbeat,
 ) -> Result<AgentHeartbeatReply, peers::PeerError> {
     agent
         .link
-        .call_leader("agent_beat", BEAT_TIME, |client, context| {
-            let beat = beat.clone();
-            async move { client.agent_beat(context, beat).await }
+        .call_leader("agent_beat", HEARTBEAT_TIMEOUT, |client, context| {
+            let heartbeat = heartbeat.clone();
+            async move { client.agent_beat(context, heartbeat).await }
         })
         .await
 }
 
-async fn beat_loop(agent: &AgentShared) {
+async fn heartbeat_loop(agent: &AgentShared) {
     loop {
-        let asked_ms = clock::monotonic_ms();
+        let requested_ms = clock::monotonic_ms();
         // Without its engine, the target is as good as lost: its models are
         // wanted elsewhere. It rejoins with the same life once it is back.
-        let blind = agent.gate().is_engine_silent(asked_ms);
-        let beat = make_beat(agent, blind);
-        match send_beat(agent, beat).await {
-            Ok(_) if blind => {}
-            Ok(orders) => on_orders(agent, asked_ms, orders).await,
+        let engine_silent = agent.admission().is_engine_silent(requested_ms);
+        let heartbeat = make_heartbeat(agent, engine_silent);
+        match send_heartbeat(agent, heartbeat).await {
+            Ok(_) if engine_silent => {}
+            Ok(reply) => on_heartbeat_reply(agent, requested_ms, reply).await,
             Err(error) => tracing::debug!(%error, "no answer to a beat"),
         }
-        tokio::time::sleep(BEAT).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-async fn on_orders(agent: &AgentShared, asked_ms: u64, orders: AgentHeartbeatReply) {
-    agent.follower.observe_position(orders.position);
-    match orders.plan {
+async fn on_heartbeat_reply(agent: &AgentShared, requested_ms: u64, reply: AgentHeartbeatReply) {
+    agent.follower.observe_position(reply.position);
+    match reply.plan {
         Some(plan) => {
-            if !agent.gate().on_plan(asked_ms, plan) {
+            if !agent.admission().on_plan(requested_ms, plan) {
                 tracing::info!("refused an older plan");
             }
             agent.wake.notify_one();
@@ -275,12 +276,13 @@
         None => {
             let common = &agent.settings.common;
             let role = MemberRole::Agent;
-            let back = member::rejoin(&agent.link, common, role, &agent.address, agent.life).await;
-            match back {
+            let rejoined =
+                member::rejoin(&agent.link, common, role, &agent.address, agent.incarnation).await;
+            match rejoined {
                 Ok(true) => tracing::info!("was taken for lost, and is back"),
                 Ok(false) => {
                     tracing::error!("another process keeps this target: takes no more work");
-                    agent.gate().drain();
+                    agent.admission().drain();
                 }
                 Err(error) => tracing::debug!(%error, "cannot rejoin"),
             }
@@ -290,12 +292,12 @@
 
 async fn report_loop(agent: Arc<AgentShared>, engine: EngineClient) {
     loop {
-        let asked_ms = clock::monotonic_ms();
+        let requested_ms = clock::monotonic_ms();
         match engine.report().await {
             Ok(report) => {
-                let ended = agent.gate().on_report(&report, asked_ms);
-                for life in ended {
-                    tokio::spawn(report_crash(agent.clone(), life));
+                let ended = agent.admission().on_report(&report, requested_ms);
+                for crashed in ended {
+                    tokio::spawn(report_crash(agent.clone(), crashed));
                 }
             }
             Err(error) => tracing::debug!(%error, "no report"),
@@ -307,48 +309,50 @@
 }
 
 /// Tells the log of an end of the engine, until it holds it.
-async fn report_crash(agent: Arc<AgentShared>, ended: CrashedIncarnation) {
+async fn report_crash(agent: Arc<AgentShared>, crashed: CrashedIncarnation) {
     let report = CrashReport {
         replica: ReplicaIncarnation {
             id: ReplicaId::from(agent.settings.common.host.as_str()),
-            started_ms: ended.boot,
+            started_ms: crashed.boot,
         },
-        contents: ended.contents,
+        contents: crashed.contents,
     };
     tracing::warn!(
-        replica = %report.replica.id, boot = ended.boot, count = report.contents.len(),
+        replica = %report.replica.id, boot = crashed.boot, count = report.contents.len(),
         "engine ended under requests"
     );
     crash_report::report_crash(&agent.link, &report).await;
 }
 
 /// Starts what may run, gives the orders that are due, one of them at a time.
-async fn pump_loop(agent: Arc<AgentShared>, engine: EngineClient) {
+async fn dispatch_loop(agent: Arc<AgentShared>, engine: EngineClient) {
     loop {
-        let _ = tokio::time::timeout(PUMP, agent.wake.notified()).await;
+        let _ = tokio::time::timeout(DISPATCH_INTERVAL, agent.wake.notified()).await;
         let now_ms = clock::monotonic_ms();
-        let before = agent.gate().queued();
+        let before = agent.admission().queued();
         let mut started = 0;
         loop {
-            let next = agent.gate().next_run(now_ms);
+            let next = agent.admission().next_run(now_ms);
             let Some(dispatch) = next else { break };
             started += 1;
             daemon::spawn_local(run(agent.clone(), engine.clone(), dispatch));
         }
-        if agent.gate().queued() + started < before {
-            agent.tell_all();
+        if agent.admission().queued() + started < before {
+            agent.wake_all_readers();
         }
-        let order = agent.gate().next_order(now_ms);
+        let order = agent.admission().next_order(now_ms);
         if let Some(order) = order {
-            daemon::spawn_local(give_order(agent.clone(), engine.clone(), order));
+            daemon::spawn_local(send_order(agent.clone(), engine.clone(), order));
         }
     }
 }
 
-async fn give_order(agent: Arc<AgentShared>, engine: EngineClient, order: EngineOrder) {
-    let answer = engine.order(&order).await;
-    agent.gate().order_closed(clock::monotonic_ms(), &order);
-    match answer {
+async fn send_order(agent: Arc<AgentShared>, engine: EngineClient, order: EngineOrder) {
+    let result = engine.order(&order).await;
+    agent
+        .admission()
+        .order_closed(clock::monotonic_ms(), &order);
+    match result {
         Ok(()) => tracing::debug!(?order, "ordered"),
         Err(error) => tracing::warn!(%error, ?order, "an order failed"),
     }
@@ -358,26 +362,26 @@
 async fn run(agent: Arc<AgentShared>, engine: EngineClient, dispatch: RunDispatch) {
     let attempt = dispatch.attempt;
     if dispatch.call.path.is_some() {
-        let event = match engine.serve(&dispatch).await {
+        let event = match engine.call_service(&dispatch).await {
             Ok(text) => {
                 let piece = RunEvent::Piece { index: 0, text };
-                note(&agent, attempt, piece);
+                apply_run_event(&agent, attempt, piece);
                 RunEvent::Ended
             }
             Err(EngineError::Refused { .. }) => RunEvent::Refused,
             Err(EngineError::Lost { .. }) => {
                 // A plain service has no stream to resume.
-                note(&agent, attempt, RunEvent::Lost);
+                apply_run_event(&agent, attempt, RunEvent::Lost);
                 RunEvent::Lost
             }
         };
-        note(&agent, attempt, event);
+        apply_run_event(&agent, attempt, event);
         return;
     }
     let mut stream = engine.run(&dispatch).await;
     loop {
-        let event = follow(&agent, attempt, &mut stream).await;
-        match note(&agent, attempt, event) {
+        let event = follow_stream(&agent, attempt, &mut stream).await;
+        match apply_run_event(&agent, attempt, event) {
             Some(from) => stream = engine.resume(attempt, from).await,
             None => return,
         }
@@ -385,7 +389,7 @@
 }
 
 /// Takes pieces in until the stream ends in some way.
-async fn follow(
+async fn follow_stream(
     agent: &AgentShared,
     attempt: AttemptId,
     stream: &mut Result<EngineStream, EngineError>,
@@ -398,7 +402,7 @@
     loop {
         match stream.next().await {
             Ok(StreamPart::Piece(index, text)) => {
-                note(agent, attempt, RunEvent::Piece { index, text });
+                apply_run_event(agent, attempt, RunEvent::Piece { index, text });
             }
             Ok(StreamPart::End) => return RunEvent::Ended,
             Err(error) => {
@@ -409,12 +413,12 @@
     }
 }
 
-fn note(agent: &AgentShared, attempt: AttemptId, event: RunEvent) -> Option<u32> {
+fn apply_run_event(agent: &AgentShared, attempt: AttemptId, event: RunEvent) -> Option<u32> {
     let ended = !matches!(event, RunEvent::Piece { .. });
     let resume = agent
-        .gate()
+        .admission()
         .on_run_event(clock::monotonic_ms(), attempt, event);
-    agent.tell(attempt);
+    agent.wake_reader(attempt);
     if ended {
         agent.wake.notify_one();
     }
@@ -428,19 +432,19 @@
 }
 
 impl AgentWire for AgentServer {
-    async fn start(self, _: Context, position: Position, ask: RunRequest) -> AgentReply {
+    async fn start(self, _: Context, position: Position, request: RunRequest) -> AgentReply {
         let agent = &self.shared;
         agent.follower.observe_position(position);
-        let word = agent.gate().start(clock::monotonic_ms(), ask);
+        let status = agent.admission().start(clock::monotonic_ms(), request);
         agent.wake.notify_one();
-        agent.word(word)
+        agent.reply(status)
     }
 
     async fn pull(
         self,
         _: Context,
         attempt: AttemptId,
-        life: Incarnation,
+        incarnation: Incarnation,
         offset: u32,
         wait_ms: u64,
     ) -> AgentReply {
@@ -449,52 +453,58 @@
         let reader = agent.reader(attempt);
         let until = tokio::time::Instant::now() + wait;
         loop {
-            let news = reader.notified();
-            tokio::pin!(news);
-            news.as_mut().enable();
-            let word = agent
-                .gate()
-                .pull(clock::monotonic_ms(), attempt, life, offset);
-            if !is_empty(&word) {
-                return agent.word(word);
+            let notified = reader.notified();
+            tokio::pin!(notified);
+            notified.as_mut().enable();
+            let status =
+                agent
+                    .admission()
+                    .pull(clock::monotonic_ms(), attempt, incarnation, offset);
+            if !is_empty(&status) {
+                return agent.reply(status);
             }
-            if tokio::time::timeout_at(until, news).await.is_err() {
-                return agent.word(word);
+            if tokio::time::timeout_at(until, notified).await.is_err() {
+                return agent.reply(status);
             }
         }
     }
 
-    async fn seal(self, _: Context, attempt: AttemptId, life: Incarnation) -> AgentReply {
+    async fn seal(self, _: Context, attempt: AttemptId, incarnation: Incarnation) -> AgentReply {
         let agent = &self.shared;
-        let word = agent.gate().seal(clock::monotonic_ms(), attempt, life);
-        agent.tell(attempt);
-        agent.word(word)
+        let status = agent
+            .admission()
+            .seal(clock::monotonic_ms(), attempt, incarnation);
+        agent.wake_reader(attempt);
+        agent.reply(status)
     }
 
     async fn cancel(self, _: Context, attempt: AttemptId) {
-        let running = self.shared.gate().cancel(clock::monotonic_ms(), attempt);
+        let running = self
+            .shared
+            .admission()
+            .cancel(clock::monotonic_ms(), attempt);
         if running {
             let _ = self.cancels.send(attempt);
         }
-        self.shared.tell(attempt);
+        self.shared.wake_reader(attempt);
     }
 }
 
-fn is_empty(word: &AttemptStatus) -> bool {
-    match word {
+fn is_empty(status: &AttemptStatus) -> bool {
+    match status {
         AttemptStatus::Page(page) => page.pieces.is_empty() && page.end.is_none(),
         AttemptStatus::Unseen | AttemptStatus::OtherIncarnation(_) => false,
     }
 }
 
 fn serve(listener: TcpListener, secret: SiteSecret, shared: Arc<AgentShared>) {
-    let (cancels, mut asked) = tokio::sync::mpsc::unbounded_channel();
+    let (cancels, mut cancel_requests) = tokio::sync::mpsc::unbounded_channel();
     let agent = shared.clone();
     daemon::spawn_local(async move {
         let engine = EngineClient::new(&agent.settings.target_url).await;
-        while let Some(attempt) = asked.recv().await {
+        while let Some(attempt) = cancel_requests.recv().await {
             if engine.cancel(attempt).await.is_ok() {
-                note(&agent, attempt, RunEvent::Cancelled);
+                apply_run_event(&agent, attempt, RunEvent::Cancelled);
             }
         }
     });
@@ -503,7 +513,8 @@
             shared: shared.clone(),
             cancels: cancels.clone(),
         };
-        let channel = BaseChannel::with_defaults(transport).max_concurrent_requests(CALLS_A_PEER);
+        let channel =
+            BaseChannel::with_defaults(transport).max_concurrent_requests(MAX_CALLS_PER_PEER);
         tokio::spawn(channel.execute(server.serve()).for_each(|call| async {
             tokio::spawn(call);
         }));
@@ -518,7 +529,7 @@
         let agent = agent.clone();
         Box::pin(async move {
             // Not in one expression: both take the gate's lock.
-            let ready = agent.gate().has_lease(clock::monotonic_ms());
+            let ready = agent.admission().has_lease(clock::monotonic_ms());
             let metrics = render(&agent);
             daemon::HealthPage { ready, metrics }
         }) as daemon::HealthFuture
@@ -528,24 +539,33 @@
 
 fn render(agent: &AgentShared) -> String {
     let position = agent.follower.position();
-    let gate = agent.gate();
+    let admission = agent.admission();
     let gauges = [
         ("dunlinspring_table_position", position.0),
-        ("dunlinspring_running", gate.running() as u64),
-        ("dunlinspring_queued", gate.queued() as u64),
-        ("dunlinspring_memory_used_mib", gate.ledger().used_mib()),
-        ("dunlinspring_memory_free_mib", gate.ledger().free_mib()),
-        ("dunlinspring_attempts_remembered", gate.remembered() as u64),
-        ("dunlinspring_leaving", u64::from(gate.is_draining())),
+        ("dunlinspring_running", admission.running() as u64),
+        ("dunlinspring_queued", admission.queued() as u64),
+        (
+            "dunlinspring_memory_used_mib",
+            admission.ledger().used_mib(),
+        ),
+        (
+            "dunlinspring_memory_free_mib",
+            admission.ledger().free_mib(),
+        ),
+        (
+            "dunlinspring_attempts_remembered",
+            admission.remembered() as u64,
+        ),
+        ("dunlinspring_leaving", u64::from(admission.is_draining())),
     ];
-    let mut book = MetricRegistry::default();
+    let mut registry = MetricRegistry::default();
     for (name, value) in gauges {
-        book.gauge(MetricKey::new(name, &[]), value);
+        registry.gauge(MetricKey::new(name, &[]), value);
     }
-    let ready: Vec<ModelName> = gate.ready_models();
-    book.gauge(
+    let ready: Vec<ModelName> = admission.ready_models();
+    registry.gauge(
         MetricKey::new("dunlinspring_models", &[]),
         ready.len() as u64,
     );
-    book.render()
+    registry.render()
 }
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -308,7 +308,7 @@
         let secret = SiteSecret::new(SECRET);
         let store = StoreTraits {
             read_ms: 20,
-            at_once: 4,
+            max_reads: 4,
         };
         let store = StoreStandin::start(ANY, store).await?;
         let platform = PlatformStandin::start(ANY, 500).await?;
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -13,8 +13,8 @@
 
 use crate::admission::controller::EngineCall;
 use crate::entry::operator;
-use crate::entry::request_driver::{self, CallerRequest, FlightNote};
-use crate::entry::shell::{self, EntryShared, InFlight};
+use crate::entry::request_driver::{self, CallerRequest, ResponsePart};
+use crate::entry::shell::{self, EntryShared, InFlightGuard};
 use crate::ids::{CallKey, ModelName, PartnerName};
 use crate::process::auth;
 use crate::process::daemon::{self, DaemonError};
@@ -23,13 +23,13 @@
 use crate::table::site::ModelKind;
 
 /// Pieces generated where a request does not say.
-const DEFAULT_TOKENS: u32 = 256;
+const DEFAULT_MAX_TOKENS: u32 = 256;
 /// Most pieces that a request may ask for.
 const MAX_TOKENS: u32 = 32_768;
 /// Longest idempotency key, in bytes.
-const MAX_KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 /// Characters of a prompt that count as one token of KV memory.
-const CHARS_A_TOKEN: u64 = 4;
+const CHARS_PER_TOKEN: u64 = 4;
 
 /// Serves callers and operators until the returned server is stopped.
 pub fn serve(
@@ -79,15 +79,15 @@
 
 /// How an answer is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AnswerForm {
+enum ResponseFormat {
     Chat,
     Completion,
     Service,
 }
 
 #[derive(Clone, Debug)]
-struct AnswerHead {
-    form: AnswerForm,
+struct ResponseHead {
+    format: ResponseFormat,
     stream: bool,
     id: String,
     model: ModelName,
@@ -116,7 +116,7 @@
         }
     }
 
-    fn bad(field: &'static str, message: impl Into<String>) -> Self {
+    fn invalid(field: &'static str, message: impl Into<String>) -> Self {
         Self::new(
             StatusCode::BAD_REQUEST,
             "invalid_request",
@@ -147,7 +147,7 @@
     let mut payload = payload.into_inner();
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.recv().await {
-        let chunk = chunk.map_err(|error| CallerError::bad("body", error.to_string()))?;
+        let chunk = chunk.map_err(|error| CallerError::invalid("body", error.to_string()))?;
         if body.len() + chunk.len() > limit {
             let message = format!("is longer than {limit} bytes");
             let status = StatusCode::PAYLOAD_TOO_LARGE;
@@ -170,14 +170,14 @@
     };
     let parsed = parse::<ChatBody>(&body).and_then(|chat| {
         if chat.messages.is_empty() {
-            return Err(CallerError::bad("messages", "must not be empty"));
+            return Err(CallerError::invalid("messages", "must not be empty"));
         }
         let lines = chat.messages.iter();
         let lines = lines.map(|message| format!("{}: {}\n", message.role, message.content));
         let prompt = lines.collect();
         Ok((chat.model, prompt, chat.max_tokens, chat.stream))
     });
-    generate(&entry, &request, &body, parsed, AnswerForm::Chat).await
+    generate(&entry, &request, &body, parsed, ResponseFormat::Chat).await
 }
 
 async fn complete(entry: Entry, request: HttpRequest, payload: types::Payload) -> HttpResponse {
@@ -186,8 +186,8 @@
         Err(error) => return error.response(),
     };
     let parsed = parse::<CompletionBody>(&body)
-        .map(|ask| (ask.model, ask.prompt, ask.max_tokens, ask.stream));
-    generate(&entry, &request, &body, parsed, AnswerForm::Completion).await
+        .map(|call| (call.model, call.prompt, call.max_tokens, call.stream));
+    generate(&entry, &request, &body, parsed, ResponseFormat::Completion).await
 }
 
 type ParsedBody = (ModelName, String, Option<u32>, bool);
@@ -197,13 +197,16 @@
     request: &HttpRequest,
     body: &[u8],
     parsed: Result<ParsedBody, CallerError>,
-    form: AnswerForm,
+    format: ResponseFormat,
 ) -> HttpResponse {
     let prepared = authorize(entry, request.headers()).and_then(|partner| {
         let (model, prompt, max_tokens, stream) = parsed?;
-        let max_tokens = max_tokens.unwrap_or(DEFAULT_TOKENS);
+        let max_tokens = max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
         if max_tokens == 0 || max_tokens > MAX_TOKENS {
-            return Err(CallerError::bad("max_tokens", "must be from 1 to 32768"));
+            return Err(CallerError::invalid(
+                "max_tokens",
+                "must be from 1 to 32768",
+            ));
         }
         let kv_mib = kv_mib(entry, &model, prompt.len(), max_tokens);
         let call = EngineCall {
@@ -215,8 +218,8 @@
             kv_mib,
         };
         let caller = prepare(entry, request.headers(), partner, call, body)?;
-        let head = AnswerHead {
-            form,
+        let head = ResponseHead {
+            format,
             stream,
             id: caller.id.clone(),
             model,
@@ -243,7 +246,7 @@
         let (name, path) = path.into_inner();
         let model = ModelName(name);
         let prompt = String::from_utf8(body.to_vec())
-            .map_err(|_| CallerError::bad("body", "must be UTF-8 text"))?;
+            .map_err(|_| CallerError::invalid("body", "must be UTF-8 text"))?;
         let call = EngineCall {
             model: model.clone(),
             prompt,
@@ -253,8 +256,8 @@
             kv_mib: 0,
         };
         let caller = prepare(&entry, request.headers(), partner, call, &body)?;
-        let head = AnswerHead {
-            form: AnswerForm::Service,
+        let head = ResponseHead {
+            format: ResponseFormat::Service,
             stream: false,
             id: caller.id.clone(),
             model,
@@ -319,7 +322,7 @@
         Some(ModelKind::Adapter(base)) => models.get(base),
         _ => spec,
     };
-    let tokens = prompt as u64 / CHARS_A_TOKEN + u64::from(max_tokens);
+    let tokens = prompt as u64 / CHARS_PER_TOKEN + u64::from(max_tokens);
     let kib = spec.map_or(0, |spec| spec.kv_kib_per_token) * tokens;
     kib.div_ceil(1024)
 }
@@ -389,15 +392,15 @@
     let key = header(headers, "idempotency-key");
     match key {
         _ if !row.fields.at_most_once => Ok(None),
-        Some(key) if !key.is_empty() && key.len() <= MAX_KEY => Ok(Some(CallKey::from(key))),
-        _ => Err(CallerError::bad(
+        Some(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Ok(Some(CallKey::from(key))),
+        _ => Err(CallerError::invalid(
             "idempotency-key",
             "this class may not be repeated: a key of 1 to 256 bytes is needed",
         )),
     }
 }
 
-async fn run(entry: &Entry, request: CallerRequest, head: AnswerHead) -> HttpResponse {
+async fn run(entry: &Entry, request: CallerRequest, head: ResponseHead) -> HttpResponse {
     let guard = match entry.admit() {
         Ok(guard) => guard,
         Err(cause) => {
@@ -407,51 +410,58 @@
                 retry_after_ms,
             };
             entry.record(&request, &outcome, tokio::time::Instant::now());
-            return refusal(&head, &outcome);
+            return failure(&head, &outcome);
         }
     };
     let whole = request.fields.fields.whole || !head.stream;
-    let notes = launch(entry, request, guard);
+    let parts = spawn_driver(entry, request, guard);
     match whole {
-        true => answer_whole(head, notes).await,
-        false => answer_stream(head, notes).await,
+        true => collect_response(head, parts).await,
+        false => stream_response(head, parts).await,
     }
 }
 
 /// The flight runs as a task of its own: it outlives a caller that leaves, for
 /// as long as it takes to end what it began.
-fn launch(entry: &Entry, request: CallerRequest, guard: InFlight) -> mpsc::Receiver<FlightNote> {
-    let (sender, notes) = mpsc::channel(request_driver::NOTES);
+fn spawn_driver(
+    entry: &Entry,
+    request: CallerRequest,
+    guard: InFlightGuard,
+) -> mpsc::Receiver<ResponsePart> {
+    let (sender, parts) = mpsc::channel(request_driver::MAX_PENDING_PARTS);
     let entry = Arc::clone(entry);
-    ntex::rt::spawn(request_driver::fly(entry, request, sender, guard));
-    notes
+    ntex::rt::spawn(request_driver::drive(entry, request, sender, guard));
+    parts
 }
 
-async fn answer_whole(head: AnswerHead, mut notes: mpsc::Receiver<FlightNote>) -> HttpResponse {
+async fn collect_response(
+    head: ResponseHead,
+    mut parts: mpsc::Receiver<ResponsePart>,
+) -> HttpResponse {
     let mut text = String::new();
-    while let Some(note) = notes.recv().await {
-        match note {
-            FlightNote::Pieces(pieces) => pieces.iter().for_each(|piece| text.push_str(piece)),
-            FlightNote::End(RequestOutcome::Done) => return whole(&head, &text),
-            FlightNote::End(RequestOutcome::Replayed(Some(text))) => return whole(&head, &text),
-            FlightNote::End(outcome) => return refusal(&head, &outcome),
+    while let Some(part) = parts.recv().await {
+        match part {
+            ResponsePart::Pieces(pieces) => pieces.iter().for_each(|piece| text.push_str(piece)),
+            ResponsePart::End(RequestOutcome::Done) => return render(&head, &text),
+            ResponsePart::End(RequestOutcome::Replayed(Some(text))) => return render(&head, &text),
+            ResponsePart::End(outcome) => return failure(&head, &outcome),
         }
     }
-    refusal(&head, &RequestOutcome::Unknown(EndCause::TargetLost))
+    failure(&head, &RequestOutcome::Unknown(EndCause::TargetLost))
 }
 
-fn whole(head: &AnswerHead, text: &str) -> HttpResponse {
-    let mut answer = HttpResponse::Ok();
-    answer.header("x-outcome", "done");
-    answer.header("x-request-id", head.id.as_str());
-    match head.form {
-        AnswerForm::Service => answer.body(text.to_owned()),
+fn render(head: &ResponseHead, text: &str) -> HttpResponse {
+    let mut response = HttpResponse::Ok();
+    response.header("x-outcome", "done");
+    response.header("x-request-id", head.id.as_str());
+    match head.format {
+        ResponseFormat::Service => response.body(text.to_owned()),
         _ if head.stream => {
             let mut events = chunk(head, text);
-            events.push_str(&last_event(&RequestOutcome::Done));
-            answer.content_type("text/event-stream").body(events)
+            events.push_str(&outcome_event(&RequestOutcome::Done));
+            response.content_type("text/event-stream").body(events)
         }
-        AnswerForm::Chat => answer.json(&json!({
+        ResponseFormat::Chat => response.json(&json!({
             "id": head.id,
             "object": "chat.completion",
             "model": head.model,
@@ -461,7 +471,7 @@
                 "finish_reason": "stop",
             }],
         })),
-        AnswerForm::Completion => answer.json(&json!({
+        ResponseFormat::Completion => response.json(&json!({
             "id": head.id,
             "object": "text_completion",
             "model": head.model,
@@ -471,33 +481,36 @@
 }
 
 /// Waits for the first note, so that a request that is not run gets a plain answer.
-async fn answer_stream(head: AnswerHead, mut notes: mpsc::Receiver<FlightNote>) -> HttpResponse {
-    let first = match notes.recv().await {
-        Some(FlightNote::End(outcome)) if outcome != RequestOutcome::Done => {
+async fn stream_response(
+    head: ResponseHead,
+    mut parts: mpsc::Receiver<ResponsePart>,
+) -> HttpResponse {
+    let first = match parts.recv().await {
+        Some(ResponsePart::End(outcome)) if outcome != RequestOutcome::Done => {
             return match outcome {
-                RequestOutcome::Replayed(Some(text)) => whole(&head, &text),
-                outcome => refusal(&head, &outcome),
+                RequestOutcome::Replayed(Some(text)) => render(&head, &text),
+                outcome => failure(&head, &outcome),
             };
         }
-        Some(note) => note,
-        None => return refusal(&head, &RequestOutcome::Unknown(EndCause::TargetLost)),
+        Some(part) => part,
+        None => return failure(&head, &RequestOutcome::Unknown(EndCause::TargetLost)),
     };
     let id = head.id.clone();
     let events = futures::stream::unfold(
-        (Some(first), notes, head),
-        |(first, mut notes, head)| async move {
-            let note = match first {
-                Some(note) => Some(note),
-                None => notes.recv().await,
+        (Some(first), parts, head),
+        |(first, mut parts, head)| async move {
+            let part = match first {
+                Some(part) => Some(part),
+                None => parts.recv().await,
             };
-            let text = match note? {
-                FlightNote::Pieces(pieces) => {
+            let text = match part? {
+                ResponsePart::Pieces(pieces) => {
                     pieces.iter().map(|piece| chunk(&head, piece)).collect()
                 }
-                FlightNote::End(outcome) => last_event(&outcome),
+                ResponsePart::End(outcome) => outcome_event(&outcome),
             };
             let bytes = Ok::<_, std::io::Error>(Bytes::from(text));
-            Some((bytes, (None, notes, head)))
+            Some((bytes, (None, parts, head)))
         },
     );
     HttpResponse::Ok()
@@ -506,14 +519,14 @@
         .streaming(Box::pin(events))
 }
 
-fn chunk(head: &AnswerHead, text: &str) -> String {
-    let choice = match head.form {
-        AnswerForm::Chat => json!({ "index": 0, "delta": { "content": text } }),
-        AnswerForm::Completion | AnswerForm::Service => json!({ "index": 0, "text": text }),
+fn chunk(head: &ResponseHead, text: &str) -> String {
+    let choice = match head.format {
+        ResponseFormat::Chat => json!({ "index": 0, "delta": { "content": text } }),
+        ResponseFormat::Completion | ResponseFormat::Service => json!({ "index": 0, "text": text }),
     };
-    let object = match head.form {
-        AnswerForm::Chat => "chat.completion.chunk",
-        AnswerForm::Completion | AnswerForm::Service => "text_completion",
+    let object = match head.format {
+        ResponseFormat::Chat => "chat.completion.chunk",
+        ResponseFormat::Completion | ResponseFormat::Service => "text_completion",
     };
     let event = json!({
         "id": head.id,
@@ -525,7 +538,7 @@
 }
 
 /// The outcome as the last event; the customary end marker only after a whole answer.
-fn last_event(outcome: &RequestOutcome) -> String {
+fn outcome_event(outcome: &RequestOutcome) -> String {
     let (name, cause) = shell::outcome_names(outcome);
     let event = json!({ "outcome": name, "cause": cause });
     let end = match name {
@@ -536,7 +549,7 @@
 }
 
 /// The answer to a request without a whole result.
-fn refusal(head: &AnswerHead, outcome: &RequestOutcome) -> HttpResponse {
+fn failure(head: &ResponseHead, outcome: &RequestOutcome) -> HttpResponse {
     let (name, cause) = shell::outcome_names(outcome);
     let status = match outcome {
         RequestOutcome::Done => StatusCode::OK,
@@ -550,9 +563,9 @@
         RequestOutcome::Unknown(EndCause::DeadlinePassed) => StatusCode::GATEWAY_TIMEOUT,
         RequestOutcome::Unknown(_) => StatusCode::BAD_GATEWAY,
     };
-    let mut answer = HttpResponse::build(status);
-    answer.header("x-outcome", name);
-    answer.header("x-request-id", head.id.as_str());
+    let mut response = HttpResponse::build(status);
+    response.header("x-outcome", name);
+    response.header("x-request-id", head.id.as_str());
     let retry_ms = match outcome {
         RequestOutcome::NotRun {
             cause: EndCause::KeyReused,
@@ -563,15 +576,15 @@
         RequestOutcome::Done | RequestOutcome::Replayed(_) => None,
     };
     if let Some(ms) = retry_ms {
-        answer.header("retry-after", ms.div_ceil(1000).max(1).to_string());
-        answer.header("retry-after-ms", ms.to_string());
+        response.header("retry-after", ms.div_ceil(1000).max(1).to_string());
+        response.header("retry-after-ms", ms.to_string());
     }
     let message = match outcome {
         RequestOutcome::NotRun { .. } => format!("the request was not run: {cause}"),
         RequestOutcome::Unknown(_) => format!("the request may have run: {cause}"),
         _ => "the request ran earlier; its answer is no longer kept".to_owned(),
     };
-    answer.json(&json!({
+    response.json(&json!({
         "error": { "message": message, "type": name, "param": null, "code": cause },
     }))
 }
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -16,10 +16,10 @@
 use crate::table::rows::{EditRefusal, RowChange, RowEdit, RowFields};
 
 /// Time for an edit to be accepted, or the table to be read.
-const CONTROL_TIME: Duration = Duration::from_secs(5);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time for one control host to tell of itself.
-const STATUS_TIME: Duration = Duration::from_secs(1);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
 type Entry = types::State<Arc<EntryShared>>;
 
@@ -47,7 +47,7 @@
     }
     let table = entry
         .link
-        .call_leader("table", CONTROL_TIME, |client, context| async move {
+        .call_leader("table", CONTROL_TIMEOUT, |client, context| async move {
             client.table(context).await
         })
         .await;
@@ -67,18 +67,18 @@
     if let Err(error) = authorize(&entry, request.headers()) {
         return error.response();
     }
-    let asks = (0..entry.link.len()).map(|number| {
-        let ask = entry.link.call_any(number, "status", |client| async move {
-            client.status(peers::within(STATUS_TIME)).await
+    let requests = (0..entry.link.len()).map(|number| {
+        let request = entry.link.call_any(number, "status", |client| async move {
+            client.status(peers::within(STATUS_TIMEOUT)).await
         });
         async move {
-            match ask.await {
+            match request.await {
                 Ok(status) => json!(status),
                 Err(error) => json!({ "error": error.to_string() }),
             }
         }
     });
-    let control = futures::future::join_all(asks).await;
+    let control = futures::future::join_all(requests).await;
     HttpResponse::Ok().json(&json!({
         "control": control,
         "entry": { "position": entry.follower.position(), "stale": entry.is_stale() },
@@ -116,11 +116,12 @@
     let prepared = authorize(entry, headers).and_then(|partner| {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let key = text("idempotency-key").filter(|key| !key.is_empty());
-        let key = key.ok_or_else(|| need("idempotency-key", "an edit needs a key of its own"))?;
+        let key =
+            key.ok_or_else(|| missing("idempotency-key", "an edit needs a key of its own"))?;
         let version = text("if-match").map(|value| value.trim_matches('"'));
         let version = version.and_then(|value| value.parse().ok());
         let version = version
-            .ok_or_else(|| need("if-match", "the row's version is needed, 0 for a new row"))?;
+            .ok_or_else(|| missing("if-match", "the row's version is needed, 0 for a new row"))?;
         Ok(RowEdit {
             id: EditId::from(key),
             partner,
@@ -135,18 +136,18 @@
     };
     let row = edit.row.clone();
     tracing::info!(edit = %edit.id, partner = %edit.partner, %row, "an operator edits");
-    let reply = member::propose(&entry.link, "edit", CONTROL_TIME, Command::Edit(edit)).await;
+    let reply = member::propose(&entry.link, "edit", CONTROL_TIMEOUT, Command::Edit(edit)).await;
     match reply {
         Ok(Reply::Edit(Ok(version))) => HttpResponse::Ok()
             .header("etag", format!("\"{version}\""))
             .json(&json!({ "row": row, "version": version })),
-        Ok(Reply::Edit(Err(refusal))) => refused(&row, &refusal),
+        Ok(Reply::Edit(Err(refusal))) => edit_error(&row, &refusal),
         Ok(_) => unavailable("control gave no answer to an edit"),
         Err(error) => unavailable(&error.to_string()),
     }
 }
 
-fn need(field: &'static str, message: &str) -> CallerError {
+fn missing(field: &'static str, message: &str) -> CallerError {
     let status = StatusCode::BAD_REQUEST;
     CallerError::new(status, "invalid_request", Some(field), message)
 }
@@ -159,7 +160,7 @@
         .json(&json!({ "error": error }))
 }
 
-fn refused(row: &RowId, refusal: &EditRefusal) -> HttpResponse {
+fn edit_error(row: &RowId, refusal: &EditRefusal) -> HttpResponse {
     let (status, code, message, current) = match refusal {
         EditRefusal::NotOwner { owner } => (
             StatusCode::FORBIDDEN,
@@ -215,11 +216,11 @@
     json!({ "position": table.position, "rows": rows })
 }
 
-const CSV_HEAD: &str = "id,partner,version,model,class,urgency,weight,max_running,\
+const CSV_HEADER: &str = "id,partner,version,model,class,urgency,weight,max_running,\
 patience_ms,at_most_once,whole,in_force,members,homes\n";
 
 fn csv_text(table: &TableStatus) -> String {
-    let mut text = CSV_HEAD.to_owned();
+    let mut text = CSV_HEADER.to_owned();
     for (id, status) in &table.rows {
         let fields = &status.row.fields;
         let urgency = json!(fields.urgency);
--- a/src/entry/request_driver.rs
+++ b/src/entry/request_driver.rs
@@ -14,7 +14,7 @@
 use crate::consensus::claims::{ClaimKey, ClaimRequest, Settlement};
 use crate::consensus::crashes::ContentStanding;
 use crate::consensus::state::{Command, MemberInfo, Reply};
-use crate::entry::shell::{EntryShared, InFlight, outcome_names};
+use crate::entry::shell::{EntryShared, InFlightGuard, outcome_names};
 use crate::ids::{CallKey, ContentDigest, Incarnation, PartnerName, RowId, TargetName};
 use crate::process::wire::{AgentReply, AgentWireClient};
 use crate::process::{crash_report, member, peers};
@@ -28,26 +28,26 @@
 use crate::table::rows::Row;
 
 /// Time for an agent to answer a start or a seal.
-const START_TIME: Duration = Duration::from_millis(1000);
+const START_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Longest wait of one pull.
-const PULL_WAIT_MS: u64 = 1000;
+const MAX_PULL_WAIT_MS: u64 = 1000;
 /// Time for a pull's answer.
-const PULL_TIME: Duration = Duration::from_millis(1500);
+const PULL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time for a claim or its end to be recorded.
-const CLAIM_TIME: Duration = Duration::from_millis(3000);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Time for the last word of an agent on a request that is given up.
-const LAST_WORD_TIME: Duration = Duration::from_millis(300);
+const FINAL_STEP_TIMEOUT: Duration = Duration::from_millis(300);
 /// Pause before a retry, so that a refused request does not spin.
-const RETRY_PAUSE: Duration = Duration::from_millis(5);
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 /// Longest wait for a home to be ready, and the time between two looks.
-const HOME_WAIT: Duration = Duration::from_secs(5);
-const HOME_LOOK: Duration = Duration::from_millis(20);
+const MAX_HOME_WAIT: Duration = Duration::from_secs(5);
+const HOME_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest answer that is recorded with a claim, in bytes.
-const MAX_RECORDED: usize = 64 << 10;
+const MAX_RECORDED_BYTES: usize = 64 << 10;
 /// Characters of a prompt that stand for its cached prefix.
-const PREFIX_LEN: usize = 64;
+const PREFIX_CHARS: usize = 64;
 /// Pages that wait for a slow reader.
-pub const NOTES: usize = 64;
+pub const MAX_PENDING_PARTS: usize = 64;
 
 /// A caller's request, checked.
 #[derive(Clone, Debug)]
@@ -70,20 +70,20 @@
 
 /// What a flight tells its caller.
 #[derive(Debug)]
-pub enum FlightNote {
+pub enum ResponsePart {
     /// More of the answer.
     Pieces(Vec<String>),
     /// The one outcome.
     End(RequestOutcome),
 }
 
-/// Runs one request to its outcome, and tells `notes` as it goes. A caller
+/// Runs one request to its outcome, and tells `parts` as it goes. A caller
 /// that has gone ends it.
-pub async fn fly(
+pub async fn drive(
     entry: Arc<EntryShared>,
     request: CallerRequest,
-    notes: mpsc::Sender<FlightNote>,
-    guard: InFlight,
+    parts: mpsc::Sender<ResponsePart>,
+    guard: InFlightGuard,
 ) {
     let started = Instant::now();
     let fields = &request.fields.fields;
@@ -94,11 +94,11 @@
         .acquire(&request.row, fields.max_running, now_ms);
     let outcome = match admitted {
         true => {
-            let mut flying = FlyingRequest::new(&entry, &request, &notes, started);
-            let outcome = flying.run().await;
-            let suspect = matches!(flying.standing(), ContentStanding::Suspect(_));
+            let mut driver = RequestDriver::new(&entry, &request, &parts, started);
+            let outcome = driver.run().await;
+            let suspect = matches!(driver.standing(), ContentStanding::Suspect(_));
             if outcome == RequestOutcome::Done && suspect {
-                flying.clear();
+                driver.start_clearing_content();
             }
             entry.state().shares.release(&request.row);
             outcome
@@ -111,24 +111,24 @@
     entry.record(&request, &outcome, started);
     let (name, cause) = outcome_names(&outcome);
     tracing::debug!(request = %request.id, outcome = name, cause, "ended");
-    let _ = notes.send(FlightNote::End(outcome)).await;
+    let _ = parts.send(ResponsePart::End(outcome)).await;
     drop(guard);
 }
 
-struct FlyingRequest<'a> {
+struct RequestDriver<'a> {
     entry: &'a Arc<EntryShared>,
     request: &'a CallerRequest,
-    notes: &'a mpsc::Sender<FlightNote>,
+    parts: &'a mpsc::Sender<ResponsePart>,
     started: Instant,
     /// When the caller's patience ends, by [`clock::monotonic_ms`].
-    until_ms: u64,
+    deadline_ms: u64,
     /// Names what it asks.
     content: ContentDigest,
-    flight: RequestLifecycle,
-    answer: String,
-    answered: bool,
-    over: bool,
-    tried: Vec<TargetName>,
+    lifecycle: RequestLifecycle,
+    response: String,
+    first_piece_sent: bool,
+    abandoned: bool,
+    attempted: Vec<TargetName>,
 }
 
 /// A home, and the agent that keeps it.
@@ -141,14 +141,14 @@
     /// Nowhere: all homes would refuse it, and the first to take it does so then.
     Refused(NotRun),
     /// Nowhere: there is no home.
-    Homeless,
+    NoHome,
 }
 
-impl<'a> FlyingRequest<'a> {
+impl<'a> RequestDriver<'a> {
     fn new(
         entry: &'a Arc<EntryShared>,
         request: &'a CallerRequest,
-        notes: &'a mpsc::Sender<FlightNote>,
+        parts: &'a mpsc::Sender<ResponsePart>,
         started: Instant,
     ) -> Self {
         let fields = &request.fields.fields;
@@ -160,68 +160,72 @@
         Self {
             entry,
             request,
-            notes,
+            parts,
             started,
-            until_ms: clock::monotonic_ms().saturating_add(fields.patience_ms),
+            deadline_ms: clock::monotonic_ms().saturating_add(fields.patience_ms),
             content: content::digest(&ContentParts {
                 caller: request.partner.as_str(),
                 host: "",
                 target: request.row.as_str(),
                 body: &request.digest,
             }),
-            flight: RequestLifecycle::new(policy),
-            answer: String::new(),
-            answered: false,
-            over: false,
-            tried: Vec::new(),
+            lifecycle: RequestLifecycle::new(policy),
+            response: String::new(),
+            first_piece_sent: false,
+            abandoned: false,
+            attempted: Vec::new(),
         }
     }
 
     /// What is left of the caller's patience.
-    fn left(&self) -> Duration {
-        Duration::from_millis(self.until_ms.saturating_sub(clock::monotonic_ms()))
+    fn remaining(&self) -> Duration {
+        Duration::from_millis(self.deadline_ms.saturating_sub(clock::monotonic_ms()))
     }
 
     async fn run(&mut self) -> RequestOutcome {
         loop {
-            let step = self.flight.step();
-            let trial = step.attempt().cloned();
+            let step = self.lifecycle.step();
+            let attempt = step.attempt().cloned();
             let event = match step {
                 RequestStep::Finish(outcome) => return outcome,
                 RequestStep::Choose { first } => self.choose(first).await,
-                step => self.perform_in_time(step).await,
+                step => self.perform_before_deadline(step).await,
             };
-            self.note_refusal(trial.as_ref(), &event);
-            let pieces = self.flight.on(event);
+            self.record_refusal(attempt.as_ref(), &event);
+            let pieces = self.lifecycle.on(event);
             if !pieces.is_empty() {
-                self.hand_over(pieces).await;
+                self.deliver(pieces).await;
             }
         }
     }
 
     /// What an agent said holds for the next requests as well. Overload is demand that the
     /// homes of the model do not meet, whoever finds it.
-    fn note_refusal(&self, trial: Option<&TargetAttempt>, event: &RequestEvent) {
-        let (refusal, heard) = match event {
+    fn record_refusal(&self, attempt: Option<&TargetAttempt>, event: &RequestEvent) {
+        let (refusal, refused_attempt) = match event {
             RequestEvent::Refused(refusal) => (refusal, None),
             RequestEvent::Status(AttemptStatus::Page(page)) => match &page.end {
-                Some(RunEnd::NotRun(refusal)) => (refusal, trial),
+                Some(RunEnd::NotRun(refusal)) => (refusal, attempt),
                 _ => return,
             },
             _ => return,
         };
         let mut state = self.entry.state();
-        if let Some(trial) = heard {
-            let ask = self.home_ask(&trial.target, trial.incarnation);
-            state.refusals.record(clock::monotonic_ms(), &ask, refusal);
+        if let Some(attempt) = refused_attempt {
+            let home = self.home_request(&attempt.target, attempt.incarnation);
+            state.refusals.record(clock::monotonic_ms(), &home, refusal);
         }
         if refusal.cause == RefuseCause::Overload {
             let model = self.request.call.model.clone();
-            *state.refused.entry(model).or_default() += 1;
+            *state.refusal_counts.entry(model).or_default() += 1;
         }
     }
 
-    fn home_ask<'b>(&'b self, target: &'b TargetName, incarnation: Incarnation) -> HomeRequest<'b> {
+    fn home_request<'b>(
+        &'b self,
+        target: &'b TargetName,
+        incarnation: Incarnation,
+    ) -> HomeRequest<'b> {
         HomeRequest {
             target,
             incarnation,
@@ -233,22 +237,22 @@
 
     /// A step ends early when patience is over or the caller has gone; from
     /// then on, each step gets only a moment.
-    async fn perform_in_time(&mut self, step: RequestStep) -> RequestEvent {
-        let until_ms = match self.over {
-            true => clock::monotonic_ms() + LAST_WORD_TIME.as_millis() as u64,
-            false => self.until_ms,
+    async fn perform_before_deadline(&mut self, step: RequestStep) -> RequestEvent {
+        let deadline_ms = match self.abandoned {
+            true => clock::monotonic_ms() + FINAL_STEP_TIMEOUT.as_millis() as u64,
+            false => self.deadline_ms,
         };
-        let over = self.over;
-        let notes = self.notes;
+        let abandoned = self.abandoned;
+        let parts = self.parts;
         let early = tokio::select! {
-            event = clock::wait_until(until_ms, self.perform(step)) => event,
-            () = notes.closed(), if !over => None,
+            event = clock::wait_until(deadline_ms, self.perform(step)) => event,
+            () = parts.closed(), if !abandoned => None,
         };
         match early {
             Some(event) => event,
-            None if over => RequestEvent::NoReply,
+            None if abandoned => RequestEvent::NoReply,
             None => {
-                self.over = true;
+                self.abandoned = true;
                 RequestEvent::DeadlinePassed
             }
         }
@@ -256,12 +260,12 @@
 
     async fn perform(&self, step: RequestStep) -> RequestEvent {
         match step {
-            RequestStep::Claim(trial) => self.claim(trial).await,
-            RequestStep::Start(trial) => self.start(trial).await,
-            RequestStep::Pull(trial, offset) => self.pull(trial, offset).await,
-            RequestStep::Seal(trial) => self.seal(trial).await,
-            RequestStep::Settle(trial, end) => self.settle(trial, end).await,
-            RequestStep::Cancel(trial) => self.cancel(trial).await,
+            RequestStep::Claim(attempt) => self.claim(attempt).await,
+            RequestStep::Start(attempt) => self.start(attempt).await,
+            RequestStep::Pull(attempt, offset) => self.pull(attempt, offset).await,
+            RequestStep::Seal(attempt) => self.seal(attempt).await,
+            RequestStep::Settle(attempt, end) => self.settle(attempt, end).await,
+            RequestStep::Cancel(attempt) => self.cancel(attempt).await,
             RequestStep::Choose { .. } | RequestStep::Finish(_) => RequestEvent::NoReply,
         }
     }
@@ -271,7 +275,7 @@
             return RequestEvent::Quarantined;
         }
         if !first {
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         let row = &self.request.row;
         {
@@ -282,13 +286,13 @@
                 false => {}
             }
         }
-        match self.pick_in_time().await {
-            Pick::Home(trial) => {
-                self.tried.push(trial.target.clone());
-                RequestEvent::Chosen(Some(trial))
+        match self.await_home().await {
+            Pick::Home(attempt) => {
+                self.attempted.push(attempt.target.clone());
+                RequestEvent::Chosen(Some(attempt))
             }
             Pick::Refused(refusal) => RequestEvent::Refused(refusal),
-            Pick::Homeless => RequestEvent::Chosen(None),
+            Pick::NoHome => RequestEvent::Chosen(None),
         }
     }
 
@@ -300,31 +304,31 @@
     }
 
     /// It ran to its end, and its target lives: what it asks is no suspect any more.
-    fn clear(&self) {
+    fn start_clearing_content(&self) {
         let (entry, content) = (self.entry.clone(), self.content);
         tokio::spawn(async move {
-            crash_report::clear_content(&entry.link, CLAIM_TIME, content).await;
+            crash_report::clear_content(&entry.link, CLAIM_TIMEOUT, content).await;
         });
     }
 
     /// A model without a ready home is being brought back to one, and a home that refuses
     /// may have room soon: that is worth a part of the caller's patience. Where it surely is
     /// not enough, it is refused at once.
-    async fn pick_in_time(&self) -> Pick {
-        let wait = (self.left() / 2).min(HOME_WAIT);
+    async fn await_home(&self) -> Pick {
+        let wait = (self.remaining() / 2).min(MAX_HOME_WAIT);
         let until = Instant::now() + wait;
         loop {
             let pick = self.pick();
-            let left = until.saturating_duration_since(Instant::now());
+            let remaining = until.saturating_duration_since(Instant::now());
             let waits = match &pick {
                 Pick::Home(_) => false,
-                Pick::Refused(refusal) => Duration::from_millis(refusal.retry_after_ms) < left,
-                Pick::Homeless => !left.is_zero(),
+                Pick::Refused(refusal) => Duration::from_millis(refusal.retry_after_ms) < remaining,
+                Pick::NoHome => !remaining.is_zero(),
             };
-            if !waits || self.notes.is_closed() {
+            if !waits || self.parts.is_closed() {
                 return pick;
             }
-            tokio::time::sleep(HOME_LOOK).await;
+            tokio::time::sleep(HOME_POLL_INTERVAL).await;
         }
     }
 
@@ -334,8 +338,8 @@
         let homes: Vec<_> = view.ready_homes(&self.request.call.model).collect();
         let (homes, refusals) = self.split_refusing(homes);
         let refused = refusals.into_iter().min_by_key(|r| r.retry_after_ms);
-        let otherwise = refused.map_or(Pick::Homeless, Pick::Refused);
-        self.pick_among(&homes).map_or(otherwise, Pick::Home)
+        let otherwise = refused.map_or(Pick::NoHome, Pick::Refused);
+        self.pick_open_home(&homes).map_or(otherwise, Pick::Home)
     }
 
     /// Homes that are to be asked, and what the others said.
@@ -344,8 +348,8 @@
         let now_ms = clock::monotonic_ms();
         let (mut open, mut refusals) = (Vec::new(), Vec::new());
         for (target, member) in homes {
-            let ask = self.home_ask(target, member.incarnation);
-            match state.refusals.known_refusal(now_ms, &ask) {
+            let request = self.home_request(target, member.incarnation);
+            match state.refusals.known_refusal(now_ms, &request) {
                 Some(refusal) => refusals.push(refusal),
                 None => open.push((target, member)),
             }
@@ -353,7 +357,7 @@
         (open, refusals)
     }
 
-    fn pick_among(&self, homes: &[Home<'_>]) -> Option<TargetAttempt> {
+    fn pick_open_home(&self, homes: &[Home<'_>]) -> Option<TargetAttempt> {
         let choices: Vec<HomeCandidate<'_>> = homes
             .iter()
             .map(|(target, member)| HomeCandidate {
@@ -361,14 +365,14 @@
                 hall: &member.hall,
             })
             .collect();
-        let choices = route::least_attempted(&choices, &self.tried);
+        let choices = route::least_attempted(&choices, &self.attempted);
         let prompt = &self.request.call.prompt;
         let end = prompt
             .char_indices()
-            .nth(PREFIX_LEN)
+            .nth(PREFIX_CHARS)
             .map_or(prompt.len(), |(at, _)| at);
         let settings = &self.entry.settings;
-        let ask = RouteRequest {
+        let request = RouteRequest {
             entry: u64::from(crc32fast::hash(settings.common.host.as_str().as_bytes())),
             hall: &settings.common.hall,
             prefix: &prompt[..end],
@@ -379,7 +383,7 @@
         let policy = settings.route.policy();
         let target = route::choose(
             &policy,
-            &ask,
+            &request,
             &choices,
             &state.loads,
             now_ms,
@@ -393,21 +397,21 @@
         })
     }
 
-    async fn claim(&self, trial: TargetAttempt) -> RequestEvent {
+    async fn claim(&self, attempt: TargetAttempt) -> RequestEvent {
         let Some(key) = self.claim_key() else {
             return RequestEvent::NoReply;
         };
-        let ask = ClaimRequest {
+        let request = ClaimRequest {
             key_created_ms: key_time_ms(key.key.as_str()),
             key,
             digest: self.request.digest,
-            attempt: trial.id,
-            target: trial.target,
-            incarnation: trial.incarnation,
+            attempt: attempt.id,
+            target: attempt.target,
+            incarnation: attempt.incarnation,
         };
-        let command = Command::Claim(ask);
-        match member::propose(&self.entry.link, "claim", CLAIM_TIME, command).await {
-            Ok(Reply::Claim(answer)) => RequestEvent::Claimed(answer),
+        let command = Command::Claim(request);
+        match member::propose(&self.entry.link, "claim", CLAIM_TIMEOUT, command).await {
+            Ok(Reply::Claim(reply)) => RequestEvent::Claimed(reply),
             Ok(_) => RequestEvent::NoReply,
             Err(error) => {
                 tracing::info!(request = %self.request.id, %error, "no claim");
@@ -416,18 +420,18 @@
         }
     }
 
-    async fn settle(&self, trial: TargetAttempt, end: Settlement) -> RequestEvent {
+    async fn settle(&self, attempt: TargetAttempt, end: Settlement) -> RequestEvent {
         let Some(key) = self.claim_key() else {
             return RequestEvent::NoReply;
         };
         let end = match end {
             Settlement::Done { .. } => Settlement::Done {
-                answer: (self.answer.len() <= MAX_RECORDED).then(|| self.answer.clone()),
+                answer: (self.response.len() <= MAX_RECORDED_BYTES).then(|| self.response.clone()),
             },
             end => end,
         };
-        let command = Command::Settle(key, trial.id, end);
-        match member::propose(&self.entry.link, "settle", CLAIM_TIME, command).await {
+        let command = Command::Settle(key, attempt.id, end);
+        match member::propose(&self.entry.link, "settle", CLAIM_TIMEOUT, command).await {
             Ok(Reply::Settled(true)) => RequestEvent::Settled,
             Ok(_) => RequestEvent::NoReply,
             Err(error) => {
@@ -445,8 +449,8 @@
         })
     }
 
-    async fn start(&self, trial: TargetAttempt) -> RequestEvent {
-        let left = self.left();
+    async fn start(&self, attempt: TargetAttempt) -> RequestEvent {
+        let remaining = self.remaining();
         let fields = &self.request.fields.fields;
         let version = {
             let view = self.entry.follower.view();
@@ -454,56 +458,62 @@
             row.map_or(self.request.fields.version, |row| row.version)
         };
         let mut call = self.request.call.clone();
-        call.given = self.flight.delivered();
-        let ask = RunRequest {
-            attempt: trial.id,
-            incarnation: trial.incarnation,
+        call.given = self.lifecycle.delivered();
+        let request = RunRequest {
+            attempt: attempt.id,
+            incarnation: attempt.incarnation,
             row: self.request.row.clone(),
             version,
             urgency: fields.urgency,
             weight: fields.weight,
             at_most_once: fields.at_most_once,
             content: self.content,
-            patience_ms: left.as_millis() as u64,
+            patience_ms: remaining.as_millis() as u64,
             call,
         };
         let position = self.entry.follower.position();
-        self.entry.state().loads.record_sent(&trial.target);
-        self.ask(&trial, "start", |client| async move {
-            client.start(peers::within(START_TIME), position, ask).await
+        self.entry.state().loads.record_sent(&attempt.target);
+        self.call_agent(&attempt, "start", |client| async move {
+            client
+                .start(peers::within(START_TIMEOUT), position, request)
+                .await
         })
         .await
     }
 
-    async fn pull(&self, trial: TargetAttempt, offset: u32) -> RequestEvent {
-        let (attempt, life) = (trial.id, trial.incarnation);
-        self.ask(&trial, "pull", |client| async move {
-            let context = peers::within(PULL_TIME);
+    async fn pull(&self, attempt: TargetAttempt, offset: u32) -> RequestEvent {
+        let (attempt_id, incarnation) = (attempt.id, attempt.incarnation);
+        self.call_agent(&attempt, "pull", |client| async move {
+            let context = peers::within(PULL_TIMEOUT);
             client
-                .pull(context, attempt, life, offset, PULL_WAIT_MS)
+                .pull(context, attempt_id, incarnation, offset, MAX_PULL_WAIT_MS)
                 .await
         })
         .await
     }
 
-    async fn seal(&self, trial: TargetAttempt) -> RequestEvent {
-        let (attempt, life) = (trial.id, trial.incarnation);
-        self.ask(&trial, "seal", |client| async move {
-            client.seal(peers::within(START_TIME), attempt, life).await
+    async fn seal(&self, attempt: TargetAttempt) -> RequestEvent {
+        let (attempt_id, incarnation) = (attempt.id, attempt.incarnation);
+        self.call_agent(&attempt, "seal", |client| async move {
+            client
+                .seal(peers::within(START_TIMEOUT), attempt_id, incarnation)
+                .await
         })
         .await
     }
 
-    async fn cancel(&self, trial: TargetAttempt) -> RequestEvent {
-        let Some(address) = self.address_of(&trial) else {
+    async fn cancel(&self, attempt: TargetAttempt) -> RequestEvent {
+        let Some(address) = self.address_of(&attempt) else {
             return RequestEvent::Cancelled;
         };
-        let attempt = trial.id;
+        let attempt_id = attempt.id;
         let sent = self
             .entry
             .agents
             .call(&address, "cancel", |client| async move {
-                client.cancel(peers::within(LAST_WORD_TIME), attempt).await
+                client
+                    .cancel(peers::within(FINAL_STEP_TIMEOUT), attempt_id)
+                    .await
             });
         if let Err(error) = sent.await {
             tracing::debug!(request = %self.request.id, %error, "a cancel was lost");
@@ -511,29 +521,29 @@
         RequestEvent::Cancelled
     }
 
-    async fn ask<F>(
+    async fn call_agent<F>(
         &self,
-        trial: &TargetAttempt,
+        attempt: &TargetAttempt,
         step: &'static str,
-        make: impl FnOnce(AgentWireClient) -> F,
+        send: impl FnOnce(AgentWireClient) -> F,
     ) -> RequestEvent
     where
         F: Future<Output = Result<AgentReply, tarpc::client::RpcError>>,
     {
         // A target that control has taken for lost: this life cannot be asked.
-        let Some(address) = self.address_of(trial) else {
-            tokio::time::sleep(RETRY_PAUSE).await;
+        let Some(address) = self.address_of(attempt) else {
+            tokio::time::sleep(RETRY_DELAY).await;
             return RequestEvent::NoReply;
         };
-        match self.entry.agents.call(&address, step, make).await {
-            Ok(word) => {
-                self.entry.follower.observe_position(word.position);
+        match self.entry.agents.call(&address, step, send).await {
+            Ok(reply) => {
+                self.entry.follower.observe_position(reply.position);
                 let now_ms = clock::monotonic_ms();
                 self.entry
                     .state()
                     .loads
-                    .record_report(&trial.target, word.load, now_ms);
-                RequestEvent::Status(word.status)
+                    .record_report(&attempt.target, reply.load, now_ms);
+                RequestEvent::Status(reply.status)
             }
             Err(error) => {
                 tracing::info!(request = %self.request.id, %error, "no word of an agent");
@@ -542,27 +552,29 @@
         }
     }
 
-    fn address_of(&self, trial: &TargetAttempt) -> Option<String> {
+    fn address_of(&self, attempt: &TargetAttempt) -> Option<String> {
         let view = self.entry.follower.view();
-        view.agent_of(&trial.target)
-            .map(|keeper| keeper.address.clone())
+        view.agent_of(&attempt.target)
+            .map(|agent| agent.address.clone())
     }
 
-    async fn hand_over(&mut self, pieces: Vec<String>) {
-        if !self.answered {
-            self.answered = true;
-            self.entry.record_first(self.request, self.started);
+    async fn deliver(&mut self, pieces: Vec<String>) {
+        if !self.first_piece_sent {
+            self.first_piece_sent = true;
+            self.entry.record_first_piece(self.request, self.started);
         }
         // Kept only as far as a claim records it.
-        if self.request.key.is_some() && self.answer.len() <= MAX_RECORDED {
-            pieces.iter().for_each(|piece| self.answer.push_str(piece));
+        if self.request.key.is_some() && self.response.len() <= MAX_RECORDED_BYTES {
+            pieces
+                .iter()
+                .for_each(|piece| self.response.push_str(piece));
         }
-        let sent = self.notes.send(FlightNote::Pieces(pieces));
-        let sent = clock::wait_until(self.until_ms, sent).await;
+        let sent = self.parts.send(ResponsePart::Pieces(pieces));
+        let sent = clock::wait_until(self.deadline_ms, sent).await;
         // A reader that stays away longer than its patience has gone.
         if !matches!(sent, Some(Ok(()))) {
-            self.over = true;
-            self.flight.on(RequestEvent::DeadlinePassed);
+            self.abandoned = true;
+            self.lifecycle.on(RequestEvent::DeadlinePassed);
         }
     }
 }
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -29,12 +29,12 @@
 use crate::table::limits::ShareHolder;
 
 /// Time between two beats.
-const BEAT: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for one beat's answer.
-const BEAT_TIME: Duration = Duration::from_millis(800);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Longest wait of a planned stop for requests in flight.
-const STOP_TIME: Duration = Duration::from_secs(120);
-const STOP_LOOK: Duration = Duration::from_millis(20);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(120);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What one entry knows and counts.
 pub(crate) struct EntryState {
@@ -43,7 +43,7 @@
     pub(crate) retries: RetryBudget,
     /// What agents said of attempts that they refused.
     pub(crate) refusals: RefusalTracker,
-    pub(crate) refused: BTreeMap<ModelName, u32>,
+    pub(crate) refusal_counts: BTreeMap<ModelName, u32>,
     pub(crate) rng: SmallRng,
 }
 
@@ -56,7 +56,7 @@
     /// The copy of the site.
     pub follower: SiteFollower,
     pub(crate) agents: PeerPool<AgentWireClient>,
-    life: Incarnation,
+    incarnation: Incarnation,
     address: String,
     state: Mutex<EntryState>,
     metrics: Mutex<MetricRegistry>,
@@ -85,8 +85,8 @@
         let link = Arc::new(ControlLink::new(secret.clone(), control));
         let address = callers.to_string();
         let role = MemberRole::Entry;
-        let life = member::join(&link, &settings.common, role, &address).await?;
-        let asked_ms = clock::monotonic_ms();
+        let incarnation = member::join(&link, &settings.common, role, &address).await?;
+        let requested_ms = clock::monotonic_ms();
         let follower = SiteFollower::new(link.clone());
         follower.start().await?;
         let limits = follower.view().site.limits;
@@ -95,19 +95,19 @@
             shares: ShareHolder::new(limits),
             retries: RetryBudget::new(settings.route.retries()),
             refusals: RefusalTracker::default(),
-            refused: BTreeMap::new(),
-            rng: SmallRng::seed_from_u64(life.0),
+            refusal_counts: BTreeMap::new(),
+            rng: SmallRng::seed_from_u64(incarnation.0),
         };
         let shared = Arc::new(EntryShared {
             link,
             follower,
             agents: PeerPool::new(secret, peers::dial_agent),
-            life,
+            incarnation,
             address,
             state: Mutex::new(state),
             metrics: Mutex::new(MetricRegistry::default()),
             next_attempt: AtomicU64::new(1),
-            confirmed_ms: AtomicU64::new(asked_ms),
+            confirmed_ms: AtomicU64::new(requested_ms),
             stopping: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
             settings,
@@ -115,7 +115,7 @@
         let server = caller::serve(shared.clone(), listener)?;
         let watch = serve_health(&shared).await?;
         start_tasks(&shared);
-        tracing::info!(%callers, %watch, %life, "entry started");
+        tracing::info!(%callers, %watch, life = %incarnation, "entry started");
         Ok(Self {
             callers,
             watch,
@@ -130,14 +130,14 @@
         shared.stopping.store(true, Ordering::SeqCst);
         let drained = async {
             while shared.in_flight.load(Ordering::SeqCst) > 0 {
-                tokio::time::sleep(STOP_LOOK).await;
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
-        if tokio::time::timeout(STOP_TIME, drained).await.is_err() {
+        if tokio::time::timeout(DRAIN_TIMEOUT, drained).await.is_err() {
             tracing::warn!("stops with requests in flight");
         }
-        let (_, beat) = make_beat(shared, true);
-        let _ = send_beat(shared, &beat).await;
+        let (_, heartbeat) = make_heartbeat(shared, true);
+        let _ = send_heartbeat(shared, &heartbeat).await;
         self.server.stop(true).await;
     }
 }
@@ -149,13 +149,13 @@
         entry.follower.run(seed, |_| {}).await;
     });
     let entry = shared.clone();
-    tokio::spawn(async move { beat_loop(&entry).await });
+    tokio::spawn(async move { heartbeat_loop(&entry).await });
 }
 
 impl EntryShared {
     /// Counts a request as in flight until the guard is dropped; none while stopping.
-    pub fn admit(self: &Arc<Self>) -> Result<InFlight, EndCause> {
-        let guard = InFlight(self.clone());
+    pub fn admit(self: &Arc<Self>) -> Result<InFlightGuard, EndCause> {
+        let guard = InFlightGuard(self.clone());
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         match self.is_stopping() {
             true => Err(EndCause::Stopping),
@@ -184,13 +184,13 @@
             ("outcome", name),
             ("cause", cause),
         ];
-        let mut book = self.metrics();
-        book.count(MetricKey::new("dunlinspring_requests_total", &labels), 1);
+        let mut registry = self.metrics();
+        registry.count(MetricKey::new("dunlinspring_requests_total", &labels), 1);
         let key = MetricKey::new("dunlinspring_request_seconds", &labels[..3]);
-        book.time(key, started.elapsed().as_micros() as u64);
+        registry.time(key, started.elapsed().as_micros() as u64);
     }
 
-    pub(crate) fn record_first(&self, request: &CallerRequest, started: Instant) {
+    pub(crate) fn record_first_piece(&self, request: &CallerRequest, started: Instant) {
         let labels = [
             ("partner", request.partner.as_str()),
             ("class", request.fields.fields.class.as_str()),
@@ -214,16 +214,16 @@
 
     pub(crate) fn next_attempt(&self) -> AttemptId {
         AttemptId {
-            entry: self.life,
+            entry: self.incarnation,
             number: self.next_attempt.fetch_add(1, Ordering::SeqCst),
         }
     }
 }
 
 /// A request in flight.
-pub struct InFlight(Arc<EntryShared>);
+pub struct InFlightGuard(Arc<EntryShared>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
@@ -238,7 +238,7 @@
     }
 }
 
-fn make_beat(entry: &EntryShared, stopped: bool) -> (u64, EntryHeartbeat) {
+fn make_heartbeat(entry: &EntryShared, stopped: bool) -> (u64, EntryHeartbeat) {
     let limits = {
         let view = entry.follower.view();
         let rows = view.rows.iter();
@@ -249,69 +249,69 @@
     let position = entry.follower.position();
     let mut state = entry.state();
     let now_ms = clock::monotonic_ms();
-    let (asked, claims) = state
+    let (request_number, claims) = state
         .shares
         .next_request(now_ms, |row| limits.get(row).copied());
-    let beat = EntryHeartbeat {
+    let heartbeat = EntryHeartbeat {
         host: entry.settings.common.host.clone(),
-        incarnation: entry.life,
+        incarnation: entry.incarnation,
         position,
-        number: asked,
+        number: request_number,
         limits: claims,
-        refused: std::mem::take(&mut state.refused),
+        refused: std::mem::take(&mut state.refusal_counts),
         stopped,
     };
-    (asked, beat)
+    (request_number, heartbeat)
 }
 
-async fn send_beat(
+async fn send_heartbeat(
     entry: &EntryShared,
-    beat: &EntryHeartbeat,
+    heartbeat: &EntryHeartbeat,
 ) -> Result<EntryHeartbeatReply, peers::PeerError> {
     entry
         .link
-        .call_leader("entry_beat", BEAT_TIME, |client, context| {
-            let beat = beat.clone();
-            async move { client.entry_beat(context, beat).await }
+        .call_leader("entry_beat", HEARTBEAT_TIMEOUT, |client, context| {
+            let heartbeat = heartbeat.clone();
+            async move { client.entry_beat(context, heartbeat).await }
         })
         .await
 }
 
-async fn beat_loop(entry: &EntryShared) {
+async fn heartbeat_loop(entry: &EntryShared) {
     // The leader's word at the last beat: the copy is confirmed once it is there.
-    let mut open: Option<(u64, Position)> = None;
+    let mut unconfirmed: Option<(u64, Position)> = None;
     loop {
-        let asked_ms = clock::monotonic_ms();
-        let (asked, beat) = make_beat(entry, false);
-        match send_beat(entry, &beat).await {
-            Ok(orders) => {
-                entry.follower.observe_position(orders.position);
+        let requested_ms = clock::monotonic_ms();
+        let (request_number, heartbeat) = make_heartbeat(entry, false);
+        match send_heartbeat(entry, &heartbeat).await {
+            Ok(reply) => {
+                entry.follower.observe_position(reply.position);
                 entry
                     .state()
                     .shares
-                    .apply_grants(asked, asked_ms, &orders.grants);
-                open = open.or(Some((asked_ms, orders.position)));
-                if orders.rejoin {
+                    .apply_grants(request_number, requested_ms, &reply.grants);
+                unconfirmed = unconfirmed.or(Some((requested_ms, reply.position)));
+                if reply.rejoin {
                     rejoin(entry).await;
                 }
             }
             Err(error) => tracing::debug!(%error, "no answer to a beat"),
         }
-        if let Some((asked_ms, position)) = open
+        if let Some((requested_ms, position)) = unconfirmed
             && entry.follower.position() >= position
         {
-            entry.confirmed_ms.fetch_max(asked_ms, Ordering::SeqCst);
-            open = None;
+            entry.confirmed_ms.fetch_max(requested_ms, Ordering::SeqCst);
+            unconfirmed = None;
         }
-        drop_old(entry);
-        tokio::time::sleep(BEAT).await;
+        prune_state(entry);
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
 async fn rejoin(entry: &EntryShared) {
     let role = MemberRole::Entry;
     let common = &entry.settings.common;
-    match member::rejoin(&entry.link, common, role, &entry.address, entry.life).await {
+    match member::rejoin(&entry.link, common, role, &entry.address, entry.incarnation).await {
         Ok(true) => tracing::info!("was taken for lost, and is back"),
         Ok(false) => {
             tracing::error!("another process has taken this entry's name: takes no more requests");
@@ -322,7 +322,7 @@
 }
 
 /// Forgets what is known of targets, rows and agents that are gone.
-fn drop_old(entry: &EntryShared) {
+fn prune_state(entry: &EntryShared) {
     let view = entry.follower.view();
     let mut state = entry.state();
     state.loads.retain(|target| view.agent_of(target).is_some());
@@ -353,16 +353,16 @@
 
 fn render(entry: &EntryShared) -> String {
     let position = entry.follower.position();
-    let mut book = entry.metrics();
+    let mut registry = entry.metrics();
     let in_flight = entry.in_flight.load(Ordering::SeqCst) as u64;
-    book.gauge(
+    registry.gauge(
         MetricKey::new("dunlinspring_table_position", &[]),
         position.0,
     );
-    book.gauge(MetricKey::new("dunlinspring_in_flight", &[]), in_flight);
-    book.gauge(
+    registry.gauge(MetricKey::new("dunlinspring_in_flight", &[]), in_flight);
+    registry.gauge(
         MetricKey::new("dunlinspring_stale", &[]),
         u64::from(entry.is_stale()),
     );
-    book.render()
+    registry.render()
 }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -14,14 +14,14 @@
 
 use crate::admission::controller::{EngineOrder, OrderAct};
 use crate::admission::ledger::{EngineReport, OrderSeq, ResidentInfo, RunningInfo};
-use crate::agent::engine::{DONE, EnginePiece, EngineRun};
+use crate::agent::engine::{DONE_MARKER, EnginePiece, EngineRun};
 use crate::ids::{AttemptId, ModelName};
 use crate::process::daemon::{self, DaemonError};
 
 /// Prefixes that the cache holds.
-const CACHED_PREFIXES: usize = 64;
+const MAX_CACHED_PREFIXES: usize = 64;
 /// Characters of a prompt that count as its prefix.
-const PREFIX_LEN: usize = 64;
+const PREFIX_CHARS: usize = 64;
 
 /// What an engine is like.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -90,7 +90,7 @@
     pieces: u32,
     ended: bool,
     cancelled: bool,
-    news: Arc<Notify>,
+    progress: Arc<Notify>,
 }
 
 #[derive(Default)]
@@ -112,7 +112,7 @@
         models + live.map(|run| run.call.kv_mib).sum::<u64>()
     }
 
-    fn note_memory(&mut self, capacity: u64) {
+    fn record_memory(&mut self, capacity: u64) {
         let used = self.used_mib();
         self.record.peak_mib = self.record.peak_mib.max(used);
         if used > capacity {
@@ -120,7 +120,7 @@
         }
     }
 
-    fn batch(&self) -> u64 {
+    fn batch_size(&self) -> u64 {
         self.runs.values().filter(|run| !run.ended).count() as u64
     }
 }
@@ -200,7 +200,7 @@
             for run in state.runs.values_mut() {
                 run.cancelled = true;
                 run.ended = true;
-                run.news.notify_waiters();
+                run.progress.notify_waiters();
             }
         }
         self.server.stop(false).await;
@@ -216,7 +216,7 @@
 async fn run(engine: Engine, call: types::Json<EngineRun>) -> HttpResponse {
     let call = call.into_inner();
     let id = call.request_id;
-    let warm = {
+    let prefix_cached = {
         let mut state = engine.state();
         let ready = state
             .resident
@@ -233,10 +233,10 @@
             return status(StatusCode::CONFLICT);
         }
         start_run(&mut state, &call);
-        state.note_memory(engine.traits.memory_mib);
-        note_prefix(&mut state, &call.prompt)
+        state.record_memory(engine.traits.memory_mib);
+        cache_prefix(&mut state, &call.prompt)
     };
-    ntex::rt::spawn(generate(Arc::clone(&engine), id, warm));
+    ntex::rt::spawn(generate(Arc::clone(&engine), id, prefix_cached));
     stream(&engine, id, 0)
 }
 
@@ -252,28 +252,28 @@
         pieces: 0,
         ended: false,
         cancelled: false,
-        news: Arc::new(Notify::new()),
+        progress: Arc::new(Notify::new()),
     };
     state.runs.insert(call.request_id, run);
 }
 
 /// Whether the prompt's prefix was cached; it is now.
-fn note_prefix(state: &mut EngineState, prompt: &str) -> bool {
-    let prefix: String = prompt.chars().take(PREFIX_LEN).collect();
+fn cache_prefix(state: &mut EngineState, prompt: &str) -> bool {
+    let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
     let hash = crc32fast::hash(prefix.as_bytes());
-    let warm = state.prefixes.contains(&hash);
-    if !warm {
+    let prefix_cached = state.prefixes.contains(&hash);
+    if !prefix_cached {
         state.prefixes.push_back(hash);
     }
-    if state.prefixes.len() > CACHED_PREFIXES {
+    if state.prefixes.len() > MAX_CACHED_PREFIXES {
         state.prefixes.pop_front();
     }
-    warm
+    prefix_cached
 }
 
-async fn generate(engine: Arc<EngineShared>, id: AttemptId, warm: bool) {
+async fn generate(engine: Arc<EngineShared>, id: AttemptId, prefix_cached: bool) {
     let traits = &engine.traits;
-    let prefill = if warm {
+    let prefill = if prefix_cached {
         traits.prefill_us / 10
     } else {
         traits.prefill_us
@@ -282,8 +282,8 @@
     // Pieces fall due on a schedule, so that coarse timers do not slow it.
     let mut due = tokio::time::Instant::now();
     loop {
-        let batch = engine.state().batch().saturating_sub(1);
-        due += Duration::from_micros(traits.piece_us + traits.batch_us * batch);
+        let batch_size = engine.state().batch_size().saturating_sub(1);
+        due += Duration::from_micros(traits.piece_us + traits.batch_us * batch_size);
         tokio::time::sleep_until(due).await;
         let mut state = engine.state();
         let Some(run) = state.runs.get_mut(&id) else {
@@ -291,14 +291,14 @@
         };
         if run.cancelled {
             run.ended = true;
-            run.news.notify_waiters();
+            run.progress.notify_waiters();
             return;
         }
         run.pieces += 1;
-        let whole = run.call.given + run.pieces >= run.call.max_tokens;
-        run.ended = whole;
-        run.news.notify_waiters();
-        if whole {
+        let complete = run.call.given + run.pieces >= run.call.max_tokens;
+        run.ended = complete;
+        run.progress.notify_waiters();
+        if complete {
             let mut records = state.record.runs.iter_mut().rev();
             if let Some(record) = records.find(|record| record.attempt == id) {
                 record.whole = true;
@@ -308,22 +308,22 @@
     }
 }
 
-struct Reader {
+struct StreamReader {
     engine: Arc<EngineShared>,
     id: AttemptId,
     next: u32,
-    over: bool,
+    finished: bool,
 }
 
 fn stream(engine: &Engine, id: AttemptId, from: u32) -> HttpResponse {
-    let reader = Reader {
+    let reader = StreamReader {
         engine: Arc::clone(engine),
         id,
         next: from,
-        over: false,
+        finished: false,
     };
     let events = futures::stream::unfold(reader, |mut reader| async move {
-        let text = reader.read().await?;
+        let text = reader.next_events().await?;
         Some((Ok::<_, std::io::Error>(Bytes::from(text)), reader))
     });
     HttpResponse::Ok()
@@ -331,28 +331,28 @@
         .streaming(Box::pin(events))
 }
 
-impl Reader {
+impl StreamReader {
     /// The next events; none at the end of the stream.
-    async fn read(&mut self) -> Option<String> {
-        if self.over {
+    async fn next_events(&mut self) -> Option<String> {
+        if self.finished {
             return None;
         }
         loop {
-            let news = self.engine.state().runs.get(&self.id)?.news.clone();
-            let wait = news.notified();
+            let progress = self.engine.state().runs.get(&self.id)?.progress.clone();
+            let wait = progress.notified();
             tokio::pin!(wait);
             wait.as_mut().enable();
-            if let Some(text) = self.take() {
+            if let Some(text) = self.take_events() {
                 return Some(text);
             }
-            if self.over {
+            if self.finished {
                 return None;
             }
             wait.await;
         }
     }
 
-    fn take(&mut self) -> Option<String> {
+    fn take_events(&mut self) -> Option<String> {
         let mut state = self.engine.state();
         let run = state.runs.get(&self.id)?;
         let mut text = String::new();
@@ -366,17 +366,17 @@
         }
         self.next = self.next.max(run.pieces);
         match (run.ended, run.cancelled) {
-            (true, true) => self.over = true,
+            (true, true) => self.finished = true,
             (true, false) => {
-                text.push_str(&format!("data: {DONE}\n\n"));
-                self.over = true;
+                text.push_str(&format!("data: {DONE_MARKER}\n\n"));
+                self.finished = true;
             }
             (false, _) => {}
         }
         if state.faults.cut_streams > 0 && !text.is_empty() {
             state.faults.cut_streams -= 1;
-            self.over = true;
-            text = text.replace(DONE, "cut");
+            self.finished = true;
+            text = text.replace(DONE_MARKER, "cut");
             let cut = text.find("data: cut").unwrap_or(text.len());
             text.truncate(cut);
         }
@@ -412,7 +412,7 @@
         Some(run) => {
             run.cancelled = !run.ended;
             run.ended = true;
-            run.news.notify_waiters();
+            run.progress.notify_waiters();
             status(StatusCode::OK)
         }
         None => status(StatusCode::NOT_FOUND),
@@ -434,7 +434,7 @@
             return status(StatusCode::CONFLICT);
         }
         state.fence = state.fence.max(order.seq);
-        carry_out(&mut state, traits, &order)
+        apply_order(&mut state, traits, &order)
     };
     if let Some(model) = load {
         ntex::rt::spawn(finish_load(Arc::clone(&engine), model));
@@ -448,7 +448,7 @@
 }
 
 /// Takes or frees memory at once; returns the model whose load begins.
-fn carry_out(
+fn apply_order(
     state: &mut EngineState,
     traits: &EngineTraits,
     order: &EngineOrder,
@@ -472,7 +472,7 @@
             };
             state.resident.insert(model.clone(), info);
             state.record.moves += 1;
-            state.note_memory(traits.memory_mib);
+            state.record_memory(traits.memory_mib);
             Some(model.clone())
         }
     }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -19,7 +19,7 @@
     /// Time of a read, in milliseconds.
     pub read_ms: u64,
     /// Reads at once.
-    pub at_once: usize,
+    pub max_reads: usize,
 }
 
 #[derive(Default)]
@@ -77,7 +77,7 @@
 async fn load(store: types::State<Arc<StoreShared>>) -> HttpResponse {
     {
         let mut state = store.state();
-        if state.reading >= store.traits.at_once {
+        if state.reading >= store.traits.max_reads {
             state.refused += 1;
             return HttpResponse::new(StatusCode::TOO_MANY_REQUESTS);
         }
@@ -122,11 +122,11 @@
 
     /// Names a host as leaving.
     pub fn leave(&self, host: HostName) {
-        note_leaving(&self.shared, host);
+        record_leaving(&self.shared, host);
     }
 }
 
-fn note_leaving(platform: &PlatformShared, host: HostName) {
+fn record_leaving(platform: &PlatformShared, host: HostName) {
     let leaving = platform.leaving.lock();
     let mut leaving = leaving.unwrap_or_else(|broken| broken.into_inner());
     leaving.insert(host, clock::monotonic_ms());
@@ -148,6 +148,6 @@
 }
 
 async fn leave(platform: Platform, host: types::Path<String>) -> HttpResponse {
-    note_leaving(&platform, HostName(host.into_inner()));
+    record_leaving(&platform, HostName(host.into_inner()));
     HttpResponse::Ok().finish()
 }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -23,7 +23,7 @@
 }
 
 struct ServiceShared {
-    time: Duration,
+    call_time: Duration,
     calls: Mutex<Vec<ServiceRecord>>,
 }
 
@@ -36,11 +36,11 @@
 }
 
 impl ServiceStandin {
-    /// Starts on an address; each call takes `time`.
-    pub async fn start(address: SocketAddr, time: Duration) -> Result<Self, DaemonError> {
+    /// Starts on an address; each call takes `call_time`.
+    pub async fn start(address: SocketAddr, call_time: Duration) -> Result<Self, DaemonError> {
         let (listener, address) = daemon::bind_http("service", address)?;
         let shared = Arc::new(ServiceShared {
-            time,
+            call_time,
             calls: Mutex::new(Vec::new()),
         });
         let service = shared.clone();
@@ -74,19 +74,19 @@
 
 async fn call(service: Service, request: HttpRequest, body: Bytes) -> HttpResponse {
     let body = String::from_utf8_lossy(&body).into_owned();
-    let answer = format!("sealed {:08x}", crc32fast::hash(body.as_bytes()));
-    let seen = ServiceRecord {
+    let response = format!("sealed {:08x}", crc32fast::hash(body.as_bytes()));
+    let received = ServiceRecord {
         path: request.path().to_owned(),
         body,
     };
     let calls = service.calls.lock();
     calls
         .unwrap_or_else(|broken| broken.into_inner())
-        .push(seen);
-    tokio::time::sleep(service.time).await;
+        .push(received);
+    tokio::time::sleep(service.call_time).await;
     match request.path() {
         FAILING_PATH => HttpResponse::ServiceUnavailable().body("failed after the fact"),
-        _ => HttpResponse::Ok().body(answer),
+        _ => HttpResponse::Ok().body(response),
     }
 }
 
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -80,7 +80,7 @@
 mutant page-goes-back src/routing/view.rs 's/_ if page\.to <= self\.position => return false,//' fuzz $view
 mutant gap-followed src/routing/view.rs 's/Some\(from\) if from > self\.position => return false,//' fuzz $view
 mutant journal-gap-unseen src/consensus/state.rs 's/if cursor < self\.journal_from \{/if false \&\& cursor < self.journal_from {/' fuzz $view
-mutant agent-stops-without-drain src/agent/shell.rs 's/while !shared\.gate\(\)\.is_idle\(\) \{/while false \&\& !shared.gate().is_idle() {/' failures planned_stops_cut_nothing_off
+mutant agent-stops-without-drain src/agent/shell.rs 's/while !shared\.admission\(\)\.is_idle\(\) \{/while false \&\& !shared.admission().is_idle() {/' failures planned_stops_cut_nothing_off
 mutant entry-never-stale src/entry/shell.rs 's/confirmed \+ self\.settings\.stale_ms < clock::monotonic_ms\(\)/false \&\& confirmed + self.settings.stale_ms < clock::monotonic_ms()/' failures an_entry_that_is_cut_off
 mutant leaving-target-takes-work 'src/admission/controller.rs src/routing/view.rs' 's/_ if self\.draining => Some\(RefuseCause::Leaving\),/_ if false \&\& self.draining => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_leaving_target_gets_no_new_work
 mutant silence-of-a-freeze-is-loss src/placement/target_controller.rs 's/self\.decided_ms \+ self\.policy\.loss_ms \/ 2 < now_ms/false \&\& self.decided_ms < now_ms/' duties a_leader_that_was_frozen
