--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface: OpenAI-compatible completions, and plain services.
+//! HTTP interface for callers: OpenAI-compatible completions and plain services.
 
 use std::sync::Arc;
 
@@ -22,14 +22,14 @@
 use crate::table::rows::Row;
 use crate::table::site::ModelKind;
 
-/// Pieces generated where a request does not say.
+/// Number of pieces to generate if a request sets no `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 256;
-/// Most pieces that a request may ask for.
+/// Maximum `max_tokens` of a request.
 const MAX_TOKENS: u32 = 32_768;
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 256;
-/// Characters of a prompt that count as one token of KV memory.
-const CHARS_PER_TOKEN: u64 = 4;
+/// Number of prompt bytes that are estimated as one token of KV memory.
+const BYTES_PER_TOKEN: u64 = 4;
 
 /// Serves callers and operators until the returned server is stopped.
 pub fn serve(
@@ -38,7 +38,7 @@
 ) -> Result<Server, DaemonError> {
     let workers = entry.settings.workers;
     let app = async move || {
-        // Made once on each HTTP thread.
+        // Runs once on each HTTP thread.
         daemon::enter_log_span();
         web::App::new()
             .state(entry.clone())
@@ -77,7 +77,7 @@
     stream: bool,
 }
 
-/// How an answer is written.
+/// Format of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseFormat {
     Chat,
@@ -93,7 +93,7 @@
     model: ModelName,
 }
 
-/// A request that is answered without being run.
+/// Error response to a request that was not run.
 pub(crate) struct CallerError {
     pub status: StatusCode,
     pub code: &'static str,
@@ -138,7 +138,7 @@
     }
 }
 
-/// Reads a body up to the settings' limit; more is refused, and not read.
+/// Reads a body of up to `max_body` bytes. A longer one is refused without reading the rest.
 pub(crate) async fn read_body(
     entry: &EntryShared,
     payload: types::Payload,
@@ -298,7 +298,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// The key that a request bears.
+/// Returns the bearer key of a request.
 pub(crate) fn bearer(headers: &HeaderMap) -> Option<&str> {
     header(headers, "authorization")?.strip_prefix("Bearer ")
 }
@@ -317,12 +317,12 @@
     let view = entry.follower.view();
     let models = &view.site.models;
     let spec = models.get(model);
-    // An adapter's context is its base model's.
+    // An adapter needs as much KV memory per token as its base model.
     let spec = match spec.map(|spec| &spec.kind) {
         Some(ModelKind::Adapter(base)) => models.get(base),
         _ => spec,
     };
-    let tokens = prompt as u64 / CHARS_PER_TOKEN + u64::from(max_tokens);
+    let tokens = prompt as u64 / BYTES_PER_TOKEN + u64::from(max_tokens);
     let kib = spec.map_or(0, |spec| spec.kv_kib_per_token) * tokens;
     kib.div_ceil(1024)
 }
@@ -421,8 +421,8 @@
     }
 }
 
-/// The flight runs as a task of its own: it outlives a caller that leaves, for
-/// as long as it takes to end what it began.
+/// Starts the driver of a request as a separate task. If the caller disconnects, the driver
+/// continues until it has ended the attempt that it started.
 fn spawn_driver(
     entry: &Entry,
     request: CallerRequest,
@@ -480,7 +480,8 @@
     }
 }
 
-/// Waits for the first note, so that a request that is not run gets a plain answer.
+/// Streams the response. Waits for its first part, so that a request that fails before its first
+/// piece gets an HTTP error instead of a stream.
 async fn stream_response(
     head: ResponseHead,
     mut parts: mpsc::Receiver<ResponsePart>,
@@ -537,7 +538,8 @@
     format!("data: {event}\n\n")
 }
 
-/// The outcome as the last event; the customary end marker only after a whole answer.
+/// Formats the outcome as the last event of a stream. The customary end marker follows only a
+/// complete response.
 fn outcome_event(outcome: &RequestOutcome) -> String {
     let (name, cause) = shell::outcome_names(outcome);
     let event = json!({ "outcome": name, "cause": cause });
@@ -548,12 +550,12 @@
     format!("event: outcome\ndata: {event}\n\n{end}")
 }
 
-/// The answer to a request without a whole result.
+/// Builds the response to a request for which there is no complete result to return.
 fn failure(head: &ResponseHead, outcome: &RequestOutcome) -> HttpResponse {
     let (name, cause) = shell::outcome_names(outcome);
     let status = match outcome {
         RequestOutcome::Done => StatusCode::OK,
-        // It ran, but its answer was longer than is kept.
+        // The request ran, but its response was too long to be recorded.
         RequestOutcome::Replayed(_) => StatusCode::GONE,
         RequestOutcome::NotRun { cause, .. } => match cause {
             EndCause::KeyReused => StatusCode::CONFLICT,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,7 +1,8 @@
-//! The entry that reaches targets through agents: callers and operators speak to it.
+//! The entry that reaches targets through agents. It serves the HTTP interfaces for callers and
+//! operators.
 //!
-//! HTTP enters; calls to agents and control leave, each a step of
-//! [`crate::routing::lifecycle`]. Uses the pure folders and `process`.
+//! The steps of a request, decided by [`crate::routing::lifecycle`], become calls to agents and
+//! control hosts. Depends on the pure modules and on `process`.
 
 pub mod caller;
 pub mod operator;
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface: the table, and nothing else.
+//! HTTP interface for operators: the table, and the status of the control hosts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::process::{auth, member, peers};
 use crate::table::rows::{EditRefusal, RowChange, RowEdit, RowFields};
 
-/// Time for an edit to be accepted, or the table to be read.
+/// Timeout of an edit or a read of the table.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time for one control host to tell of itself.
+/// Timeout of a status call to one control host.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
 type Entry = types::State<Arc<EntryShared>>;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Each control host's account of itself, as far as it answers.
+/// Returns the status of each control host, or the error of the call to it.
 async fn status(entry: Entry, request: HttpRequest) -> HttpResponse {
     if let Err(error) = authorize(&entry, request.headers()) {
         return error.response();
@@ -135,7 +135,7 @@
         Err(error) => return error.response(),
     };
     let row = edit.row.clone();
-    tracing::info!(edit = %edit.id, partner = %edit.partner, %row, "an operator edits");
+    tracing::info!(edit = %edit.id, partner = %edit.partner, %row, "table edit submitted");
     let reply = member::propose(&entry.link, "edit", CONTROL_TIMEOUT, Command::Edit(edit)).await;
     match reply {
         Ok(Reply::Edit(Ok(version))) => HttpResponse::Ok()
--- a/src/entry/request_driver.rs
+++ b/src/entry/request_driver.rs
@@ -1,5 +1,5 @@
-//! Performs the steps of one request's flight: calls to control and agents,
-//! the caller's patience, and the answer's way to the caller.
+//! Drives one request: performs the steps of its [`RequestLifecycle`] by calls to control hosts
+//! and agents, enforces the caller's wait limit, and passes the response to the caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,58 +27,59 @@
 use crate::routing::route::{self, HomeCandidate, RouteRequest};
 use crate::table::rows::Row;
 
-/// Time for an agent to answer a start or a seal.
+/// Timeout of a start or seal call to an agent.
 const START_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Longest wait of one pull.
+/// Maximum time that an agent waits for new pieces in one pull call.
 const MAX_PULL_WAIT_MS: u64 = 1000;
-/// Time for a pull's answer.
+/// Timeout of a pull call; longer than [`MAX_PULL_WAIT_MS`].
 const PULL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time for a claim or its end to be recorded.
+/// Timeout of recording a claim, the end of a claimed attempt, or a cleared content.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Time for the last word of an agent on a request that is given up.
+/// Timeout of each step of an abandoned request, and of a cancel call.
 const FINAL_STEP_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause before a retry, so that a refused request does not spin.
+/// Delay before a retry, so that a refused request does not retry in a busy loop.
 const RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Longest wait for a home to be ready, and the time between two looks.
+/// Maximum time to wait for a ready home.
 const MAX_HOME_WAIT: Duration = Duration::from_secs(5);
+/// Interval between two checks for a ready home.
 const HOME_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest answer that is recorded with a claim, in bytes.
+/// Maximum size of a response that is recorded with its claim.
 const MAX_RECORDED_BYTES: usize = 64 << 10;
-/// Characters of a prompt that stand for its cached prefix.
+/// Number of leading characters of a prompt that identify its cached prefix.
 const PREFIX_CHARS: usize = 64;
-/// Pages that wait for a slow reader.
+/// Maximum number of response parts that are queued for a slow caller.
 pub const MAX_PENDING_PARTS: usize = 64;
 
-/// A caller's request, checked.
+/// A validated request of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// The caller's partner.
+    /// Partner of the caller.
     pub partner: PartnerName,
-    /// The row that covers it.
+    /// Row that applies to the request.
     pub row: RowId,
-    /// The row as it was when the request came.
+    /// The row as of the arrival of the request.
     pub fields: Row,
-    /// The idempotency key, where the class needs one.
+    /// Idempotency key, if the class requires one.
     pub key: Option<CallKey>,
-    /// Digest of the body.
+    /// Digest of the path and the body.
     pub digest: [u8; 32],
-    /// What to run.
+    /// Call to run on the target.
     pub call: EngineCall,
-    /// Names the request in logs and answers.
+    /// Request ID in logs and responses.
     pub id: String,
 }
 
-/// What a flight tells its caller.
+/// Part of the response that the driver passes to the HTTP handler.
 #[derive(Debug)]
 pub enum ResponsePart {
-    /// More of the answer.
+    /// Next pieces of the response.
     Pieces(Vec<String>),
-    /// The one outcome.
+    /// Outcome; always the last part.
     End(RequestOutcome),
 }
 
-/// Runs one request to its outcome, and tells `parts` as it goes. A caller
-/// that has gone ends it.
+/// Runs one request to its outcome and sends the response to `parts`. If the receiver is closed
+/// because the caller has disconnected, the request is ended.
 pub async fn drive(
     entry: Arc<EntryShared>,
     request: CallerRequest,
@@ -120,27 +121,29 @@
     request: &'a CallerRequest,
     parts: &'a mpsc::Sender<ResponsePart>,
     started: Instant,
-    /// When the caller's patience ends, by [`clock::monotonic_ms`].
+    /// End of the caller's wait limit, by [`clock::monotonic_ms`].
     deadline_ms: u64,
-    /// Names what it asks.
+    /// Identifies what the request asks for, over all its attempts.
     content: ContentDigest,
     lifecycle: RequestLifecycle,
     response: String,
     first_piece_sent: bool,
+    /// Whether the deadline has passed or the caller has disconnected.
     abandoned: bool,
     attempted: Vec<TargetName>,
 }
 
-/// A home, and the agent that keeps it.
+/// A home and its agent.
 type Home<'a> = (&'a TargetName, &'a MemberInfo);
 
-/// Where an attempt may go.
+/// Result of choosing a home for an attempt.
 enum Pick {
-    /// To this home.
+    /// Attempt at the chosen home.
     Home(TargetAttempt),
-    /// Nowhere: all homes would refuse it, and the first to take it does so then.
+    /// All homes would refuse the attempt. Holds the refusal with the shortest time until a
+    /// retry.
     Refused(NotRun),
-    /// Nowhere: there is no home.
+    /// The model has no ready home.
     NoHome,
 }
 
@@ -177,7 +180,7 @@
         }
     }
 
-    /// What is left of the caller's patience.
+    /// Returns the time until the deadline.
     fn remaining(&self) -> Duration {
         Duration::from_millis(self.deadline_ms.saturating_sub(clock::monotonic_ms()))
     }
@@ -199,8 +202,9 @@
         }
     }
 
-    /// What an agent said holds for the next requests as well. Overload is demand that the
-    /// homes of the model do not meet, whoever finds it.
+    /// Records an agent's refusal, which applies to the next requests as well. A refusal for
+    /// overload also counts as unmet demand for the model, whether an agent has just sent it or
+    /// it is expected from an earlier one.
     fn record_refusal(&self, attempt: Option<&TargetAttempt>, event: &RequestEvent) {
         let (refusal, refused_attempt) = match event {
             RequestEvent::Refused(refusal) => (refusal, None),
@@ -235,8 +239,8 @@
         }
     }
 
-    /// A step ends early when patience is over or the caller has gone; from
-    /// then on, each step gets only a moment.
+    /// Performs a step until the deadline passes or the caller disconnects. After that, each step
+    /// is limited to [`FINAL_STEP_TIMEOUT`].
     async fn perform_before_deadline(&mut self, step: RequestStep) -> RequestEvent {
         let deadline_ms = match self.abandoned {
             true => clock::monotonic_ms() + FINAL_STEP_TIMEOUT.as_millis() as u64,
@@ -296,14 +300,15 @@
         }
     }
 
-    /// What the log says of what it asks.
+    /// Returns the log's verdict on the content of the request.
     fn standing(&self) -> ContentStanding {
         let view = self.entry.follower.view();
         let count = view.contents.get(&self.content);
         ContentStanding::of(count.copied().unwrap_or(0))
     }
 
-    /// It ran to its end, and its target lives: what it asks is no suspect any more.
+    /// Reports to the log in the background that the content is no longer suspect: it ran to
+    /// completion without a crash of its target.
     fn start_clearing_content(&self) {
         let (entry, content) = (self.entry.clone(), self.content);
         tokio::spawn(async move {
@@ -311,9 +316,9 @@
         });
     }
 
-    /// A model without a ready home is being brought back to one, and a home that refuses
-    /// may have room soon: that is worth a part of the caller's patience. Where it surely is
-    /// not enough, it is refused at once.
+    /// Picks a home, and waits if there is none: a model without a ready home is being loaded, and
+    /// a home that refuses may soon have capacity. Waits at most half of the remaining time and
+    /// [`MAX_HOME_WAIT`], and not at all if the homes would still refuse the attempt after that.
     async fn await_home(&self) -> Pick {
         let wait = (self.remaining() / 2).min(MAX_HOME_WAIT);
         let until = Instant::now() + wait;
@@ -332,7 +337,8 @@
         }
     }
 
-    /// One of the homes that were tried least, of those that have not refused what is like it.
+    /// Picks one of the least attempted homes, among those that are not expected to refuse the
+    /// attempt.
     fn pick(&self) -> Pick {
         let view = self.entry.follower.view();
         let homes: Vec<_> = view.ready_homes(&self.request.call.model).collect();
@@ -342,7 +348,7 @@
         self.pick_open_home(&homes).map_or(otherwise, Pick::Home)
     }
 
-    /// Homes that are to be asked, and what the others said.
+    /// Splits off the homes that are expected to refuse the attempt, and returns their refusals.
     fn split_refusing<'b>(&self, homes: Vec<Home<'b>>) -> (Vec<Home<'b>>, Vec<NotRun>) {
         let state = self.entry.state();
         let now_ms = clock::monotonic_ms();
@@ -414,7 +420,7 @@
             Ok(Reply::Claim(reply)) => RequestEvent::Claimed(reply),
             Ok(_) => RequestEvent::NoReply,
             Err(error) => {
-                tracing::info!(request = %self.request.id, %error, "no claim");
+                tracing::info!(request = %self.request.id, %error, "claim not recorded");
                 RequestEvent::NoReply
             }
         }
@@ -435,7 +441,7 @@
             Ok(Reply::Settled(true)) => RequestEvent::Settled,
             Ok(_) => RequestEvent::NoReply,
             Err(error) => {
-                tracing::info!(request = %self.request.id, %error, "an end was not recorded");
+                tracing::info!(request = %self.request.id, %error, "end of claim not recorded");
                 RequestEvent::NoReply
             }
         }
@@ -516,7 +522,7 @@
                     .await
             });
         if let Err(error) = sent.await {
-            tracing::debug!(request = %self.request.id, %error, "a cancel was lost");
+            tracing::debug!(request = %self.request.id, %error, "cancel call failed");
         }
         RequestEvent::Cancelled
     }
@@ -530,7 +536,7 @@
     where
         F: Future<Output = Result<AgentReply, tarpc::client::RpcError>>,
     {
-        // A target that control has taken for lost: this life cannot be asked.
+        // Control considers the target lost, so there is no agent to call.
         let Some(address) = self.address_of(attempt) else {
             tokio::time::sleep(RETRY_DELAY).await;
             return RequestEvent::NoReply;
@@ -546,7 +552,7 @@
                 RequestEvent::Status(reply.status)
             }
             Err(error) => {
-                tracing::info!(request = %self.request.id, %error, "no word of an agent");
+                tracing::info!(request = %self.request.id, %error, "agent call failed");
                 RequestEvent::NoReply
             }
         }
@@ -563,7 +569,7 @@
             self.first_piece_sent = true;
             self.entry.record_first_piece(self.request, self.started);
         }
-        // Kept only as far as a claim records it.
+        // Kept only if and as far as a claim can record it.
         if self.request.key.is_some() && self.response.len() <= MAX_RECORDED_BYTES {
             pieces
                 .iter()
@@ -571,7 +577,7 @@
         }
         let sent = self.parts.send(ResponsePart::Pieces(pieces));
         let sent = clock::wait_until(self.deadline_ms, sent).await;
-        // A reader that stays away longer than its patience has gone.
+        // A caller that does not read until the deadline is treated as disconnected.
         if !matches!(sent, Some(Ok(()))) {
             self.abandoned = true;
             self.lifecycle.on(RequestEvent::DeadlinePassed);
@@ -579,7 +585,7 @@
     }
 }
 
-/// The time of a key in the form of a version 7 UUID, in milliseconds.
+/// Returns the creation time of a key that is a version 7 UUID, in milliseconds since the epoch.
 fn key_time_ms(key: &str) -> Option<u64> {
     let hex: String = key.chars().filter(|c| *c != '-').collect();
     let is_v7 = key.len() == 36 && hex.len() == 32 && hex.as_bytes()[12] == b'7';
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -1,4 +1,4 @@
-//! The entry daemon's shell: performs the steps of each request's flight.
+//! The shell of the entry daemon: start, stop, heartbeats, and the state that requests share.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,32 +28,33 @@
 use crate::routing::route::LoadTracker;
 use crate::table::limits::ShareHolder;
 
-/// Time between two beats.
+/// Interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for one beat's answer.
+/// Timeout of a heartbeat call.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest wait of a planned stop for requests in flight.
+/// Maximum time that a planned stop waits for requests in flight.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(120);
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What one entry knows and counts.
+/// Mutable state of an entry.
 pub(crate) struct EntryState {
     pub(crate) loads: LoadTracker,
     pub(crate) shares: ShareHolder,
     pub(crate) retries: RetryBudget,
-    /// What agents said of attempts that they refused.
+    /// Refusals received from agents.
     pub(crate) refusals: RefusalTracker,
+    /// Number of refusals for overload of each model since the last heartbeat.
     pub(crate) refusal_counts: BTreeMap<ModelName, u32>,
     pub(crate) rng: SmallRng,
 }
 
-/// What the entry's tasks and HTTP threads share.
+/// State shared by the entry's tasks and HTTP threads.
 pub struct EntryShared {
     /// The settings.
     pub settings: EntrySettings,
-    /// The way to control.
+    /// Connection to the control hosts.
     pub link: Arc<ControlLink>,
-    /// The copy of the site.
+    /// Copy of the site state.
     pub follower: SiteFollower,
     pub(crate) agents: PeerPool<AgentWireClient>,
     incarnation: Incarnation,
@@ -68,9 +69,9 @@
 
 /// A running entry daemon.
 pub struct EntryDaemon {
-    /// Where callers and operators reach it.
+    /// Address for callers and operators.
     pub callers: SocketAddr,
-    /// Where metrics and health are served.
+    /// Address of the metrics and health endpoints.
     pub watch: SocketAddr,
     shared: Arc<EntryShared>,
     server: ntex::server::Server,
@@ -124,7 +125,7 @@
         })
     }
 
-    /// Takes no new requests, ends those in flight, and leaves the site.
+    /// Refuses new requests, waits for those in flight, and leaves the site.
     pub async fn stop(&self) {
         let shared = &self.shared;
         shared.stopping.store(true, Ordering::SeqCst);
@@ -134,7 +135,7 @@
             }
         };
         if tokio::time::timeout(DRAIN_TIMEOUT, drained).await.is_err() {
-            tracing::warn!("stops with requests in flight");
+            tracing::warn!("drain timed out; stopping with requests in flight");
         }
         let (_, heartbeat) = make_heartbeat(shared, true);
         let _ = send_heartbeat(shared, &heartbeat).await;
@@ -153,7 +154,8 @@
 }
 
 impl EntryShared {
-    /// Counts a request as in flight until the guard is dropped; none while stopping.
+    /// Counts a request as in flight until the guard is dropped. Refuses it while the entry is
+    /// stopping or its copy of the table is stale.
     pub fn admit(self: &Arc<Self>) -> Result<InFlightGuard, EndCause> {
         let guard = InFlightGuard(self.clone());
         self.in_flight.fetch_add(1, Ordering::SeqCst);
@@ -169,13 +171,13 @@
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Whether the leader has not confirmed this copy of the table for too long.
+    /// Whether the leader has not confirmed this copy of the table for longer than `stale_ms`.
     pub fn is_stale(&self) -> bool {
         let confirmed = self.confirmed_ms.load(Ordering::SeqCst);
         confirmed + self.settings.stale_ms < clock::monotonic_ms()
     }
 
-    /// Counts an outcome and its time for a partner and class.
+    /// Records the outcome and the duration of a request, by partner and class.
     pub fn record(&self, request: &CallerRequest, outcome: &RequestOutcome, started: Instant) {
         let (name, cause) = outcome_names(outcome);
         let labels = [
@@ -220,7 +222,7 @@
     }
 }
 
-/// A request in flight.
+/// Counts a request as in flight until it is dropped.
 pub struct InFlightGuard(Arc<EntryShared>);
 
 impl Drop for InFlightGuard {
@@ -229,7 +231,7 @@
     }
 }
 
-/// The outcome and cause as callers and metrics show them.
+/// Returns the names of the outcome and the cause in responses and metrics.
 pub fn outcome_names(outcome: &RequestOutcome) -> (&'static str, &'static str) {
     match outcome {
         RequestOutcome::Done | RequestOutcome::Replayed(_) => ("done", ""),
@@ -245,7 +247,7 @@
         let rows = rows.map(|(id, row)| (id.clone(), row.fields.max_running));
         rows.collect::<BTreeMap<RowId, u32>>()
     };
-    // The copy's lock is never taken under the state's.
+    // Lock order: the lock of the copy is never taken while the state is locked.
     let position = entry.follower.position();
     let mut state = entry.state();
     let now_ms = clock::monotonic_ms();
@@ -278,7 +280,8 @@
 }
 
 async fn heartbeat_loop(entry: &EntryShared) {
-    // The leader's word at the last beat: the copy is confirmed once it is there.
+    // Send time and replied position of a heartbeat. The copy is confirmed as of that time once it
+    // has reached the position.
     let mut unconfirmed: Option<(u64, Position)> = None;
     loop {
         let requested_ms = clock::monotonic_ms();
@@ -295,7 +298,7 @@
                     rejoin(entry).await;
                 }
             }
-            Err(error) => tracing::debug!(%error, "no answer to a beat"),
+            Err(error) => tracing::debug!(%error, "heartbeat failed"),
         }
         if let Some((requested_ms, position)) = unconfirmed
             && entry.follower.position() >= position
@@ -312,16 +315,17 @@
     let role = MemberRole::Entry;
     let common = &entry.settings.common;
     match member::rejoin(&entry.link, common, role, &entry.address, entry.incarnation).await {
-        Ok(true) => tracing::info!("was taken for lost, and is back"),
+        Ok(true) => tracing::info!("rejoined after being considered lost"),
         Ok(false) => {
-            tracing::error!("another process has taken this entry's name: takes no more requests");
+            tracing::error!("another process has taken this host name; refusing new requests");
             entry.stopping.store(true, Ordering::SeqCst);
         }
-        Err(error) => tracing::debug!(%error, "cannot rejoin"),
+        Err(error) => tracing::debug!(%error, "rejoin failed"),
     }
 }
 
-/// Forgets what is known of targets, rows and agents that are gone.
+/// Removes the state of targets, rows and agents that no longer exist, and expired
+/// refusals.
 fn prune_state(entry: &EntryShared) {
     let view = entry.follower.view();
     let mut state = entry.state();
