--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -1,4 +1,4 @@
-//! The adapter to one target: an engine's or plain service's HTTP interface.
+//! HTTP client for one target, which is an engine or a plain service.
 
 use std::time::Duration;
 
@@ -14,104 +14,104 @@
 use crate::ids::{AttemptId, ModelName};
 use crate::table::rows::Urgency;
 
-/// Time for an order's answer: a load's answer says that it began.
+/// Timeout of an order. The engine replies to a load when it begins, not when it is done.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time for a report.
+/// Timeout of a report request.
 pub const REPORT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Silence after which a stream counts as lost.
+/// Time without data after which a stream is considered lost.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest line of a stream, in bytes.
+/// Maximum size of an incomplete line of a stream.
 const MAX_LINE_BYTES: usize = 1 << 20;
-/// Longest answer of a plain service, in bytes.
+/// Maximum size of a response of a plain service, and of a report.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
-/// Connections to one engine; runs beyond it wait for one.
+/// Maximum number of connections to one target; further runs wait for one.
 const MAX_CONNECTIONS: usize = 1024;
 
-/// Why a call to a target brought nothing.
+/// Error of a call to a target.
 #[derive(Debug, Snafu)]
 pub enum EngineError {
-    /// The target answered that it did nothing, or was never reached.
-    #[snafu(display("target {url} refused to {step}: {reason}"))]
+    /// The target responded that it did nothing, or was never reached.
+    #[snafu(display("target {url} refused {step}: {reason}"))]
     Refused {
-        /// What was asked.
+        /// Kind of call.
         step: &'static str,
-        /// The target.
+        /// URL of the target.
         url: String,
-        /// Its reason.
+        /// Reason of the refusal.
         reason: String,
     },
-    /// No answer, or half of one: the target may have acted.
-    #[snafu(display("target {url} was lost at {step}: {reason}"))]
+    /// No response, an incomplete one or a failure: the target may have acted.
+    #[snafu(display("target {url} did not complete {step}: {reason}"))]
     Lost {
-        /// What was asked.
+        /// Kind of call.
         step: &'static str,
-        /// The target.
+        /// URL of the target.
         url: String,
-        /// What was seen.
+        /// Error that was observed.
         reason: String,
     },
 }
 
-/// The body of a completion call.
+/// Body of a completion call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineRun {
-    /// Names the run for resuming and cancelling.
+    /// Identifies the run when it is resumed or cancelled.
     pub request_id: AttemptId,
-    /// The model.
+    /// Model to run.
     pub model: ModelName,
-    /// The prompt.
+    /// Prompt.
     pub prompt: String,
-    /// Most pieces to generate, those given included.
+    /// Maximum number of pieces, including the `given` ones.
     pub max_tokens: u32,
-    /// Pieces that exist already; generation goes on after them.
+    /// Number of pieces that exist already; generation continues after them.
     pub given: u32,
-    /// KV memory to set aside, in MiB.
+    /// KV memory to reserve, in MiB.
     pub kv_mib: u64,
-    /// Lower is more urgent.
+    /// Priority; lower values are more urgent.
     pub priority: u8,
-    /// Refused below the engine's run fence.
+    /// Fence; the engine refuses a run whose fence is below its run fence.
     pub fence: OrderSeq,
-    /// Refused by other lives of the engine.
+    /// Boot ID of the engine that the run is for; an engine with another one refuses it.
     pub boot: u64,
 }
 
 /// One event of a completion stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EnginePiece {
-    /// Its index in this run.
+    /// Index in this run.
     pub index: u32,
-    /// Its text.
+    /// Text of the piece.
     pub text: String,
 }
 
-/// The marker after the last piece.
+/// Marker after the last piece of a stream.
 pub const DONE_MARKER: &str = "[DONE]";
 
-/// Calls to one target.
+/// Client for one target.
 #[derive(Clone)]
 pub struct EngineClient {
     url: String,
     http: Client,
 }
 
-/// A stream of pieces.
+/// Stream of the pieces of a run.
 pub struct EngineStream {
     url: String,
     payload: Payload,
     buffer: Vec<u8>,
 }
 
-/// What comes next of a stream.
+/// Part of a stream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StreamPart {
-    /// A piece.
+    /// Piece with its index and text.
     Piece(u32, String),
-    /// The marker of the end.
+    /// End marker.
     End,
 }
 
 impl EngineClient {
-    /// A client for the target at an HTTP URL without a path.
+    /// Creates a client for the target at an HTTP URL without a path.
     pub async fn new(url: &str) -> Self {
         let connector = Connector::new()
             .limit(MAX_CONNECTIONS)
@@ -122,7 +122,7 @@
         let http = client.build(ntex::SharedCfg::default()).await;
         Self {
             url: url.trim_end_matches('/').to_owned(),
-            http: http.expect("a client without middleware builds"),
+            http: http.expect("building a client without middleware cannot fail"),
         }
     }
 
@@ -144,7 +144,7 @@
         Ok(self.stream(response))
     }
 
-    /// Goes on with a run's stream from a piece.
+    /// Resumes the stream of a run from a piece.
     pub async fn resume(&self, run: AttemptId, from: u32) -> Result<EngineStream, EngineError> {
         let path = format!("/v1/runs/{run}?from={from}");
         let call = self.http.get(self.url_of(&path));
@@ -152,26 +152,26 @@
         Ok(self.stream(response))
     }
 
-    /// Cancels a run; once this answers, it uses no memory.
+    /// Cancels a run; after this succeeds, the run uses no memory.
     pub async fn cancel(&self, run: AttemptId) -> Result<(), EngineError> {
         let call = self.http.delete(self.url_of(&format!("/v1/runs/{run}")));
         self.call_engine("cancel", call.send()).await.map(|_| ())
     }
 
-    /// Calls a plain service; its whole answer is one piece.
+    /// Calls a plain service and returns its complete response, which counts as one piece.
     pub async fn call_service(&self, dispatch: &RunDispatch) -> Result<String, EngineError> {
         let path = dispatch.call.path.as_deref().unwrap_or("");
         let call = self.http.post(self.url_of(&format!("/{path}")));
         let call = call.header("x-request-id", dispatch.attempt.to_string());
         let sent = call.send_body(dispatch.call.prompt.clone());
-        // A service may have acted before it answered with a failure.
+        // A service may have acted before it responded with a failure.
         let response = self.classify("serve", sent, |_| false).await?;
         let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|error| self.lost("serve", error.to_string()))?;
         String::from_utf8(body.to_vec()).map_err(|error| self.lost("serve", error.to_string()))
     }
 
-    /// Gives an order.
+    /// Sends an order.
     pub async fn order(&self, order: &EngineOrder) -> Result<(), EngineError> {
         let call = self.http.post(self.url_of("/control/orders"));
         let sent = self.call_engine("order", call.send_json(order));
@@ -180,7 +180,7 @@
             .map(|_| ())
     }
 
-    /// Asks for a report.
+    /// Requests a report.
     pub async fn report(&self) -> Result<EngineReport, EngineError> {
         let read = async {
             let call = self.http.get(self.url_of("/control/report"));
@@ -211,11 +211,11 @@
         time: Duration,
         call: impl Future<Output = Result<T, EngineError>>,
     ) -> Result<T, EngineError> {
-        let late = |_| self.lost(step, "no answer in time".to_owned());
+        let late = |_| self.lost(step, "timed out".to_owned());
         tokio::time::timeout(time, call).await.map_err(late)?
     }
 
-    /// The answer of an engine, whose refusals say that it did nothing.
+    /// Awaits the response of an engine, whose refusal statuses mean that it did nothing.
     async fn call_engine(
         &self,
         step: &'static str,
@@ -224,7 +224,8 @@
         self.classify(step, sent, is_refusal).await
     }
 
-    /// Sorts the answer into done, surely not done, and not known.
+    /// Classifies a response as success, as a refusal (the target surely did nothing) or as lost
+    /// (it may have acted).
     async fn classify(
         &self,
         step: &'static str,
@@ -257,7 +258,7 @@
 }
 
 impl EngineStream {
-    /// The next part. An end without its marker is a loss.
+    /// Returns the next part. A stream that ends without the end marker is an error.
     pub async fn next(&mut self) -> Result<StreamPart, EngineError> {
         loop {
             if let Some(part) = self.take_event()? {
@@ -267,8 +268,8 @@
             match chunk {
                 Ok(Some(Ok(bytes))) => self.buffer.extend_from_slice(&bytes),
                 Ok(Some(Err(error))) => return Err(self.lost(error.to_string())),
-                Ok(None) => return Err(self.lost("the stream ended early".to_owned())),
-                Err(_) => return Err(self.lost("the stream fell silent".to_owned())),
+                Ok(None) => return Err(self.lost("stream ended without its end marker".to_owned())),
+                Err(_) => return Err(self.lost("stream idle for 10 s".to_owned())),
             }
         }
     }
@@ -289,7 +290,7 @@
             };
         }
         match self.buffer.len() > MAX_LINE_BYTES {
-            true => Err(self.lost("a line is too long".to_owned())),
+            true => Err(self.lost("stream line longer than 1 MiB".to_owned())),
             false => Ok(None),
         }
     }
@@ -303,8 +304,8 @@
     }
 }
 
-/// Only a refused connection proves that nothing was sent. The client also
-/// calls it a failure to connect when a connection closes after the request.
+/// Returns whether an error proves that nothing was sent, which only a refused connection does.
+/// The client also reports a failure to connect if a connection closes after the request.
 fn was_never_sent(error: &ClientError) -> bool {
     match error {
         ClientError::Connect(ConnectError::Disconnected(Some(cause))) => {
@@ -314,7 +315,7 @@
     }
 }
 
-/// By these the target says that it did nothing.
+/// Returns whether an engine responds with this status only if it did nothing.
 fn is_refusal(status: StatusCode) -> bool {
     matches!(
         status,
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,7 +1,7 @@
-//! The agent, one beside each target: carries out what [`crate::admission`] decides.
+//! The agent, one beside each target: carries out the decisions of [`crate::admission`].
 //!
-//! Entries' calls and control's wishes enter; requests and orders to the target leave.
-//! Uses the pure folders and `process`.
+//! Receives calls from entries and plans from control; sends runs and orders to the target.
+//! Depends on the pure modules and on `process`.
 
 pub mod engine;
 pub mod shell;
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -1,5 +1,5 @@
-//! The agent daemon's shell: moves messages between control, entries, the
-//! gate's decisions and the target.
+//! The shell of the agent daemon: passes messages between control, entries, the admission
+//! controller and the target.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,21 +33,22 @@
 use crate::process::wire::{AgentHeartbeatReply, AgentReply, AgentWire};
 use crate::routing::view::SiteView;
 
-/// Time between two beats.
+/// Interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for one beat's answer.
+/// Timeout of a heartbeat call.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest pause between two looks at the queue.
+/// Maximum interval between two checks of the queue.
 const DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two sweeps of forgotten attempts.
+/// Interval between two removals of old attempts.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait of a pull.
+/// Maximum time that a pull call waits for new pieces.
 const MAX_PULL_MS: u64 = 2_000;
-/// Calls that one entry may have under way.
+/// Maximum number of concurrent calls on one connection of an entry.
 const MAX_CALLS_PER_PEER: usize = 8192;
-/// Time that a stopping agent waits for what is in flight.
+/// Maximum time that a stopping agent waits for work in flight.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(120);
-/// Time that a stopping agent goes on telling entries that it leaves.
+/// Time that a stopping agent keeps serving before and after the drain: entries learn from
+/// control that it is leaving, and read the last pages.
 const DRAIN_NOTICE: Duration = Duration::from_millis(500);
 
 struct AgentShared {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Wakes all readers: what was queued may have been refused.
+    /// Wakes all waiting pull calls: their attempts may have been refused from the queue.
     fn wake_all_readers(&self) {
         for reader in self.readers().values() {
             reader.notify_waiters();
@@ -92,7 +93,8 @@
     }
 
     fn reply(&self, status: AttemptStatus) -> AgentReply {
-        // The copy's lock is never taken under the gate's.
+        // Lock order: the lock of the copy is never taken while the admission controller is
+        // locked.
         let position = self.follower.position();
         let admission = self.admission();
         AgentReply {
@@ -105,9 +107,9 @@
 
 /// A running agent daemon.
 pub struct AgentDaemon {
-    /// Where entries reach it.
+    /// Address for entries.
     pub address: SocketAddr,
-    /// Where metrics and health are served.
+    /// Address of the metrics and health endpoints.
     pub watch: SocketAddr,
     shared: Arc<AgentShared>,
 }
@@ -157,25 +159,25 @@
         })
     }
 
-    /// Turns new work away, ends what is in flight, and leaves the site.
+    /// Refuses new work, waits for work in flight, and leaves the site.
     pub async fn stop(&self) {
         let shared = &self.shared;
         shared.admission().drain();
         let drained = async {
-            // Entries learn of it from control meanwhile.
+            // Meanwhile entries learn from control that this agent is leaving.
             tokio::time::sleep(DRAIN_NOTICE).await;
             while !shared.admission().is_idle() {
                 tokio::time::sleep(DISPATCH_INTERVAL).await;
             }
         };
         if tokio::time::timeout(DRAIN_TIMEOUT, drained).await.is_err() {
-            tracing::warn!("stops with work in flight");
+            tracing::warn!("drain timed out; stopping with work in flight");
         }
-        // The last pages are read within one pull.
+        // Entries read the last pages within one pull call.
         tokio::time::sleep(DRAIN_NOTICE).await;
         let heartbeat = make_heartbeat(shared, true);
         if let Err(error) = send_heartbeat(shared, heartbeat).await {
-            tracing::debug!(%error, "left without a word");
+            tracing::debug!(%error, "last heartbeat failed; control was not notified of the stop");
         }
     }
 }
@@ -251,14 +253,14 @@
 async fn heartbeat_loop(agent: &AgentShared) {
     loop {
         let requested_ms = clock::monotonic_ms();
-        // Without its engine, the target is as good as lost: its models are
-        // wanted elsewhere. It rejoins with the same life once it is back.
+        // A target whose engine does not report is announced as stopped, so that its models are
+        // loaded elsewhere. It rejoins with the same incarnation once the engine reports again.
         let engine_silent = agent.admission().is_engine_silent(requested_ms);
         let heartbeat = make_heartbeat(agent, engine_silent);
         match send_heartbeat(agent, heartbeat).await {
             Ok(_) if engine_silent => {}
             Ok(reply) => on_heartbeat_reply(agent, requested_ms, reply).await,
-            Err(error) => tracing::debug!(%error, "no answer to a beat"),
+            Err(error) => tracing::debug!(%error, "heartbeat failed"),
         }
         tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
@@ -269,7 +271,7 @@
     match reply.plan {
         Some(plan) => {
             if !agent.admission().on_plan(requested_ms, plan) {
-                tracing::info!("refused an older plan");
+                tracing::info!("plan refused: outdated or for another incarnation");
             }
             agent.wake.notify_one();
         }
@@ -279,12 +281,12 @@
             let rejoined =
                 member::rejoin(&agent.link, common, role, &agent.address, agent.incarnation).await;
             match rejoined {
-                Ok(true) => tracing::info!("was taken for lost, and is back"),
+                Ok(true) => tracing::info!("rejoined after being considered lost"),
                 Ok(false) => {
-                    tracing::error!("another process keeps this target: takes no more work");
+                    tracing::error!("another process has taken this host name; refusing new work");
                     agent.admission().drain();
                 }
-                Err(error) => tracing::debug!(%error, "cannot rejoin"),
+                Err(error) => tracing::debug!(%error, "rejoin failed"),
             }
         }
     }
@@ -300,7 +302,7 @@
                     tokio::spawn(report_crash(agent.clone(), crashed));
                 }
             }
-            Err(error) => tracing::debug!(%error, "no report"),
+            Err(error) => tracing::debug!(%error, "engine report failed"),
         }
         agent.wake.notify_one();
         let pause = Duration::from_millis(agent.settings.report_ms);
@@ -308,7 +310,7 @@
     }
 }
 
-/// Tells the log of an end of the engine, until it holds it.
+/// Reports a crash of the engine to the log, and retries until it is committed.
 async fn report_crash(agent: Arc<AgentShared>, crashed: CrashedIncarnation) {
     let report = CrashReport {
         replica: ReplicaIncarnation {
@@ -319,12 +321,12 @@
     };
     tracing::warn!(
         replica = %report.replica.id, boot = crashed.boot, count = report.contents.len(),
-        "engine ended under requests"
+        "engine crashed during requests"
     );
     crash_report::report_crash(&agent.link, &report).await;
 }
 
-/// Starts what may run, gives the orders that are due, one of them at a time.
+/// Starts the runs that the engine can take, and sends due orders one at a time.
 async fn dispatch_loop(agent: Arc<AgentShared>, engine: EngineClient) {
     loop {
         let _ = tokio::time::timeout(DISPATCH_INTERVAL, agent.wake.notified()).await;
@@ -353,8 +355,8 @@
         .admission()
         .order_closed(clock::monotonic_ms(), &order);
     match result {
-        Ok(()) => tracing::debug!(?order, "ordered"),
-        Err(error) => tracing::warn!(%error, ?order, "an order failed"),
+        Ok(()) => tracing::debug!(?order, "engine accepted an order"),
+        Err(error) => tracing::warn!(%error, ?order, "order to the engine failed"),
     }
     agent.wake.notify_one();
 }
@@ -370,7 +372,7 @@
             }
             Err(EngineError::Refused { .. }) => RunEvent::Refused,
             Err(EngineError::Lost { .. }) => {
-                // A plain service has no stream to resume.
+                // The first loss asks to resume the stream, which a plain service does not have.
                 apply_run_event(&agent, attempt, RunEvent::Lost);
                 RunEvent::Lost
             }
@@ -388,7 +390,7 @@
     }
 }
 
-/// Takes pieces in until the stream ends in some way.
+/// Applies the pieces of a stream until it ends, and returns how it ended.
 async fn follow_stream(
     agent: &AgentShared,
     attempt: AttemptId,
@@ -406,7 +408,7 @@
             }
             Ok(StreamPart::End) => return RunEvent::Ended,
             Err(error) => {
-                tracing::info!(%attempt, %error, "a stream broke");
+                tracing::info!(%attempt, %error, "stream interrupted");
                 return RunEvent::Lost;
             }
         }
@@ -528,7 +530,7 @@
     let read = move || {
         let agent = agent.clone();
         Box::pin(async move {
-            // Not in one expression: both take the gate's lock.
+            // Separate statements: each locks the admission controller.
             let ready = agent.admission().has_lease(clock::monotonic_ms());
             let metrics = render(&agent);
             daemon::HealthPage { ready, metrics }
