--- a/src/standin.rs
+++ b/src/standin.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for the platform's side: engines, plain services, the weight
-//! store and the list of hosts. For the demo, the load tool and tests.
+//! Stand-ins for components of the platform: engines, plain services, the weight store and the
+//! list of hosts. Used by the demo, the load tool and tests.
 
 mod engine;
 mod platform;
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -1,5 +1,5 @@
-//! An engine: batches, holds memory, streams, resumes, cancels, and keeps a
-//! record of every run of its own.
+//! Stand-in for an engine: batches runs, accounts for memory, streams, resumes and cancels. Keeps
+//! its own record of every run.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -18,70 +18,71 @@
 use crate::ids::{AttemptId, ModelName};
 use crate::process::daemon::{self, DaemonError};
 
-/// Prefixes that the cache holds.
+/// Maximum number of cached prefixes.
 const MAX_CACHED_PREFIXES: usize = 64;
-/// Characters of a prompt that count as its prefix.
+/// Number of leading characters of a prompt that form its prefix.
 const PREFIX_CHARS: usize = 64;
 
-/// What an engine is like.
+/// Properties of an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineTraits {
     /// Accelerator memory, in MiB.
     pub memory_mib: u64,
-    /// Whether it refuses orders below its fence.
+    /// Whether the engine refuses orders and runs below its fences, or for another boot ID.
     pub fenced: bool,
-    /// Time of a load, in milliseconds.
+    /// Duration of a load, in milliseconds.
     pub load_ms: u64,
-    /// Time before the first piece without a cached prefix, in microseconds.
+    /// Time before the first piece if the prefix is not cached, in microseconds; a tenth of it if
+    /// it is.
     pub prefill_us: u64,
-    /// Time of a piece when alone, in microseconds.
+    /// Time per piece of a run that is alone in the batch, in microseconds.
     pub piece_us: u64,
-    /// Time that each further run of the batch adds to a piece, in microseconds.
+    /// Time that each further run in the batch adds per piece, in microseconds.
     pub batch_us: u64,
-    /// Age of a report, in milliseconds.
+    /// Minimum age of a returned report once one is that old, in milliseconds.
     pub report_lag_ms: u64,
-    /// The weight store that is asked before a load, as an HTTP URL.
+    /// HTTP URL of the weight store that is queried before each load, if any.
     pub store_url: Option<String>,
 }
 
-/// One run as the engine saw it.
+/// Record of one run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// The run.
+    /// Attempt ID.
     pub attempt: AttemptId,
-    /// Its model.
+    /// Model.
     pub model: ModelName,
-    /// Its prompt.
+    /// Prompt.
     pub prompt: String,
-    /// Whether it came to its end.
+    /// Whether the run completed.
     pub whole: bool,
 }
 
-/// What the engine saw so far.
+/// Record of what an engine has done so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRecord {
-    /// All runs that started.
+    /// All runs that were started.
     pub runs: Vec<RunRecord>,
-    /// Loads and unloads done.
+    /// Number of loads and unloads begun.
     pub moves: u64,
-    /// The most memory that was ever taken, in MiB.
+    /// Peak memory use, in MiB.
     pub peak_mib: u64,
-    /// Times that an order would have taken more memory than there is.
+    /// Number of times that a load or a run took more memory than there is.
     pub overcommits: u64,
-    /// Orders refused below the fence.
+    /// Number of orders refused because of the fence or the boot ID.
     pub fenced_off: u64,
 }
 
-/// Faults that a test injects; each counts down.
+/// Faults injected by a test. Each number is decremented when its fault occurs.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Orders carried out but not answered.
+    /// Number of orders to apply and then answer with an error.
     pub drop_answers: u32,
-    /// Orders lost before they are carried out.
+    /// Number of orders to fail before they are applied.
     pub drop_orders: u32,
-    /// Streams cut after their next piece.
+    /// Number of streams to cut after their next pieces.
     pub cut_streams: u32,
 }
 
@@ -139,22 +140,22 @@
     }
 }
 
-/// The text of a prompt's piece: any caller can tell whether an answer is
-/// whole and its own.
+/// Returns the text of a piece. It is derived from the prompt and the index, so that a caller can
+/// check that a response is complete and belongs to its prompt.
 pub fn piece_text(prompt: &str, index: u32) -> String {
     format!("{:08x}.{index} ", crc32fast::hash(prompt.as_bytes()))
 }
 
 /// A running engine stand-in.
 pub struct EngineStandin {
-    /// Where it serves.
+    /// Address on which it serves.
     pub address: SocketAddr,
     shared: Arc<EngineShared>,
     server: ntex::server::Server,
 }
 
 impl EngineStandin {
-    /// Starts on an address; port 0 lets the system choose.
+    /// Starts on an address; with port 0, the system chooses the port.
     pub async fn start(address: SocketAddr, traits: EngineTraits) -> Result<Self, DaemonError> {
         let (listener, address) = daemon::bind_http("engine", address)?;
         let state = EngineState {
@@ -187,12 +188,13 @@
         })
     }
 
-    /// What it saw so far.
+    /// Returns a copy of the record.
     pub fn record(&self) -> EngineRecord {
         self.shared.state().record.clone()
     }
 
-    /// Dies with all that it holds; its record stays readable.
+    /// Simulates a crash: ends all runs, drops all models and stops serving. The record stays
+    /// readable.
     pub async fn kill(&self) {
         {
             let mut state = self.shared.state();
@@ -257,7 +259,7 @@
     state.runs.insert(call.request_id, run);
 }
 
-/// Whether the prompt's prefix was cached; it is now.
+/// Adds the prefix of the prompt to the cache. Returns whether it was cached before.
 fn cache_prefix(state: &mut EngineState, prompt: &str) -> bool {
     let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
     let hash = crc32fast::hash(prefix.as_bytes());
@@ -279,7 +281,7 @@
         traits.prefill_us
     };
     tokio::time::sleep(Duration::from_micros(prefill)).await;
-    // Pieces fall due on a schedule, so that coarse timers do not slow it.
+    // Pieces are due on an absolute schedule, so that coarse timers do not slow generation down.
     let mut due = tokio::time::Instant::now();
     loop {
         let batch_size = engine.state().batch_size().saturating_sub(1);
@@ -332,7 +334,7 @@
 }
 
 impl StreamReader {
-    /// The next events; none at the end of the stream.
+    /// Waits for the next events; returns `None` at the end of the stream.
     async fn next_events(&mut self) -> Option<String> {
         if self.finished {
             return None;
@@ -447,7 +449,7 @@
     status(StatusCode::OK)
 }
 
-/// Takes or frees memory at once; returns the model whose load begins.
+/// Applies an order; memory is taken or freed at once. Returns the model whose load begins.
 fn apply_order(
     state: &mut EngineState,
     traits: &EngineTraits,
@@ -536,9 +538,9 @@
     status(StatusCode::OK)
 }
 
-/// The prompts that ran, for comparison with what callers were told.
 impl EngineRecord {
-    /// The prompts of all runs that started.
+    /// Returns the prompts of all runs that were started, to compare with the outcomes that callers
+    /// received.
     pub fn prompts(&self) -> BTreeSet<&str> {
         self.runs.iter().map(|run| run.prompt.as_str()).collect()
     }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,5 @@
-//! The weight store with its limits, and the platform's lagging list of hosts.
+//! Stand-ins for the weight store, which limits concurrent reads, and for the platform's list of
+//! hosts, which lags behind.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,12 +14,12 @@
 use crate::ids::HostName;
 use crate::process::daemon::{self, DaemonError};
 
-/// What the weight store is like.
+/// Properties of the weight store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreTraits {
-    /// Time of a read, in milliseconds.
+    /// Duration of a read, in milliseconds.
     pub read_ms: u64,
-    /// Reads at once.
+    /// Maximum number of concurrent reads; further ones are refused.
     pub max_reads: usize,
 }
 
@@ -42,9 +43,9 @@
     }
 }
 
-/// A running weight store.
+/// A running stand-in for the weight store.
 pub struct StoreStandin {
-    /// Where it serves.
+    /// Address on which it serves.
     pub address: SocketAddr,
     shared: Arc<StoreShared>,
 }
@@ -67,7 +68,7 @@
         Ok(Self { address, shared })
     }
 
-    /// Reads served and refused so far.
+    /// Returns the number of accepted reads and of refused ones.
     pub fn counts(&self) -> (u64, u64) {
         let state = self.shared.state();
         (state.reads, state.refused)
@@ -94,15 +95,15 @@
     leaving: Mutex<BTreeMap<HostName, u64>>,
 }
 
-/// A running list of hosts.
+/// A running stand-in for the platform's list of hosts.
 pub struct PlatformStandin {
-    /// Where it serves.
+    /// Address on which it serves.
     pub address: SocketAddr,
     shared: Arc<PlatformShared>,
 }
 
 impl PlatformStandin {
-    /// Starts on an address; changes show after `lag_ms`.
+    /// Starts on an address. Changes become visible after `lag_ms`.
     pub async fn start(address: SocketAddr, lag_ms: u64) -> Result<Self, DaemonError> {
         let (listener, address) = daemon::bind_http("platform", address)?;
         let shared = Arc::new(PlatformShared {
@@ -120,7 +121,7 @@
         Ok(Self { address, shared })
     }
 
-    /// Names a host as leaving.
+    /// Lists a host as leaving.
     pub fn leave(&self, host: HostName) {
         record_leaving(&self.shared, host);
     }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that keeps a record of every call.
+//! Stand-in for a plain service; keeps a record of every call.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,15 +10,15 @@
 
 use crate::process::daemon::{self, DaemonError};
 
-/// Calls of this path are carried out, and then answered as a failure.
+/// Path whose calls are recorded and then answered with an error.
 const FAILING_PATH: &str = "/failing";
 
-/// One call as the service saw it.
+/// Record of one call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRecord {
-    /// The path.
+    /// Path.
     pub path: String,
-    /// The body.
+    /// Body.
     pub body: String,
 }
 
@@ -29,7 +29,7 @@
 
 /// A running service stand-in.
 pub struct ServiceStandin {
-    /// Where it serves.
+    /// Address on which it serves.
     pub address: SocketAddr,
     shared: Arc<ServiceShared>,
     server: ntex::server::Server,
@@ -58,13 +58,13 @@
         })
     }
 
-    /// All calls so far.
+    /// Returns all calls so far.
     pub fn record(&self) -> Vec<ServiceRecord> {
         let calls = self.shared.calls.lock();
         calls.unwrap_or_else(|broken| broken.into_inner()).clone()
     }
 
-    /// Dies.
+    /// Simulates a crash: stops serving without a graceful shutdown.
     pub async fn kill(&self) {
         self.server.stop(false).await;
     }
