--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -40,7 +40,8 @@
     pub piece_us: u64,
     /// Time that each further run in the batch adds per piece, in microseconds.
     pub batch_us: u64,
-    /// Minimum age of a returned report once one is that old, in milliseconds.
+    /// Lag of reports, in milliseconds: a request returns the newest report that is at least this
+    /// old, or else the oldest one.
     pub report_lag_ms: u64,
     /// HTTP URL of the weight store that is queried before each load, if any.
     pub store_url: Option<String>,
