--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -42,7 +42,7 @@
 /// Interval between two removals of old attempts.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum time that a pull call waits for new pieces.
-const MAX_PULL_MS: u64 = 2_000;
+const MAX_PULL_WAIT_MS: u64 = 2_000;
 /// Maximum number of concurrent calls on one connection of an entry.
 const MAX_CALLS_PER_PEER: usize = 8192;
 /// Maximum time that a stopping agent waits for work in flight.
@@ -66,13 +66,13 @@
     fn admission(&self) -> MutexGuard<'_, AdmissionController> {
         self.admission
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn readers(&self) -> MutexGuard<'_, BTreeMap<AttemptId, Arc<Notify>>> {
         self.readers
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn reader(&self, attempt: AttemptId) -> Arc<Notify> {
@@ -297,8 +297,8 @@
         let requested_ms = clock::monotonic_ms();
         match engine.report().await {
             Ok(report) => {
-                let ended = agent.admission().on_report(&report, requested_ms);
-                for crashed in ended {
+                let crashes = agent.admission().on_report(&report, requested_ms);
+                for crashed in crashes {
                     tokio::spawn(report_crash(agent.clone(), crashed));
                 }
             }
@@ -310,7 +310,7 @@
     }
 }
 
-/// Reports a crash of the engine to the log, and retries until it is committed.
+/// Reports a crash of the engine to the log, with retries.
 async fn report_crash(agent: Arc<AgentShared>, crashed: CrashedIncarnation) {
     let report = CrashReport {
         replica: ReplicaIncarnation {
@@ -355,7 +355,7 @@
         .admission()
         .order_closed(clock::monotonic_ms(), &order);
     match result {
-        Ok(()) => tracing::debug!(?order, "engine accepted an order"),
+        Ok(()) => tracing::debug!(?order, "ordered"),
         Err(error) => tracing::warn!(%error, ?order, "order to the engine failed"),
     }
     agent.wake.notify_one();
@@ -451,7 +451,7 @@
         wait_ms: u64,
     ) -> AgentReply {
         let agent = &self.shared;
-        let wait = Duration::from_millis(wait_ms.min(MAX_PULL_MS));
+        let wait = Duration::from_millis(wait_ms.min(MAX_PULL_WAIT_MS));
         let reader = agent.reader(attempt);
         let until = tokio::time::Instant::now() + wait;
         loop {
--- a/src/entry/request_driver.rs
+++ b/src/entry/request_driver.rs
@@ -239,8 +239,8 @@
         }
     }
 
-    /// Performs a step until the deadline passes or the caller disconnects. After that, each step
-    /// is limited to [`FINAL_STEP_TIMEOUT`].
+    /// Performs a step, and aborts it when the deadline passes or the caller disconnects. After
+    /// that, each step is limited to [`FINAL_STEP_TIMEOUT`].
     async fn perform_before_deadline(&mut self, step: RequestStep) -> RequestEvent {
         let deadline_ms = match self.abandoned {
             true => clock::monotonic_ms() + FINAL_STEP_TIMEOUT.as_millis() as u64,
@@ -316,8 +316,8 @@
         });
     }
 
-    /// Picks a home, and waits if there is none: a model without a ready home is being loaded, and
-    /// a home that refuses may soon have capacity. Waits at most half of the remaining time and
+    /// Picks a home, and waits if there is none: control loads a model without a ready home again,
+    /// and a home that refuses may soon have capacity. Waits at most half of the remaining time and
     /// [`MAX_HOME_WAIT`], and not at all if the homes would still refuse the attempt after that.
     async fn await_home(&self) -> Pick {
         let wait = (self.remaining() / 2).min(MAX_HOME_WAIT);
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -205,13 +205,13 @@
     fn metrics(&self) -> MutexGuard<'_, MetricRegistry> {
         self.metrics
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     pub(crate) fn state(&self) -> MutexGuard<'_, EntryState> {
         self.state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     pub(crate) fn next_attempt(&self) -> AttemptId {
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -137,7 +137,7 @@
     fn state(&self) -> MutexGuard<'_, EngineState> {
         self.state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
@@ -521,7 +521,7 @@
     let mut reports = engine
         .reports
         .lock()
-        .unwrap_or_else(|broken| broken.into_inner());
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
     reports.push_back((now_ms, fresh));
     let lag_ms = engine.traits.report_lag_ms;
     while reports.len() > 1 && reports[1].0 + lag_ms <= now_ms {
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -39,7 +39,7 @@
     fn state(&self) -> MutexGuard<'_, StoreState> {
         self.state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
@@ -129,7 +129,7 @@
 
 fn record_leaving(platform: &PlatformShared, host: HostName) {
     let leaving = platform.leaving.lock();
-    let mut leaving = leaving.unwrap_or_else(|broken| broken.into_inner());
+    let mut leaving = leaving.unwrap_or_else(|poisoned| poisoned.into_inner());
     leaving.insert(host, clock::monotonic_ms());
 }
 
@@ -137,7 +137,7 @@
 
 async fn hosts(platform: Platform) -> HttpResponse {
     let leaving = platform.leaving.lock();
-    let leaving = leaving.unwrap_or_else(|broken| broken.into_inner());
+    let leaving = leaving.unwrap_or_else(|poisoned| poisoned.into_inner());
     let now_ms = clock::monotonic_ms();
     let shown = leaving
         .iter()
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -61,7 +61,9 @@
     /// Returns all calls so far.
     pub fn record(&self) -> Vec<ServiceRecord> {
         let calls = self.shared.calls.lock();
-        calls.unwrap_or_else(|broken| broken.into_inner()).clone()
+        calls
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clone()
     }
 
     /// Simulates a crash: stops serving without a graceful shutdown.
@@ -81,7 +83,7 @@
     };
     let calls = service.calls.lock();
     calls
-        .unwrap_or_else(|broken| broken.into_inner())
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
         .push(received);
     tokio::time::sleep(service.call_time).await;
     match request.path() {
@@ -92,6 +94,6 @@
 
 async fn record(service: Service) -> HttpResponse {
     let calls = service.calls.lock();
-    let calls = calls.unwrap_or_else(|broken| broken.into_inner());
+    let calls = calls.unwrap_or_else(|poisoned| poisoned.into_inner());
     HttpResponse::Ok().json(&*calls)
 }
