--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -1,4 +1,4 @@
-//! The entry daemon's shell: performs the steps of each request's flight.
+//! The shell of the entry daemon: start, stop, heartbeats, and the state that requests share.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::consensus::state::MemberRole;
 use crate::entry::caller;
-use crate::entry::flight_steps::CallerRequest;
+use crate::entry::request_driver::CallerRequest;
 use crate::ids::{AttemptId, Incarnation, ModelName, Position, RowId};
 use crate::placement::target_controller::EntryHeartbeat;
 use crate::process::daemon::{self, DaemonError};
@@ -28,35 +28,36 @@
 use crate::routing::route::LoadTracker;
 use crate::table::limits::ShareHolder;
 
-/// Time between two beats.
-const BEAT: Duration = Duration::from_millis(250);
-/// Time for one beat's answer.
-const BEAT_TIME: Duration = Duration::from_millis(800);
-/// Longest wait of a planned stop for requests in flight.
-const STOP_TIME: Duration = Duration::from_secs(120);
-const STOP_LOOK: Duration = Duration::from_millis(20);
+/// Interval between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a heartbeat call.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum time that a planned stop waits for requests in flight.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(120);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What one entry knows and counts.
+/// Mutable state of an entry.
 pub(crate) struct EntryState {
     pub(crate) loads: LoadTracker,
     pub(crate) shares: ShareHolder,
     pub(crate) retries: RetryBudget,
-    /// What agents said of attempts that they refused.
+    /// Refusals received from agents.
     pub(crate) refusals: RefusalTracker,
-    pub(crate) refused: BTreeMap<ModelName, u32>,
+    /// Number of refusals for overload of each model since the last heartbeat.
+    pub(crate) refusal_counts: BTreeMap<ModelName, u32>,
     pub(crate) rng: SmallRng,
 }
 
-/// What the entry's tasks and HTTP threads share.
+/// State shared by the entry's tasks and HTTP threads.
 pub struct EntryShared {
     /// The settings.
     pub settings: EntrySettings,
-    /// The way to control.
+    /// Connection to the control hosts.
     pub link: Arc<ControlLink>,
-    /// The copy of the site.
+    /// Copy of the site state.
     pub follower: SiteFollower,
     pub(crate) agents: PeerPool<AgentWireClient>,
-    life: Incarnation,
+    incarnation: Incarnation,
     address: String,
     state: Mutex<EntryState>,
     metrics: Mutex<MetricRegistry>,
@@ -68,9 +69,9 @@
 
 /// A running entry daemon.
 pub struct EntryDaemon {
-    /// Where callers and operators reach it.
+    /// Address for callers and operators.
     pub callers: SocketAddr,
-    /// Where metrics and health are served.
+    /// Address of the metrics and health endpoints.
     pub watch: SocketAddr,
     shared: Arc<EntryShared>,
     server: ntex::server::Server,
@@ -85,8 +86,8 @@
         let link = Arc::new(ControlLink::new(secret.clone(), control));
         let address = callers.to_string();
         let role = MemberRole::Entry;
-        let life = member::join(&link, &settings.common, role, &address).await?;
-        let asked_ms = clock::monotonic_ms();
+        let incarnation = member::join(&link, &settings.common, role, &address).await?;
+        let requested_ms = clock::monotonic_ms();
         let follower = SiteFollower::new(link.clone());
         follower.start().await?;
         let limits = follower.view().site.limits;
@@ -95,19 +96,19 @@
             shares: ShareHolder::new(limits),
             retries: RetryBudget::new(settings.route.retries()),
             refusals: RefusalTracker::default(),
-            refused: BTreeMap::new(),
-            rng: SmallRng::seed_from_u64(life.0),
+            refusal_counts: BTreeMap::new(),
+            rng: SmallRng::seed_from_u64(incarnation.0),
         };
         let shared = Arc::new(EntryShared {
             link,
             follower,
             agents: PeerPool::new(secret, peers::dial_agent),
-            life,
+            incarnation,
             address,
             state: Mutex::new(state),
             metrics: Mutex::new(MetricRegistry::default()),
             next_attempt: AtomicU64::new(1),
-            confirmed_ms: AtomicU64::new(asked_ms),
+            confirmed_ms: AtomicU64::new(requested_ms),
             stopping: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
             settings,
@@ -115,7 +116,7 @@
         let server = caller::serve(shared.clone(), listener)?;
         let watch = serve_health(&shared).await?;
         start_tasks(&shared);
-        tracing::info!(%callers, %watch, %life, "entry started");
+        tracing::info!(%callers, %watch, life = %incarnation, "entry started");
         Ok(Self {
             callers,
             watch,
@@ -124,20 +125,20 @@
         })
     }
 
-    /// Takes no new requests, ends those in flight, and leaves the site.
+    /// Refuses new requests, waits for those in flight, and leaves the site.
     pub async fn stop(&self) {
         let shared = &self.shared;
         shared.stopping.store(true, Ordering::SeqCst);
         let drained = async {
             while shared.in_flight.load(Ordering::SeqCst) > 0 {
-                tokio::time::sleep(STOP_LOOK).await;
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
-        if tokio::time::timeout(STOP_TIME, drained).await.is_err() {
-            tracing::warn!("stops with requests in flight");
+        if tokio::time::timeout(DRAIN_TIMEOUT, drained).await.is_err() {
+            tracing::warn!("drain timed out; stopping with requests in flight");
         }
-        let (_, beat) = make_beat(shared, true);
-        let _ = send_beat(shared, &beat).await;
+        let (_, heartbeat) = make_heartbeat(shared, true);
+        let _ = send_heartbeat(shared, &heartbeat).await;
         self.server.stop(true).await;
     }
 }
@@ -149,13 +150,14 @@
         entry.follower.run(seed, |_| {}).await;
     });
     let entry = shared.clone();
-    tokio::spawn(async move { beat_loop(&entry).await });
+    tokio::spawn(async move { heartbeat_loop(&entry).await });
 }
 
 impl EntryShared {
-    /// Counts a request as in flight until the guard is dropped; none while stopping.
-    pub fn admit(self: &Arc<Self>) -> Result<InFlight, EndCause> {
-        let guard = InFlight(self.clone());
+    /// Counts a request as in flight until the guard is dropped. Refuses it while the entry is
+    /// stopping or its copy of the table is stale.
+    pub fn admit(self: &Arc<Self>) -> Result<InFlightGuard, EndCause> {
+        let guard = InFlightGuard(self.clone());
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         match self.is_stopping() {
             true => Err(EndCause::Stopping),
@@ -169,13 +171,13 @@
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Whether the leader has not confirmed this copy of the table for too long.
+    /// Whether the leader has not confirmed this copy of the table for longer than `stale_ms`.
     pub fn is_stale(&self) -> bool {
         let confirmed = self.confirmed_ms.load(Ordering::SeqCst);
         confirmed + self.settings.stale_ms < clock::monotonic_ms()
     }
 
-    /// Counts an outcome and its time for a partner and class.
+    /// Records the outcome and the duration of a request, by partner and class.
     pub fn record(&self, request: &CallerRequest, outcome: &RequestOutcome, started: Instant) {
         let (name, cause) = outcome_names(outcome);
         let labels = [
@@ -184,13 +186,13 @@
             ("outcome", name),
             ("cause", cause),
         ];
-        let mut book = self.metrics();
-        book.count(MetricKey::new("dunlinspring_requests_total", &labels), 1);
+        let mut registry = self.metrics();
+        registry.count(MetricKey::new("dunlinspring_requests_total", &labels), 1);
         let key = MetricKey::new("dunlinspring_request_seconds", &labels[..3]);
-        book.time(key, started.elapsed().as_micros() as u64);
+        registry.time(key, started.elapsed().as_micros() as u64);
     }
 
-    pub(crate) fn record_first(&self, request: &CallerRequest, started: Instant) {
+    pub(crate) fn record_first_piece(&self, request: &CallerRequest, started: Instant) {
         let labels = [
             ("partner", request.partner.as_str()),
             ("class", request.fields.fields.class.as_str()),
@@ -203,33 +205,33 @@
     fn metrics(&self) -> MutexGuard<'_, MetricRegistry> {
         self.metrics
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     pub(crate) fn state(&self) -> MutexGuard<'_, EntryState> {
         self.state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     pub(crate) fn next_attempt(&self) -> AttemptId {
         AttemptId {
-            entry: self.life,
+            entry: self.incarnation,
             number: self.next_attempt.fetch_add(1, Ordering::SeqCst),
         }
     }
 }
 
-/// A request in flight.
-pub struct InFlight(Arc<EntryShared>);
+/// Counts a request as in flight until it is dropped.
+pub struct InFlightGuard(Arc<EntryShared>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// The outcome and cause as callers and metrics show them.
+/// Returns the names of the outcome and the cause in responses and metrics.
 pub fn outcome_names(outcome: &RequestOutcome) -> (&'static str, &'static str) {
     match outcome {
         RequestOutcome::Done | RequestOutcome::Replayed(_) => ("done", ""),
@@ -238,91 +240,93 @@
     }
 }
 
-fn make_beat(entry: &EntryShared, stopped: bool) -> (u64, EntryHeartbeat) {
+fn make_heartbeat(entry: &EntryShared, stopped: bool) -> (u64, EntryHeartbeat) {
     let limits = {
         let view = entry.follower.view();
         let rows = view.rows.iter();
         let rows = rows.map(|(id, row)| (id.clone(), row.fields.max_running));
         rows.collect::<BTreeMap<RowId, u32>>()
     };
-    // The copy's lock is never taken under the state's.
+    // Lock order: the lock of the copy is never taken while the state is locked.
     let position = entry.follower.position();
     let mut state = entry.state();
     let now_ms = clock::monotonic_ms();
-    let (asked, claims) = state
+    let (request_number, claims) = state
         .shares
         .next_request(now_ms, |row| limits.get(row).copied());
-    let beat = EntryHeartbeat {
+    let heartbeat = EntryHeartbeat {
         host: entry.settings.common.host.clone(),
-        incarnation: entry.life,
+        incarnation: entry.incarnation,
         position,
-        number: asked,
+        number: request_number,
         limits: claims,
-        refused: std::mem::take(&mut state.refused),
+        refused: std::mem::take(&mut state.refusal_counts),
         stopped,
     };
-    (asked, beat)
+    (request_number, heartbeat)
 }
 
-async fn send_beat(
+async fn send_heartbeat(
     entry: &EntryShared,
-    beat: &EntryHeartbeat,
+    heartbeat: &EntryHeartbeat,
 ) -> Result<EntryHeartbeatReply, peers::PeerError> {
     entry
         .link
-        .call_leader("entry_beat", BEAT_TIME, |client, context| {
-            let beat = beat.clone();
-            async move { client.entry_beat(context, beat).await }
+        .call_leader("entry_beat", HEARTBEAT_TIMEOUT, |client, context| {
+            let heartbeat = heartbeat.clone();
+            async move { client.entry_beat(context, heartbeat).await }
         })
         .await
 }
 
-async fn beat_loop(entry: &EntryShared) {
-    // The leader's word at the last beat: the copy is confirmed once it is there.
-    let mut open: Option<(u64, Position)> = None;
+async fn heartbeat_loop(entry: &EntryShared) {
+    // Send time and replied position of a heartbeat. The copy is confirmed as of that time once it
+    // has reached the position.
+    let mut unconfirmed: Option<(u64, Position)> = None;
     loop {
-        let asked_ms = clock::monotonic_ms();
-        let (asked, beat) = make_beat(entry, false);
-        match send_beat(entry, &beat).await {
-            Ok(orders) => {
-                entry.follower.observe_position(orders.position);
+        let requested_ms = clock::monotonic_ms();
+        let (request_number, heartbeat) = make_heartbeat(entry, false);
+        match send_heartbeat(entry, &heartbeat).await {
+            Ok(reply) => {
+                entry.follower.observe_position(reply.position);
                 entry
                     .state()
                     .shares
-                    .apply_grants(asked, asked_ms, &orders.grants);
-                open = open.or(Some((asked_ms, orders.position)));
-                if orders.rejoin {
+                    .apply_grants(request_number, requested_ms, &reply.grants);
+                unconfirmed = unconfirmed.or(Some((requested_ms, reply.position)));
+                if reply.rejoin {
                     rejoin(entry).await;
                 }
             }
-            Err(error) => tracing::debug!(%error, "no answer to a beat"),
+            Err(error) => tracing::debug!(%error, "heartbeat failed"),
         }
-        if let Some((asked_ms, position)) = open
+        if let Some((requested_ms, position)) = unconfirmed
             && entry.follower.position() >= position
         {
-            entry.confirmed_ms.fetch_max(asked_ms, Ordering::SeqCst);
-            open = None;
+            entry.confirmed_ms.fetch_max(requested_ms, Ordering::SeqCst);
+            unconfirmed = None;
         }
-        drop_old(entry);
-        tokio::time::sleep(BEAT).await;
+        prune_state(entry);
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
 async fn rejoin(entry: &EntryShared) {
     let role = MemberRole::Entry;
     let common = &entry.settings.common;
-    match member::rejoin(&entry.link, common, role, &entry.address, entry.life).await {
-        Ok(true) => tracing::info!("was taken for lost, and is back"),
+    match member::rejoin(&entry.link, common, role, &entry.address, entry.incarnation).await {
+        Ok(true) => tracing::info!("rejoined after being considered lost"),
         Ok(false) => {
-            tracing::error!("another process has taken this entry's name: takes no more requests");
+            tracing::error!("another process has taken this host name; refusing new requests");
             entry.stopping.store(true, Ordering::SeqCst);
         }
-        Err(error) => tracing::debug!(%error, "cannot rejoin"),
+        Err(error) => tracing::debug!(%error, "rejoin failed"),
     }
 }
 
-/// Forgets what is known of targets, rows and agents that are gone.
-fn drop_old(entry: &EntryShared) {
+/// Removes the state of targets, rows and agents that no longer exist, and expired
+/// refusals.
+fn prune_state(entry: &EntryShared) {
     let view = entry.follower.view();
     let mut state = entry.state();
     state.loads.retain(|target| view.agent_of(target).is_some());
@@ -353,16 +357,16 @@
 
 fn render(entry: &EntryShared) -> String {
     let position = entry.follower.position();
-    let mut book = entry.metrics();
+    let mut registry = entry.metrics();
     let in_flight = entry.in_flight.load(Ordering::SeqCst) as u64;
-    book.gauge(
+    registry.gauge(
         MetricKey::new("dunlinspring_table_position", &[]),
         position.0,
     );
-    book.gauge(MetricKey::new("dunlinspring_in_flight", &[]), in_flight);
-    book.gauge(
+    registry.gauge(MetricKey::new("dunlinspring_in_flight", &[]), in_flight);
+    registry.gauge(
         MetricKey::new("dunlinspring_stale", &[]),
         u64::from(entry.is_stale()),
     );
-    book.render()
+    registry.render()
 }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -1,5 +1,5 @@
-//! An engine: batches, holds memory, streams, resumes, cancels, and keeps a
-//! record of every run of its own.
+//! Stand-in for an engine: batches runs, accounts for memory, streams, resumes and cancels. Keeps
+//! its own record of every run.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -14,74 +14,76 @@
 
 use crate::admission::controller::{EngineOrder, OrderAct};
 use crate::admission::ledger::{EngineReport, OrderSeq, ResidentInfo, RunningInfo};
-use crate::agent::engine::{DONE, EnginePiece, EngineRun};
+use crate::agent::engine::{DONE_MARKER, EnginePiece, EngineRun};
 use crate::ids::{AttemptId, ModelName};
 use crate::process::daemon::{self, DaemonError};
 
-/// Prefixes that the cache holds.
-const CACHED_PREFIXES: usize = 64;
-/// Characters of a prompt that count as its prefix.
-const PREFIX_LEN: usize = 64;
+/// Maximum number of cached prefixes.
+const MAX_CACHED_PREFIXES: usize = 64;
+/// Number of leading characters of a prompt that form its prefix.
+const PREFIX_CHARS: usize = 64;
 
-/// What an engine is like.
+/// Properties of an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineTraits {
     /// Accelerator memory, in MiB.
     pub memory_mib: u64,
-    /// Whether it refuses orders below its fence.
+    /// Whether the engine refuses orders and runs below its fences, or for another boot ID.
     pub fenced: bool,
-    /// Time of a load, in milliseconds.
+    /// Duration of a load, in milliseconds.
     pub load_ms: u64,
-    /// Time before the first piece without a cached prefix, in microseconds.
+    /// Time before the first piece if the prefix is not cached, in microseconds; a tenth of it if
+    /// it is.
     pub prefill_us: u64,
-    /// Time of a piece when alone, in microseconds.
+    /// Time per piece of a run that is alone in the batch, in microseconds.
     pub piece_us: u64,
-    /// Time that each further run of the batch adds to a piece, in microseconds.
+    /// Time that each further run in the batch adds per piece, in microseconds.
     pub batch_us: u64,
-    /// Age of a report, in milliseconds.
+    /// Lag of reports, in milliseconds: a request returns the newest report that is at least this
+    /// old, or else the oldest one.
     pub report_lag_ms: u64,
-    /// The weight store that is asked before a load, as an HTTP URL.
+    /// HTTP URL of the weight store that is queried before each load, if any.
     pub store_url: Option<String>,
 }
 
-/// One run as the engine saw it.
+/// Record of one run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// The run.
+    /// Attempt ID.
     pub attempt: AttemptId,
-    /// Its model.
+    /// Model.
     pub model: ModelName,
-    /// Its prompt.
+    /// Prompt.
     pub prompt: String,
-    /// Whether it came to its end.
+    /// Whether the run completed.
     pub whole: bool,
 }
 
-/// What the engine saw so far.
+/// Record of what an engine has done so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRecord {
-    /// All runs that started.
+    /// All runs that were started.
     pub runs: Vec<RunRecord>,
-    /// Loads and unloads done.
+    /// Number of loads and unloads begun.
     pub moves: u64,
-    /// The most memory that was ever taken, in MiB.
+    /// Peak memory use, in MiB.
     pub peak_mib: u64,
-    /// Times that an order would have taken more memory than there is.
+    /// Number of times that a load or a run took more memory than there is.
     pub overcommits: u64,
-    /// Orders refused below the fence.
+    /// Number of orders refused because of the fence or the boot ID.
     pub fenced_off: u64,
 }
 
-/// Faults that a test injects; each counts down.
+/// Faults injected by a test. Each number is decremented when its fault occurs.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Orders carried out but not answered.
+    /// Number of orders to apply and then answer with an error.
     pub drop_answers: u32,
-    /// Orders lost before they are carried out.
+    /// Number of orders to fail before they are applied.
     pub drop_orders: u32,
-    /// Streams cut after their next piece.
+    /// Number of streams to cut after their next pieces.
     pub cut_streams: u32,
 }
 
@@ -90,7 +92,7 @@
     pieces: u32,
     ended: bool,
     cancelled: bool,
-    news: Arc<Notify>,
+    progress: Arc<Notify>,
 }
 
 #[derive(Default)]
@@ -112,7 +114,7 @@
         models + live.map(|run| run.call.kv_mib).sum::<u64>()
     }
 
-    fn note_memory(&mut self, capacity: u64) {
+    fn record_memory(&mut self, capacity: u64) {
         let used = self.used_mib();
         self.record.peak_mib = self.record.peak_mib.max(used);
         if used > capacity {
@@ -120,7 +122,7 @@
         }
     }
 
-    fn batch(&self) -> u64 {
+    fn batch_size(&self) -> u64 {
         self.runs.values().filter(|run| !run.ended).count() as u64
     }
 }
@@ -135,26 +137,26 @@
     fn state(&self) -> MutexGuard<'_, EngineState> {
         self.state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-/// The text of a prompt's piece: any caller can tell whether an answer is
-/// whole and its own.
+/// Returns the text of a piece. It is derived from the prompt and the index, so that a caller can
+/// check that a response is complete and belongs to its prompt.
 pub fn piece_text(prompt: &str, index: u32) -> String {
     format!("{:08x}.{index} ", crc32fast::hash(prompt.as_bytes()))
 }
 
 /// A running engine stand-in.
 pub struct EngineStandin {
-    /// Where it serves.
+    /// Address on which it serves.
     pub address: SocketAddr,
     shared: Arc<EngineShared>,
     server: ntex::server::Server,
 }
 
 impl EngineStandin {
-    /// Starts on an address; port 0 lets the system choose.
+    /// Starts on an address; with port 0, the system chooses the port.
     pub async fn start(address: SocketAddr, traits: EngineTraits) -> Result<Self, DaemonError> {
         let (listener, address) = daemon::bind_http("engine", address)?;
         let state = EngineState {
@@ -187,12 +189,13 @@
         })
     }
 
-    /// What it saw so far.
+    /// Returns a copy of the record.
     pub fn record(&self) -> EngineRecord {
         self.shared.state().record.clone()
     }
 
-    /// Dies with all that it holds; its record stays readable.
+    /// Simulates a crash: ends all runs, drops all models and stops serving. The record stays
+    /// readable.
     pub async fn kill(&self) {
         {
             let mut state = self.shared.state();
@@ -200,7 +203,7 @@
             for run in state.runs.values_mut() {
                 run.cancelled = true;
                 run.ended = true;
-                run.news.notify_waiters();
+                run.progress.notify_waiters();
             }
         }
         self.server.stop(false).await;
@@ -216,7 +219,7 @@
 async fn run(engine: Engine, call: types::Json<EngineRun>) -> HttpResponse {
     let call = call.into_inner();
     let id = call.request_id;
-    let warm = {
+    let prefix_cached = {
         let mut state = engine.state();
         let ready = state
             .resident
@@ -233,10 +236,10 @@
             return status(StatusCode::CONFLICT);
         }
         start_run(&mut state, &call);
-        state.note_memory(engine.traits.memory_mib);
-        note_prefix(&mut state, &call.prompt)
+        state.record_memory(engine.traits.memory_mib);
+        cache_prefix(&mut state, &call.prompt)
     };
-    ntex::rt::spawn(generate(Arc::clone(&engine), id, warm));
+    ntex::rt::spawn(generate(Arc::clone(&engine), id, prefix_cached));
     stream(&engine, id, 0)
 }
 
@@ -252,38 +255,38 @@
         pieces: 0,
         ended: false,
         cancelled: false,
-        news: Arc::new(Notify::new()),
+        progress: Arc::new(Notify::new()),
     };
     state.runs.insert(call.request_id, run);
 }
 
-/// Whether the prompt's prefix was cached; it is now.
-fn note_prefix(state: &mut EngineState, prompt: &str) -> bool {
-    let prefix: String = prompt.chars().take(PREFIX_LEN).collect();
+/// Adds the prefix of the prompt to the cache. Returns whether it was cached before.
+fn cache_prefix(state: &mut EngineState, prompt: &str) -> bool {
+    let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
     let hash = crc32fast::hash(prefix.as_bytes());
-    let warm = state.prefixes.contains(&hash);
-    if !warm {
+    let prefix_cached = state.prefixes.contains(&hash);
+    if !prefix_cached {
         state.prefixes.push_back(hash);
     }
-    if state.prefixes.len() > CACHED_PREFIXES {
+    if state.prefixes.len() > MAX_CACHED_PREFIXES {
         state.prefixes.pop_front();
     }
-    warm
+    prefix_cached
 }
 
-async fn generate(engine: Arc<EngineShared>, id: AttemptId, warm: bool) {
+async fn generate(engine: Arc<EngineShared>, id: AttemptId, prefix_cached: bool) {
     let traits = &engine.traits;
-    let prefill = if warm {
+    let prefill = if prefix_cached {
         traits.prefill_us / 10
     } else {
         traits.prefill_us
     };
     tokio::time::sleep(Duration::from_micros(prefill)).await;
-    // Pieces fall due on a schedule, so that coarse timers do not slow it.
+    // Pieces are due on an absolute schedule, so that coarse timers do not slow generation down.
     let mut due = tokio::time::Instant::now();
     loop {
-        let batch = engine.state().batch().saturating_sub(1);
-        due += Duration::from_micros(traits.piece_us + traits.batch_us * batch);
+        let batch_size = engine.state().batch_size().saturating_sub(1);
+        due += Duration::from_micros(traits.piece_us + traits.batch_us * batch_size);
         tokio::time::sleep_until(due).await;
         let mut state = engine.state();
         let Some(run) = state.runs.get_mut(&id) else {
@@ -291,14 +294,14 @@
         };
         if run.cancelled {
             run.ended = true;
-            run.news.notify_waiters();
+            run.progress.notify_waiters();
             return;
         }
         run.pieces += 1;
-        let whole = run.call.given + run.pieces >= run.call.max_tokens;
-        run.ended = whole;
-        run.news.notify_waiters();
-        if whole {
+        let complete = run.call.given + run.pieces >= run.call.max_tokens;
+        run.ended = complete;
+        run.progress.notify_waiters();
+        if complete {
             let mut records = state.record.runs.iter_mut().rev();
             if let Some(record) = records.find(|record| record.attempt == id) {
                 record.whole = true;
@@ -308,22 +311,22 @@
     }
 }
 
-struct Reader {
+struct StreamReader {
     engine: Arc<EngineShared>,
     id: AttemptId,
     next: u32,
-    over: bool,
+    finished: bool,
 }
 
 fn stream(engine: &Engine, id: AttemptId, from: u32) -> HttpResponse {
-    let reader = Reader {
+    let reader = StreamReader {
         engine: Arc::clone(engine),
         id,
         next: from,
-        over: false,
+        finished: false,
     };
     let events = futures::stream::unfold(reader, |mut reader| async move {
-        let text = reader.read().await?;
+        let text = reader.next_events().await?;
         Some((Ok::<_, std::io::Error>(Bytes::from(text)), reader))
     });
     HttpResponse::Ok()
@@ -331,28 +334,28 @@
         .streaming(Box::pin(events))
 }
 
-impl Reader {
-    /// The next events; none at the end of the stream.
-    async fn read(&mut self) -> Option<String> {
-        if self.over {
+impl StreamReader {
+    /// Waits for the next events; returns `None` at the end of the stream.
+    async fn next_events(&mut self) -> Option<String> {
+        if self.finished {
             return None;
         }
         loop {
-            let news = self.engine.state().runs.get(&self.id)?.news.clone();
-            let wait = news.notified();
+            let progress = self.engine.state().runs.get(&self.id)?.progress.clone();
+            let wait = progress.notified();
             tokio::pin!(wait);
             wait.as_mut().enable();
-            if let Some(text) = self.take() {
+            if let Some(text) = self.take_events() {
                 return Some(text);
             }
-            if self.over {
+            if self.finished {
                 return None;
             }
             wait.await;
         }
     }
 
-    fn take(&mut self) -> Option<String> {
+    fn take_events(&mut self) -> Option<String> {
         let mut state = self.engine.state();
         let run = state.runs.get(&self.id)?;
         let mut text = String::new();
@@ -366,17 +369,17 @@
         }
         self.next = self.next.max(run.pieces);
         match (run.ended, run.cancelled) {
-            (true, true) => self.over = true,
+            (true, true) => self.finished = true,
             (true, false) => {
-                text.push_str(&format!("data: {DONE}\n\n"));
-                self.over = true;
+                text.push_str(&format!("data: {DONE_MARKER}\n\n"));
+                self.finished = true;
             }
             (false, _) => {}
         }
         if state.faults.cut_streams > 0 && !text.is_empty() {
             state.faults.cut_streams -= 1;
-            self.over = true;
-            text = text.replace(DONE, "cut");
+            self.finished = true;
+            text = text.replace(DONE_MARKER, "cut");
             let cut = text.find("data: cut").unwrap_or(text.len());
             text.truncate(cut);
         }
@@ -412,7 +415,7 @@
         Some(run) => {
             run.cancelled = !run.ended;
             run.ended = true;
-            run.news.notify_waiters();
+            run.progress.notify_waiters();
             status(StatusCode::OK)
         }
         None => status(StatusCode::NOT_FOUND),
@@ -434,7 +437,7 @@
             return status(StatusCode::CONFLICT);
         }
         state.fence = state.fence.max(order.seq);
-        carry_out(&mut state, traits, &order)
+        apply_order(&mut state, traits, &order)
     };
     if let Some(model) = load {
         ntex::rt::spawn(finish_load(Arc::clone(&engine), model));
@@ -447,8 +450,8 @@
     status(StatusCode::OK)
 }
 
-/// Takes or frees memory at once; returns the model whose load begins.
-fn carry_out(
+/// Applies an order; memory is taken or freed at once. Returns the model whose load begins.
+fn apply_order(
     state: &mut EngineState,
     traits: &EngineTraits,
     order: &EngineOrder,
@@ -472,7 +475,7 @@
             };
             state.resident.insert(model.clone(), info);
             state.record.moves += 1;
-            state.note_memory(traits.memory_mib);
+            state.record_memory(traits.memory_mib);
             Some(model.clone())
         }
     }
@@ -518,7 +521,7 @@
     let mut reports = engine
         .reports
         .lock()
-        .unwrap_or_else(|broken| broken.into_inner());
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
     reports.push_back((now_ms, fresh));
     let lag_ms = engine.traits.report_lag_ms;
     while reports.len() > 1 && reports[1].0 + lag_ms <= now_ms {
@@ -536,9 +539,9 @@
     status(StatusCode::OK)
 }
 
-/// The prompts that ran, for comparison with what callers were told.
 impl EngineRecord {
-    /// The prompts of all runs that started.
+    /// Returns the prompts of all runs that were started, to compare with the outcomes that callers
+    /// received.
     pub fn prompts(&self) -> BTreeSet<&str> {
         self.runs.iter().map(|run| run.prompt.as_str()).collect()
     }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,5 @@
-//! The weight store with its limits, and the platform's lagging list of hosts.
+//! Stand-ins for the weight store, which limits concurrent reads, and for the platform's list of
+//! hosts, which lags behind.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,13 +14,13 @@
 use crate::ids::HostName;
 use crate::process::daemon::{self, DaemonError};
 
-/// What the weight store is like.
+/// Properties of the weight store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreTraits {
-    /// Time of a read, in milliseconds.
+    /// Duration of a read, in milliseconds.
     pub read_ms: u64,
-    /// Reads at once.
-    pub at_once: usize,
+    /// Maximum number of concurrent reads; further ones are refused.
+    pub max_reads: usize,
 }
 
 #[derive(Default)]
@@ -38,13 +39,13 @@
     fn state(&self) -> MutexGuard<'_, StoreState> {
         self.state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-/// A running weight store.
+/// A running stand-in for the weight store.
 pub struct StoreStandin {
-    /// Where it serves.
+    /// Address on which it serves.
     pub address: SocketAddr,
     shared: Arc<StoreShared>,
 }
@@ -67,7 +68,7 @@
         Ok(Self { address, shared })
     }
 
-    /// Reads served and refused so far.
+    /// Returns the number of accepted reads and of refused ones.
     pub fn counts(&self) -> (u64, u64) {
         let state = self.shared.state();
         (state.reads, state.refused)
@@ -77,7 +78,7 @@
 async fn load(store: types::State<Arc<StoreShared>>) -> HttpResponse {
     {
         let mut state = store.state();
-        if state.reading >= store.traits.at_once {
+        if state.reading >= store.traits.max_reads {
             state.refused += 1;
             return HttpResponse::new(StatusCode::TOO_MANY_REQUESTS);
         }
@@ -94,15 +95,15 @@
     leaving: Mutex<BTreeMap<HostName, u64>>,
 }
 
-/// A running list of hosts.
+/// A running stand-in for the platform's list of hosts.
 pub struct PlatformStandin {
-    /// Where it serves.
+    /// Address on which it serves.
     pub address: SocketAddr,
     shared: Arc<PlatformShared>,
 }
 
 impl PlatformStandin {
-    /// Starts on an address; changes show after `lag_ms`.
+    /// Starts on an address. Changes become visible after `lag_ms`.
     pub async fn start(address: SocketAddr, lag_ms: u64) -> Result<Self, DaemonError> {
         let (listener, address) = daemon::bind_http("platform", address)?;
         let shared = Arc::new(PlatformShared {
@@ -120,15 +121,15 @@
         Ok(Self { address, shared })
     }
 
-    /// Names a host as leaving.
+    /// Lists a host as leaving.
     pub fn leave(&self, host: HostName) {
-        note_leaving(&self.shared, host);
+        record_leaving(&self.shared, host);
     }
 }
 
-fn note_leaving(platform: &PlatformShared, host: HostName) {
+fn record_leaving(platform: &PlatformShared, host: HostName) {
     let leaving = platform.leaving.lock();
-    let mut leaving = leaving.unwrap_or_else(|broken| broken.into_inner());
+    let mut leaving = leaving.unwrap_or_else(|poisoned| poisoned.into_inner());
     leaving.insert(host, clock::monotonic_ms());
 }
 
@@ -136,7 +137,7 @@
 
 async fn hosts(platform: Platform) -> HttpResponse {
     let leaving = platform.leaving.lock();
-    let leaving = leaving.unwrap_or_else(|broken| broken.into_inner());
+    let leaving = leaving.unwrap_or_else(|poisoned| poisoned.into_inner());
     let now_ms = clock::monotonic_ms();
     let shown = leaving
         .iter()
@@ -148,6 +149,6 @@
 }
 
 async fn leave(platform: Platform, host: types::Path<String>) -> HttpResponse {
-    note_leaving(&platform, HostName(host.into_inner()));
+    record_leaving(&platform, HostName(host.into_inner()));
     HttpResponse::Ok().finish()
 }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that keeps a record of every call.
+//! Stand-in for a plain service; keeps a record of every call.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,37 +10,37 @@
 
 use crate::process::daemon::{self, DaemonError};
 
-/// Calls of this path are carried out, and then answered as a failure.
+/// Path whose calls are recorded and then answered with an error.
 const FAILING_PATH: &str = "/failing";
 
-/// One call as the service saw it.
+/// Record of one call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRecord {
-    /// The path.
+    /// Path.
     pub path: String,
-    /// The body.
+    /// Body.
     pub body: String,
 }
 
 struct ServiceShared {
-    time: Duration,
+    call_time: Duration,
     calls: Mutex<Vec<ServiceRecord>>,
 }
 
 /// A running service stand-in.
 pub struct ServiceStandin {
-    /// Where it serves.
+    /// Address on which it serves.
     pub address: SocketAddr,
     shared: Arc<ServiceShared>,
     server: ntex::server::Server,
 }
 
 impl ServiceStandin {
-    /// Starts on an address; each call takes `time`.
-    pub async fn start(address: SocketAddr, time: Duration) -> Result<Self, DaemonError> {
+    /// Starts on an address; each call takes `call_time`.
+    pub async fn start(address: SocketAddr, call_time: Duration) -> Result<Self, DaemonError> {
         let (listener, address) = daemon::bind_http("service", address)?;
         let shared = Arc::new(ServiceShared {
-            time,
+            call_time,
             calls: Mutex::new(Vec::new()),
         });
         let service = shared.clone();
@@ -58,13 +58,15 @@
         })
     }
 
-    /// All calls so far.
+    /// Returns all calls so far.
     pub fn record(&self) -> Vec<ServiceRecord> {
         let calls = self.shared.calls.lock();
-        calls.unwrap_or_else(|broken| broken.into_inner()).clone()
+        calls
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clone()
     }
 
-    /// Dies.
+    /// Simulates a crash: stops serving without a graceful shutdown.
     pub async fn kill(&self) {
         self.server.stop(false).await;
     }
@@ -74,24 +76,24 @@
 
 async fn call(service: Service, request: HttpRequest, body: Bytes) -> HttpResponse {
     let body = String::from_utf8_lossy(&body).into_owned();
-    let answer = format!("sealed {:08x}", crc32fast::hash(body.as_bytes()));
-    let seen = ServiceRecord {
+    let response = format!("sealed {:08x}", crc32fast::hash(body.as_bytes()));
+    let received = ServiceRecord {
         path: request.path().to_owned(),
         body,
     };
     let calls = service.calls.lock();
     calls
-        .unwrap_or_else(|broken| broken.into_inner())
-        .push(seen);
-    tokio::time::sleep(service.time).await;
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
+        .push(received);
+    tokio::time::sleep(service.call_time).await;
     match request.path() {
         FAILING_PATH => HttpResponse::ServiceUnavailable().body("failed after the fact"),
-        _ => HttpResponse::Ok().body(answer),
+        _ => HttpResponse::Ok().body(response),
     }
 }
 
 async fn record(service: Service) -> HttpResponse {
     let calls = service.calls.lock();
-    let calls = calls.unwrap_or_else(|broken| broken.into_inner());
+    let calls = calls.unwrap_or_else(|poisoned| poisoned.into_inner());
     HttpResponse::Ok().json(&*calls)
 }
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -80,7 +80,7 @@
 mutant page-goes-back src/routing/view.rs 's/_ if page\.to <= self\.position => return false,//' fuzz $view
 mutant gap-followed src/routing/view.rs 's/Some\(from\) if from > self\.position => return false,//' fuzz $view
 mutant journal-gap-unseen src/consensus/state.rs 's/if cursor < self\.journal_from \{/if false \&\& cursor < self.journal_from {/' fuzz $view
-mutant agent-stops-without-drain src/agent/shell.rs 's/while !shared\.gate\(\)\.is_idle\(\) \{/while false \&\& !shared.gate().is_idle() {/' failures planned_stops_cut_nothing_off
+mutant agent-stops-without-drain src/agent/shell.rs 's/while !shared\.admission\(\)\.is_idle\(\) \{/while false \&\& !shared.admission().is_idle() {/' failures planned_stops_cut_nothing_off
 mutant entry-never-stale src/entry/shell.rs 's/confirmed \+ self\.settings\.stale_ms < clock::monotonic_ms\(\)/false \&\& confirmed + self.settings.stale_ms < clock::monotonic_ms()/' failures an_entry_that_is_cut_off
 mutant leaving-target-takes-work 'src/admission/controller.rs src/routing/view.rs' 's/_ if self\.draining => Some\(RefuseCause::Leaving\),/_ if false \&\& self.draining => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_leaving_target_gets_no_new_work
 mutant silence-of-a-freeze-is-loss src/placement/target_controller.rs 's/self\.decided_ms \+ self\.policy\.loss_ms \/ 2 < now_ms/false \&\& self.decided_ms < now_ms/' duties a_leader_that_was_frozen
@@ -116,7 +116,7 @@
 mutant crowd-after-a-pause src/routing/backoff.rs 's/peer\.limit = 1;/peer.limit = UNLIMITED_REQUESTS;/' backoff after_a_pause_one_request_goes_first
 mutant leaving-not-kept src/routing/backoff.rs 's/peer if peer\.is_draining\(incarnation\) => /peer if false \&\& peer.is_draining(incarnation) => /' forwarding a_replica_that_says_in_an_answer
 mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return AttemptOutcome::NotSent;\n            \}/Err(_) => None,/' forwarding a_request_whose_connection_was_slow
-mutant refusals-not-kept src/entry/flight_steps.rs 's/state\.refusals\.record\([^;]*;//' overload a_home_that_refused_a_row
+mutant refusals-not-kept src/entry/request_driver.rs 's/state\.refusals\.record\([^;]*;//' overload a_home_that_refused_a_row
 limits=no_span_brings_more_than_a_replica_named
 mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(named_us\)/cold_us/' replica_limits $limits
 mutant permit-outside-of-the-known-term src/placement/replica_rates.rs 's/if request\.is_limited && !self\.limits/if false \&\& !self.limits/' replica_limits a_new_leader_gives_no_permit
