--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -18,10 +18,10 @@
 use tokio::net::TcpSocket;
 
 /// Longest wait for a condition that must come; reaching it is a failure.
-const PATIENCE: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time for a control host to say how far it is.
-const NOTICE_TIME: Duration = Duration::from_millis(500);
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
 
 pub const CALLER: &str = "caller-key-of-fiji";
 pub const OPERATOR: &str = "operator-key-of-fiji";
@@ -56,14 +56,14 @@
     })
 }
 
-pub async fn until<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
-    let give_up = Instant::now() + PATIENCE;
+pub async fn until<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = check().await {
             return found;
         }
-        assert!(Instant::now() < give_up, "waited in vain for {what}");
-        tokio::time::sleep(LOOK).await;
+        assert!(Instant::now() < deadline, "waited in vain for {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -182,8 +182,8 @@
             .args(["--found", "--settings", &path])
             .output()
             .unwrap();
-        let said = String::from_utf8_lossy(&found.stderr);
-        assert!(found.status.success(), "{name} was not founded: {said}");
+        let stderr = String::from_utf8_lossy(&found.stderr);
+        assert!(found.status.success(), "{name} was not founded: {stderr}");
         let args = vec!["--settings".to_owned(), path];
         self.add(name, "dunlinspring-control", args).await;
     }
@@ -305,7 +305,10 @@
         let link = ControlLink::new(self.secret(), self.control_addresses());
         let call =
             |client: ControlWireClient, context| async move { client.contents(context).await };
-        let book = link.call_leader("contents", PATIENCE, call).await.unwrap();
+        let book = link
+            .call_leader("contents", WAIT_TIMEOUT, call)
+            .await
+            .unwrap();
         book.counts().into_values().collect()
     }
 
@@ -371,7 +374,7 @@
         edit: &str,
         fields: &Value,
     ) -> (u16, Value) {
-        let client = slow_client().await;
+        let client = client_without_timeout().await;
         let answer = client
             .put(self.url(entry, &format!("/v1/table/rows/{id}")))
             .bearer_auth(operator)
@@ -397,7 +400,7 @@
     }
 
     pub async fn table(&self, entry: &str) -> Option<Value> {
-        let client = slow_client().await;
+        let client = client_without_timeout().await;
         let answer = client
             .get(self.url(entry, "/v1/table"))
             .bearer_auth(OPERATOR)
@@ -449,7 +452,7 @@
         for address in self.control_addresses() {
             let notice = link.call_at(&address, "notice", |client| async move {
                 client
-                    .notice(peers::within(NOTICE_TIME), Position(0), 0)
+                    .notice(peers::within(NOTICE_TIMEOUT), Position(0), 0)
                     .await
             });
             if let Ok(Ok(notice)) = notice.await {
@@ -463,45 +466,45 @@
         settings::load_secret(&self.dir.path().join("secret")).unwrap()
     }
 
-    pub async fn complete(&self, entry: &str, ask: &Ask<'_>) -> Told {
-        let client = slow_client().await;
+    pub async fn complete(&self, entry: &str, request: &CompletionRequest<'_>) -> CallResponse {
+        let client = client_without_timeout().await;
         let body = json!({
-            "model": ask.model, "prompt": ask.prompt, "max_tokens": ask.tokens,
-            "stream": ask.stream,
+            "model": request.model, "prompt": request.prompt, "max_tokens": request.tokens,
+            "stream": request.stream,
         });
         let call = client
             .post(self.url(entry, "/v1/completions"))
             .bearer_auth(CALLER)
-            .header("x-request-class", ask.class);
-        let call = match ask.key {
+            .header("x-request-class", request.class);
+        let call = match request.key {
             Some(key) => call.header("idempotency-key", key),
             None => call,
         };
-        told(call.send_json(&body).await).await
+        read_response(call.send_json(&body).await).await
     }
 
-    pub async fn seal(&self, entry: &str, key: &str, document: &str) -> Told {
-        let client = slow_client().await;
+    pub async fn seal(&self, entry: &str, key: &str, document: &str) -> CallResponse {
+        let client = client_without_timeout().await;
         let call = client
             .post(self.url(entry, "/services/seal/stamp"))
             .bearer_auth(CALLER)
             .header("idempotency-key", key);
-        told(call.send_body(document.to_owned()).await).await
+        read_response(call.send_body(document.to_owned()).await).await
     }
 
     /// Calls the service as one class of callers.
-    pub async fn call_service(&self, entry: &str, class: &str, body: &str) -> Told {
-        let client = slow_client().await;
+    pub async fn call_service(&self, entry: &str, class: &str, body: &str) -> CallResponse {
+        let client = client_without_timeout().await;
         let call = client
             .post(self.url(entry, "/services/seal/look"))
             .bearer_auth(CALLER)
             .header("x-request-class", class);
-        told(call.send_body(body.to_owned()).await).await
+        read_response(call.send_body(body.to_owned()).await).await
     }
 
     /// What a target recorded.
     pub async fn record(&self, target: &str) -> Value {
-        let client = slow_client().await;
+        let client = client_without_timeout().await;
         let url = format!("http://{}/record", self.address(target, "listen"));
         let (status, body) = read_json(client.get(url).send().await).await;
         assert_eq!(status, 200);
@@ -510,7 +513,7 @@
 
     /// A daemon's metrics; empty where it does not answer.
     pub async fn metrics(&self, name: &str) -> String {
-        let client = slow_client().await;
+        let client = client_without_timeout().await;
         let url = format!("http://{}/metrics", self.address(name, "watch"));
         let read = async {
             let answer = client.get(url).send().await.ok()?;
@@ -522,7 +525,7 @@
     }
 
     pub async fn inject(&self, target: &str, faults: &Value) {
-        let client = slow_client().await;
+        let client = client_without_timeout().await;
         let url = format!("http://{}/faults", self.address(target, "listen"));
         let answer = client.post(url).send_json(faults).await.unwrap();
         assert!(answer.status().is_success());
@@ -548,7 +551,7 @@
     }
 }
 
-pub struct Ask<'a> {
+pub struct CompletionRequest<'a> {
     pub model: &'a str,
     pub class: &'a str,
     pub prompt: &'a str,
@@ -559,27 +562,27 @@
 
 /// What a caller was told.
 #[derive(Debug)]
-pub struct Told {
+pub struct CallResponse {
     pub status: u16,
     pub outcome: String,
     pub text: String,
     pub retry_after: Option<String>,
 }
 
-pub fn whole_text(prompt: &str, tokens: u32) -> String {
+pub fn complete_text(prompt: &str, tokens: u32) -> String {
     (0..tokens)
         .map(|index| dunlinspring::standin::piece_text(prompt, index))
         .collect()
 }
 
-async fn slow_client() -> Client {
+async fn client_without_timeout() -> Client {
     let client = Client::builder().disable_timeout();
     client.build(ntex::SharedCfg::default()).await.unwrap()
 }
 
-type Sent = Result<ntex::client::ClientResponse, ntex::client::error::ClientError>;
+type SendResult = Result<ntex::client::ClientResponse, ntex::client::error::ClientError>;
 
-async fn read_json(answer: Sent) -> (u16, Value) {
+async fn read_json(answer: SendResult) -> (u16, Value) {
     let Ok(answer) = answer else {
         return (0, Value::Null);
     };
@@ -588,9 +591,9 @@
     (status, serde_json::from_slice(&body).unwrap_or(Value::Null))
 }
 
-async fn told(answer: Sent) -> Told {
+async fn read_response(answer: SendResult) -> CallResponse {
     let Ok(answer) = answer else {
-        return Told {
+        return CallResponse {
             status: 0,
             outcome: String::new(),
             text: String::new(),
@@ -612,11 +615,11 @@
         text = joined;
         outcome = last.unwrap_or_default();
     } else if let Ok(body) = serde_json::from_str::<Value>(&text)
-        && let Some(whole) = body["choices"][0]["text"].as_str()
+        && let Some(complete) = body["choices"][0]["text"].as_str()
     {
-        text = whole.to_owned();
+        text = complete.to_owned();
     }
-    Told {
+    CallResponse {
         status,
         outcome,
         text,
--- a/tests/support_control/mod.rs
+++ b/tests/support_control/mod.rs
@@ -16,7 +16,7 @@
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
 /// Settings of a control host that keeps its data in `folder`.
-pub fn settings(folder: &Path, own: SocketAddr, founders: &[SocketAddr]) -> ControlSettings {
+pub fn settings(folder: &Path, own: SocketAddr, voters: &[SocketAddr]) -> ControlSettings {
     let voter = |address: &SocketAddr| VoterSettings {
         host: HostName(address.to_string()),
         address: *address,
@@ -27,7 +27,7 @@
             hall: HallName::from("hall"),
             listen: own,
             watch: "127.0.0.1:0".parse().unwrap(),
-            control: founders.iter().map(voter).collect(),
+            control: voters.iter().map(voter).collect(),
             secret_file: Default::default(),
             log: Default::default(),
         },
@@ -62,13 +62,13 @@
 }
 
 /// Looks again and again until there is an answer.
-pub async fn until<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
-    let give_up = Instant::now() + PATIENCE;
+pub async fn until<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + PATIENCE;
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = check().await {
             return found;
         }
-        assert!(Instant::now() < give_up, "waited in vain for {what}");
+        assert!(Instant::now() < deadline, "waited in vain for {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/support_founders/mod.rs
+++ b/tests/support_founders/mod.rs
@@ -9,7 +9,7 @@
 use crate::support_control::{listeners, secret, settings};
 
 /// Three founders on empty disks, and their addresses.
-pub async fn founders(folder: &Path) -> (Vec<ControlDaemon>, Vec<SocketAddr>) {
+pub async fn start_control_hosts(folder: &Path) -> (Vec<ControlDaemon>, Vec<SocketAddr>) {
     let bound = listeners(3).await;
     let addresses: Vec<SocketAddr> = bound.iter().map(|(_, address)| *address).collect();
     let mut daemons = Vec::new();
--- a/tests/support_quota/mod.rs
+++ b/tests/support_quota/mod.rs
@@ -9,15 +9,15 @@
 use rand::{Rng, SeedableRng};
 
 /// Way of a question to the leader, or of its answer, in milliseconds.
-const WAY_MS: u64 = 3;
+const TRANSIT_MS: u64 = 3;
 /// Time between two regular questions.
-const REGULAR_MS: u64 = 500;
+const REQUEST_INTERVAL_MS: u64 = 500;
 /// Longest wait of a request.
-const PATIENCE_MS: u64 = 150;
+const MAX_WAIT_MS: u64 = 150;
 /// Longest wait for an answer.
-const ASK_TIME_MS: u64 = 150;
+const REPLY_TIMEOUT_MS: u64 = 150;
 /// Least time between two questions.
-const PAUSE_MS: u64 = 10;
+const MIN_REQUEST_GAP_MS: u64 = 10;
 
 pub const ACCOUNT: &str = "acme";
 
@@ -80,10 +80,10 @@
 }
 
 /// A question on its way to the leader.
-struct SentAsk {
+struct SentRequest {
     due_ms: u64,
     made_ms: u64,
-    ask: QuotaRequest,
+    request: QuotaRequest,
 }
 
 /// An answer on its way back.
@@ -99,10 +99,10 @@
     number: usize,
     holder: QuotaHolder,
     waiting: Vec<WaitingRequest>,
-    asked_ms: u64,
+    requested_ms: u64,
     /// When the ask was made that waits for its answer.
-    under_way: Option<u64>,
-    asks: Vec<SentAsk>,
+    pending_since_ms: Option<u64>,
+    requests: Vec<SentRequest>,
     answers: Vec<SentGrants>,
     /// Its weight among all entries.
     weight: f64,
@@ -122,9 +122,9 @@
             number,
             holder: QuotaHolder::new(entry, now_ms),
             waiting: Vec::new(),
-            asked_ms: 0,
-            under_way: None,
-            asks: Vec::new(),
+            requested_ms: 0,
+            pending_since_ms: None,
+            requests: Vec::new(),
             answers: Vec::new(),
             weight,
             cut_until_ms: 0,
@@ -142,7 +142,7 @@
     version: u64,
     book: AccountList,
     rng: SmallRng,
-    lives: u64,
+    incarnations: u64,
     /// What ran, and when.
     ran: Vec<(u64, u64)>,
     /// What was asked for, and when.
@@ -160,7 +160,7 @@
             version: 1,
             book: book(shape.quota()),
             rng: SmallRng::seed_from_u64(seed),
-            lives: 0,
+            incarnations: 0,
             ran: Vec::new(),
             asked: Vec::new(),
             refused: 0,
@@ -175,18 +175,18 @@
 
     /// Another entry takes part.
     pub fn join(&mut self) {
-        self.lives += 1;
+        self.incarnations += 1;
         let number = self.entries.len();
         let weight = 1.0 / ((number + 1) as f64).powf(self.shape.skew);
-        let entry = QuotaEntry::new(number, self.lives, weight, self.now_ms);
+        let entry = QuotaEntry::new(number, self.incarnations, weight, self.now_ms);
         self.entries.push(entry);
     }
 
     /// An entry ends and starts again: it knows nothing.
     pub fn restart(&mut self, number: usize) {
-        self.lives += 1;
+        self.incarnations += 1;
         let weight = self.entries[number].weight;
-        self.entries[number] = QuotaEntry::new(number, self.lives, weight, self.now_ms);
+        self.entries[number] = QuotaEntry::new(number, self.incarnations, weight, self.now_ms);
     }
 
     /// Another host leads; what the one before had handed out is not known to it.
@@ -202,10 +202,10 @@
         }
     }
 
-    pub fn run(&mut self, span_ms: u64) {
-        for _ in 0..span_ms {
+    pub fn run(&mut self, duration_ms: u64) {
+        for _ in 0..duration_ms {
             self.now_ms += 1;
-            self.come();
+            self.add_arrivals();
             for number in 0..self.entries.len() {
                 if self.now_ms >= self.entries[number].frozen_until_ms {
                     self.step(number);
@@ -215,7 +215,7 @@
     }
 
     /// Requests of a mean of 2,400 tokens come at random.
-    fn come(&mut self) {
+    fn add_arrivals(&mut self) {
         const MEAN: f64 = 2_400.0;
         let chance = self.shape.per_s * self.shape.load / MEAN / 1_000.0;
         let mut left = chance;
@@ -223,7 +223,7 @@
             if self.rng.random_bool(left.min(1.0)) {
                 let cost = (MEAN * self.rng.random_range(0.2..1.8)) as u64;
                 self.asked.push((self.now_ms, cost));
-                let number = self.draw_entry();
+                let number = self.pick_entry();
                 let now_ms = self.now_ms;
                 let holder = &mut self.entries[number].holder;
                 holder.record_request(&AccountName::from(ACCOUNT), cost);
@@ -239,14 +239,14 @@
         let entry = &mut self.entries[number];
         match entry.holder.charge(self.now_ms, &account, waiting.cost) {
             QuotaCharge::Paid => self.ran.push((self.now_ms, waiting.cost)),
-            QuotaCharge::Ask if self.now_ms < waiting.since_ms + PATIENCE_MS => {
+            QuotaCharge::Ask if self.now_ms < waiting.since_ms + MAX_WAIT_MS => {
                 entry.waiting.push(waiting);
             }
             QuotaCharge::Ask | QuotaCharge::Limited(_) | QuotaCharge::Unknown => self.refused += 1,
         }
     }
 
-    fn draw_entry(&mut self) -> usize {
+    fn pick_entry(&mut self) -> usize {
         let all: f64 = self.entries.iter().map(|entry| entry.weight).sum();
         let mut draw = self.rng.random_range(0.0..all);
         let found = self.entries.iter().position(|entry| {
@@ -261,52 +261,56 @@
         let entry = &mut self.entries[number];
         let cut = now_ms < entry.cut_until_ms;
         // The leader answers what has come.
-        for sent in entry.asks.extract_if(.., |sent| sent.due_ms <= now_ms) {
+        for sent in entry.requests.extract_if(.., |sent| sent.due_ms <= now_ms) {
             if let (Some(leader), false) = (&mut self.leader, cut) {
                 leader.set_limits(self.version, Some(&self.book));
                 entry.answers.push(SentGrants {
-                    due_ms: now_ms + WAY_MS,
+                    due_ms: now_ms + TRANSIT_MS,
                     made_ms: sent.made_ms,
-                    number: sent.ask.number,
-                    grants: leader.grant(now_ms, &sent.ask),
+                    number: sent.request.number,
+                    grants: leader.grant(now_ms, &sent.request),
                 });
             }
         }
-        let mut told = false;
+        let mut granted = false;
         for sent in entry.answers.extract_if(.., |sent| sent.due_ms <= now_ms) {
             if !cut {
-                told = true;
-                entry.under_way = None;
+                granted = true;
+                entry.pending_since_ms = None;
                 let holder = &mut entry.holder;
                 holder.apply_grants(sent.number, sent.made_ms, now_ms, &sent.grants);
             }
         }
-        if told {
+        if granted {
             for waiting in std::mem::take(&mut entry.waiting) {
                 self.charge(number, waiting);
             }
         }
         let entry = &mut self.entries[number];
-        let late_ms = now_ms.saturating_sub(ASK_TIME_MS);
-        let lost = entry.under_way.is_some_and(|made_ms| made_ms < late_ms);
+        let late_ms = now_ms.saturating_sub(REPLY_TIMEOUT_MS);
+        let lost = entry
+            .pending_since_ms
+            .is_some_and(|made_ms| made_ms < late_ms);
         if lost {
-            entry.under_way = None;
+            entry.pending_since_ms = None;
             entry.holder.record_missing_reply();
             for waiting in std::mem::take(&mut entry.waiting) {
                 self.charge(number, waiting);
             }
         }
         let entry = &mut self.entries[number];
-        let since_ms = now_ms - entry.asked_ms;
-        let hungry = entry.holder.has_unmet_demand() && since_ms >= PAUSE_MS;
-        if entry.under_way.is_none() && (hungry || since_ms >= REGULAR_MS + entry.number as u64) {
-            entry.asked_ms = now_ms;
-            if let Some(ask) = entry.holder.next_request(now_ms) {
-                entry.under_way = Some(now_ms);
-                entry.asks.push(SentAsk {
-                    due_ms: now_ms + WAY_MS,
+        let since_ms = now_ms - entry.requested_ms;
+        let has_unmet_demand = entry.holder.has_unmet_demand() && since_ms >= MIN_REQUEST_GAP_MS;
+        if entry.pending_since_ms.is_none()
+            && (has_unmet_demand || since_ms >= REQUEST_INTERVAL_MS + entry.number as u64)
+        {
+            entry.requested_ms = now_ms;
+            if let Some(request) = entry.holder.next_request(now_ms) {
+                entry.pending_since_ms = Some(now_ms);
+                entry.requests.push(SentRequest {
+                    due_ms: now_ms + TRANSIT_MS,
                     made_ms: now_ms,
-                    ask,
+                    request,
                 });
             }
         }
@@ -324,9 +328,9 @@
     }
 
     /// The most that ran within any span, from a moment on.
-    pub fn most_within(&self, span_ms: u64, from_ms: u64) -> u64 {
+    pub fn most_within(&self, window_ms: u64, from_ms: u64) -> u64 {
         let starts = self.ran.iter().filter(|(at_ms, _)| *at_ms >= from_ms);
-        let sums = starts.map(|(at_ms, _)| self.ran_between(*at_ms, at_ms + span_ms));
+        let sums = starts.map(|(at_ms, _)| self.ran_between(*at_ms, at_ms + window_ms));
         sums.max().unwrap_or(0)
     }
 
--- a/tests/support_spans/mod.rs
+++ b/tests/support_spans/mod.rs
@@ -4,7 +4,7 @@
 use std::ops::Add;
 
 /// Most of some ascending times that lie within any span.
-pub fn most_within<T, D>(times: impl IntoIterator<Item = T>, span: D) -> usize
+pub fn most_within<T, D>(times: impl IntoIterator<Item = T>, window: D) -> usize
 where
     T: Copy + PartialOrd + Add<D, Output = T>,
     D: Copy,
@@ -13,7 +13,7 @@
     let mut most = 0;
     for time in times {
         within.push_back(time);
-        while within.front().is_some_and(|first| *first + span <= time) {
+        while within.front().is_some_and(|first| *first + window <= time) {
             within.pop_front();
         }
         most = most.max(within.len());
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -19,7 +19,7 @@
 use dunlinspring::table::configuration::{ServiceSpec, WarmupSpec};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use support_place::flat_place;
+use support_place::flat_location;
 use support_replicas::ready_replica;
 use support_spans::most_within;
 use support_state::{apply, configured};
@@ -195,7 +195,7 @@
 
 #[test]
 fn an_entry_sends_to_a_cold_replica_by_the_leaders_permit_only() {
-    let mut book = ReplicaTable::new(ChoicePolicy::default(), flat_place("hall"));
+    let mut book = ReplicaTable::new(ChoicePolicy::default(), flat_location("hall"));
     let id = ReplicaId::from("r");
     book.update_services(&BTreeMap::from([(
         ServiceName::from("plain"),
