--- a/tests/accounts.rs
+++ b/tests/accounts.rs
@@ -1,5 +1,5 @@
-//! The pure parts of client accounts: what makes sense, how a key is found, and how old a
-//! word of the newest configuration is.
+//! Pure parts of client accounts: validation, key lookup, and the age of the proof that a
+//! configuration version is the newest.
 
 mod support_accounts;
 
@@ -86,7 +86,8 @@
 }
 
 proptest! {
-    /// Against the plain rule: of all proofs for versions up to the one held, the latest.
+    /// Compares `ProofCache` with a direct computation: the latest time that any proof for a
+    /// version up to the held one attests.
     #[test]
     fn a_proof_counts_for_its_version_and_all_later_ones(
         heard in prop::collection::vec((0u64..6, 0u64..50, 50u64..100), 0..30),
--- a/tests/ahead.rs
+++ b/tests/ahead.rs
@@ -1,5 +1,5 @@
-//! Adapters that are brought before anybody asks for them, and what callers get where no
-//! leader brings any.
+//! Adapters that are preloaded before any request needs them, and which requests can be served
+//! while there is no leader to load adapters.
 
 mod support_place;
 mod support_replicas;
@@ -50,7 +50,7 @@
     }
 }
 
-/// A replica with two models.
+/// Returns a replica that holds two models and no adapters.
 fn record(number: u32) -> ReplicaRecord {
     let models = [number % MODELS, (number + 5) % MODELS];
     let models = models
@@ -77,7 +77,8 @@
     state
 }
 
-/// A leader's rounds, whose orders are all taken. Returns how many it gave.
+/// Runs a leader's rounds, in which each adapter order is taken. Returns the number of adapter
+/// orders.
 fn run_leader(state: &mut SiteState, for_ms: u64) -> usize {
     let mut controller =
         FleetController::new(FleetPolicy::default(), HostName::from("c"), Term(1), 0);
@@ -103,7 +104,7 @@
     sent
 }
 
-/// Part of all adapters that an entry could send a request for, without any leader.
+/// Returns the share of all adapters for which an entry can send a request without a leader.
 fn served_share(state: &SiteState) -> f64 {
     let mut table = ReplicaTable::new(ChoicePolicy::default(), flat_location("here"));
     table.update_records(0, state.replicas.records());
@@ -130,8 +131,8 @@
     served as f64 / f64::from(MODELS * ADAPTERS)
 }
 
-/// **What users saw:** while a leader was cut off, one request in twenty was refused: all of
-/// them asked for an adapter that no home had, and nobody brings one without a leader.
+/// While a leader was cut off, one request in twenty was refused: each needed an adapter that no
+/// home had loaded, and only a leader orders adapter loads.
 #[test]
 fn requests_for_adapters_are_served_without_a_leader() {
     let mut state = site(24);
@@ -188,7 +189,7 @@
     assert_eq!(MissingAdapters::of(&model(1), 2, &all), None);
 }
 
-/// The refusal names its cause.
+/// The refusal names the missing adapter as its cause, although all homes refused to load it.
 #[test]
 fn an_adapter_that_no_replica_loads_is_not_reported_as_full_replicas() {
     let state = site(1);
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -1,5 +1,5 @@
-//! What peers asked for in their answers, and what may be sent to them: by cases, and by any
-//! order of events against a count of its own.
+//! Backoff periods that peers request in their responses, and which requests may be sent to them:
+//! single cases, and random event sequences checked against an independent count.
 
 mod support_place;
 mod support_replicas;
@@ -82,7 +82,7 @@
         tracker.acquire(4_023, &"r", STARTED_MS),
         Err(Blocked::Reopening)
     );
-    // One that answers late is not kept from work for it.
+    // After a while the limit ends, although the first requests still have no response.
     for _ in 0..50 {
         let _more = tracker.acquire(6_000, &"r", STARTED_MS).unwrap();
     }
@@ -120,7 +120,7 @@
             .acquire(at_ms + MAX_BACKOFF_MS, &"r", STARTED_MS)
             .is_err()
     );
-    // A liar serves, and has taken it back.
+    // A peer that accepts a probe revokes its very long period.
     let mut tracker = backed_off(1_000_000_000_000);
     let at_ms = 1_000 + MAX_BACKOFF_MS;
     let probe = tracker.acquire(at_ms, &"r", STARTED_MS).unwrap();
@@ -147,7 +147,7 @@
         Err(Blocked::Leaving)
     );
     assert_eq!(tracker.blocked_by(1_000, &"r", STARTED_MS + 1), None);
-    // A late word of the life before.
+    // A late report about the previous incarnation.
     tracker.record_draining(2_000, &"r", STARTED_MS + 1);
     tracker.record_draining(2_001, &"r", STARTED_MS);
     assert_eq!(
@@ -165,8 +165,9 @@
     }
 }
 
-/// A record that goes and comes back, with another leader or relay, brings nothing back that
-/// the replica itself has asked for; nor does an older heartbeat that says `ready`.
+/// A record that is removed and added again, with another leader or relay, does not cancel the
+/// backoff or draining that the replica itself requested; nor does an older heartbeat with phase
+/// `ready`.
 #[test]
 fn backoff_and_draining_outlive_the_replica_record() {
     let ready = || {
@@ -190,25 +191,25 @@
     assert_eq!(choose(&table, 1_500), Choice::BackingOff(2_500));
     assert_eq!(table.capacity_in_ms(1_500, &need), Some(2_500));
     assert_eq!(choose(&table, 4_000), Choice::Send(a.clone()));
-    // The one that asked is the only one, and is not asked all the same.
+    // The replica in backoff is the only one, and still gets no request.
     let only = BTreeMap::from([(a.clone(), record("a", ReplicaPhase::Ready))]);
     table.update_records(0, &only);
     assert_eq!(choose(&table, 3_999), Choice::BackingOff(1));
     assert!(table.claim(3_999, &only[&a].incarnation(), None).is_err());
 }
 
-/// One step of a play with a peer.
+/// One step of a random sequence of events with a peer.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// Time goes by.
+    /// The time in milliseconds passes.
     Wait(u64),
-    /// A request wants to leave.
+    /// A request is to be sent.
     Send,
-    /// The oldest one without an answer gets one.
+    /// The peer accepts the oldest pending request.
     Answer,
-    /// It is refused, and asked for a pause.
+    /// The peer refuses the oldest pending request and requests a backoff in milliseconds.
     Refuse(u64),
-    /// Its record goes and comes back, and what says nothing any more is forgotten.
+    /// Entries without effect are removed.
     Prune,
 }
 
@@ -232,8 +233,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(cases()))]
 
-    /// Whatever the order of events, at most two requests arrive within a time that the peer
-    /// named, from half a second after its word on; none, where the time is not very long.
+    /// For any order of events, at most two requests are sent within a backoff period, counted from
+    /// 500 ms after the peer's response; none if the period is not longer than `MAX_BACKOFF_MS`.
     #[test]
     fn at_most_two_requests_arrive_within_a_backoff_period(steps in prop::collection::vec(step(), 1..200)) {
         let mut tracker: BackoffTracker<&str> = BackoffTracker::default();
@@ -255,7 +256,7 @@
                 Step::Answer if open.is_empty() => {}
                 Step::Answer => {
                     tracker.release(now_ms, &"r", open.remove(0), SlotOutcome::Accepted);
-                    // It serves after the longest pause: what it had named is taken back.
+                    // An accepted request after the longest backoff revokes the periods before.
                     let kept = |(from_ms, until_ms, _): &(u64, u64, u32)| {
                         (from_ms - 500 + MAX_BACKOFF_MS).min(*until_ms) > now_ms
                     };
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input from callers and peers: a clear answer, and nothing lost.
+//! Invalid input from callers and peers: it gets a specific error and has no other effect.
 
 mod support;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// What is wrong, the headers, the body, and the status and code told.
+/// Description of the fault, request headers, request body, expected status and error code.
 type BadCase<'a> = (&'a str, &'a [(&'a str, &'a str)], &'a str, u16, &'a str);
 
 fn completion(model: &str) -> String {
@@ -114,7 +114,7 @@
     let again = post(&site, path, &keyed, &completion("draft")).await;
     assert_eq!(
         again.body["choices"], first.body["choices"],
-        "a resend gets the recorded answer"
+        "a resend gets the recorded response"
     );
     let other = json!({ "model": "draft", "prompt": "other", "max_tokens": 3 }).to_string();
     let response = post(&site, path, &keyed, &other).await;
@@ -127,7 +127,7 @@
         let record = site.record(&format!("{target}-engine")).await;
         runs += record["runs"].as_array().unwrap().len();
     }
-    assert_eq!(runs, 1, "only the one good request ran");
+    assert_eq!(runs, 1, "only the valid request ran");
 }
 
 #[ntex::test]
@@ -148,7 +148,10 @@
     };
     let timed_out =
         tokio::time::timeout(Duration::from_millis(400), site.complete("e1", &request)).await;
-    assert!(timed_out.is_err(), "the answer was to take longer");
+    assert!(
+        timed_out.is_err(),
+        "the response must take longer than the time-out"
+    );
     until("the run to be cancelled", async || {
         let mut runs = 0;
         for target in ["t1", "t2", "t3"] {
@@ -176,8 +179,8 @@
             client.status(context()).await
         })
         .await;
-    assert!(status.is_err(), "a stranger was let in");
-    // A frame that claims four gigabytes, and one of another protocol.
+    assert!(status.is_err(), "a peer with another secret was accepted");
+    // A frame with a declared length of 4 GiB, and one of another protocol version.
     let frames: [Vec<u8>; 2] = [
         u32::MAX.to_be_bytes().to_vec(),
         [&68u32.to_be_bytes()[..], &99u32.to_le_bytes(), &[0; 64]].concat(),
@@ -189,9 +192,9 @@
             .unwrap();
         stream.write_all(&frame).unwrap();
         let mut rest = Vec::new();
-        // The greeting of the host comes, then it closes.
+        // The host sends its greeting, then closes the connection.
         let _ = stream.read_to_end(&mut rest);
-        assert!(rest.len() < 100, "the peer went on talking");
+        assert!(rest.len() < 100, "the host sent more than its greeting");
     }
     let site_pool = PeerPool::new(
         SiteSecret::new("a-secret-of-the-test-site"),
@@ -203,13 +206,13 @@
         })
         .await;
     assert!(status.is_ok(), "{status:?}");
-    // Lines are written by a thread of their own.
+    // A separate thread writes log lines.
     let logged = async || site.log("c1").contains("speaks protocol 99").then_some(());
-    until("the version to be named", logged).await;
+    until("the log line with the protocol version", logged).await;
 }
 
-/// Found by reading: a service's 503 was taken for a proof that it did nothing,
-/// which freed the key of a call that may not be repeated.
+/// A service's 503 was taken as proof that the call had no effect, which released the idempotency
+/// key of a call that must not be repeated. Found by code review.
 #[ntex::test]
 async fn a_service_that_fails_after_its_effect_is_not_called_again() {
     let site = TestSite::start().await;
--- a/tests/bounded_sending.rs
+++ b/tests/bounded_sending.rs
@@ -1,4 +1,5 @@
-//! What a connection has written and its peer has not taken ends by itself.
+//! Time limit of the kernel for data that a connection has written and its peer has not
+//! acknowledged.
 
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
@@ -9,15 +10,15 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long the kernel may go on.
+/// Time for which the kernel may keep trying to send.
 const SEND_TIME_LIMIT: Duration = Duration::from_millis(300);
-/// Longest wait for what must come; reaching it is a failure.
+/// Longest wait for a condition; reaching it fails the test.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// More than the kernel takes in for a peer that does not read.
+/// More bytes than the kernel buffers for a peer that does not read.
 const LARGE_BYTES: usize = 32 << 20;
 
-/// A process that stands still closes nothing: only its kernel can give up what it wrote.
-/// Here the peer takes no more.
+/// A suspended process closes no connection: only its kernel can discard what it wrote. Here the
+/// peer reads nothing, so its receive window is full.
 #[ntex::test]
 async fn the_kernel_gives_up_sending_at_the_time_limit() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -40,18 +41,18 @@
     );
 }
 
-/// Has the link lose all that comes to this end.
+/// Drops all packets that arrive at this end of the connection.
 fn drop_incoming_packets(stream: &TcpStream) {
-    // Takes no byte of any packet.
+    // Accepts 0 bytes of each packet.
     let accept_none = SockFilter::new(6, 0, 0, 0);
     SockRef::from(stream).attach_filter(&[accept_none]).unwrap();
 }
 
-/// A process that stands still resets nothing, and its kernel looks at the bound only when
-/// it repeats. What a successor waits for the way of a last order covers that: the link here
-/// loses all until then, and nothing arrives once it has healed.
+/// A suspended process resets no connection, and its kernel checks the time limit only when it
+/// retransmits. The transit time that a new leader waits for its predecessor's last order covers
+/// this: all packets are lost for that time, and nothing arrives once the link works again.
 ///
-/// Without a bound the kernel repeats for minutes, and the order arrives.
+/// Without a limit the kernel retransmits for minutes, and the order arrives.
 #[ntex::test]
 async fn the_kernel_does_not_retransmit_an_order_after_its_transit_time() {
     let transit = Duration::from_millis(FleetPolicy::default().order_transit_ms);
@@ -73,13 +74,16 @@
         let mut sending = std::pin::pin!(Exchange::send(connection, &outgoing));
         let deadline = time_limit + transit;
         let gave_up = tokio::time::timeout(deadline, &mut sending).await;
-        assert!(gave_up.is_ok(), "it goes on {deadline:?} after the write");
+        assert!(
+            gave_up.is_ok(),
+            "still sending {deadline:?} after the write"
+        );
         SockRef::from(&remote).detach_filter().unwrap();
         let seen = tokio::time::timeout(Duration::from_secs(1), remote.read(&mut [0; 16])).await;
         let arrived_ms = started.elapsed().as_millis();
         assert!(
             !matches!(seen, Ok(Ok(1..))),
-            "bounded by {limit_ms} ms, it arrived {arrived_ms} ms after it was written"
+            "limited to {limit_ms} ms, the order arrived {arrived_ms} ms after the write"
         );
     }
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The operators' program, as typed.
+//! The operators' command-line program: arguments, error messages and tables.
 
 mod support_replicas;
 
--- a/tests/content.rs
+++ b/tests/content.rs
@@ -1,4 +1,4 @@
-//! The name of what a request asks: the same for all its repeats, and nobody else's.
+//! Digest of a request's content: equal for all its repeats, different for other contents.
 
 use dunlinspring::ids::ContentDigest;
 use dunlinspring::routing::content::{ContentParts, digest};
@@ -32,7 +32,7 @@
             body: b"hello!",
             ..PARTS
         },
-        // What ends one part does not begin the next.
+        // Parts are delimited: bytes moved from one part to the next change the digest.
         ContentParts {
             caller: "acmeh",
             host: ".example",
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Contents under which replicas ended: what the log makes of reports, whose turn it is, and
-//! what a member believes meanwhile.
+//! Contents during whose runs replicas crashed: crash counts in the log, leases for attempts of
+//! suspects, and the counts that a member uses before it has followed the log.
 
 use dunlinspring::consensus::crashes::{
     ContentStanding, CrashCounts, CrashReport, CrashStore, MAX_CONTENTS,
@@ -41,7 +41,7 @@
     let reports = [(1, 1), (1, 1), (2, 2), (1, 2), (3, 3), (4, 3)];
     for (replica, count) in reports {
         store.record(&report(replica, &[7]), 0);
-        assert_eq!(store.count(&content(7)), count, "the end of {replica}");
+        assert_eq!(store.count(&content(7)), count, "the crash of {replica}");
     }
     assert_eq!(standing(&store, 7), ContentStanding::Barred);
     assert_eq!(standing(&store, 8), ContentStanding::Harmless);
@@ -84,7 +84,7 @@
     store.record(&report(5, &[2]), 1);
     for number in 10..10 + 2 * MAX_CONTENTS as u64 {
         let changed = store.record(&report(number, &[number]), 2 + number);
-        // Members are told of what is forgotten, too.
+        // Evicted contents are reported to members, with a count of 0.
         let gone = changed.values().filter(|count| **count == 0).count();
         assert_eq!(gone, usize::from(number >= 8 + MAX_CONTENTS as u64));
     }
@@ -123,7 +123,7 @@
     let third = CrashCounts::from([(content(1), 3), (content(2), 1)]);
     let cleared = CrashCounts::from([(content(2), 0)]);
     assert_eq!(last, [Change::Contents(third), Change::Contents(cleared)]);
-    // Whoever starts from nothing learns of it all the same.
+    // A full snapshot includes the counts.
     let all = state.all_changes();
     let expected = Change::Contents(CrashCounts::from([(content(1), 3)]));
     assert!(all.contains(&expected));
@@ -152,7 +152,7 @@
         leases.request(1, SUSPECT, &lease_request(1, "b", 12)),
         SuspectLeaseReply::Wait
     );
-    // The same attempt asks again where its answer was lost.
+    // The same attempt repeats its request after a lost reply.
     assert_eq!(
         leases.request(2, SUSPECT, &lease_request(1, "a", 11)),
         SuspectLeaseReply::Granted
@@ -171,7 +171,7 @@
         leases.request(4, SUSPECT, &lease_request(1, "b", 12)),
         SuspectLeaseReply::Granted
     );
-    // An entry that ended tells of no end.
+    // An entry that has ended releases no lease: it expires.
     assert_eq!(
         leases.request(1_003, SUSPECT, &lease_request(1, "b", 13)),
         SuspectLeaseReply::Wait
@@ -220,7 +220,7 @@
         leases.request(0, SUSPECT, &lease_request(2, "b", 2)),
         SuspectLeaseReply::Granted
     );
-    // Where there is no other replica, one crash is no reason to wait; two are.
+    // Without a free replica, suspects with one crash may share a replica; those with two may not.
     assert_eq!(
         leases.request(0, SUSPECT, &without_free_replica(lease_request(3, "a", 3))),
         SuspectLeaseReply::Granted
@@ -250,7 +250,7 @@
     assert_eq!(index.standing(&content(1)), ContentStanding::Suspect(2));
     index.follow(Position(11), &CrashCounts::new());
     assert!(index.is_empty());
-    // Cut off from the log, it bars by what it saw itself.
+    // Without a connection to the log, a member quarantines by its own observations.
     for replica in 1..=3 {
         index.record_crash(&report(replica, &[2]), None);
     }
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -1,4 +1,5 @@
-//! What entries tell each other, by way of the leader, of prompts that wait at replicas.
+//! Congestion reports: entries report their queued prompt tokens to the leader, which replies with
+//! the totals of congested replicas.
 
 mod support_place;
 mod support_replicas;
@@ -25,7 +26,7 @@
     }
 }
 
-/// So many tokens, at once.
+/// Returns a threshold of `tokens` without a minimum duration.
 fn at_least(tokens: u64) -> CongestionThreshold {
     CongestionThreshold {
         tokens,
@@ -66,7 +67,7 @@
     };
     assert!(!is_reported(0, 9_000));
     assert!(!is_reported(400, 9_000));
-    // It went in between.
+    // The queue drained in between.
     assert!(!is_reported(450, 4_000));
     assert!(!is_reported(600, 9_000));
     assert!(!is_reported(1_000, 9_000));
@@ -82,7 +83,7 @@
     assert_eq!(both, tokens("a", 14_000));
     let left = totals.record(3_800, report(2, tokens("a", 5_000)), at_least(1));
     assert_eq!(left, tokens("a", 5_000));
-    // What stood by its word alone stands no more.
+    // A queue that stood only by an expired report counts as new.
     let threshold = CongestionThreshold {
         tokens: 9_000,
         min_duration_ms: 500,
@@ -116,18 +117,18 @@
     }
 }
 
-/// Time within which an answer should begin, in milliseconds.
+/// Time within which a response should start, in milliseconds.
 const LATENCY_GOAL_MS: u64 = 800;
-/// Tokens of a request.
+/// Prompt tokens of a request.
 const REQUEST_TOKENS: u64 = 2_400;
-/// Tokens that the home reads in a millisecond.
+/// Prompt tokens that the home processes in a millisecond.
 const READ_TOKENS_PER_MS: u64 = 19;
 const ENTRIES: usize = 31;
 const THRESHOLD: CongestionThreshold = CongestionThreshold {
     tokens: 4_000,
     min_duration_ms: 500,
 };
-/// Longest and least time between two reports of an entry.
+/// Longest and shortest time between two reports of an entry, in milliseconds.
 const REPORT_INTERVAL_MS: (u64, u64) = (500, 100);
 
 struct SentRequest {
@@ -136,10 +137,10 @@
     tokens_ahead: u64,
 }
 
-/// One home of a model behind many entries, with more demand than it can serve.
+/// Simulates one home of a model behind many entries, with more demand than it can serve.
 struct CongestedHome {
     tables: Vec<ReplicaTable>,
-    /// By entry: when it reported last, and whether it sees a crowd since.
+    /// By entry: time of its last report, and whether it has seen congestion since.
     reported: Vec<(u64, bool)>,
     totals: QueueTotals,
     shares_totals: bool,
@@ -209,7 +210,7 @@
         });
     }
 
-    /// The home begins an answer each time that it has read a prompt.
+    /// Starts a response of the home each time that it has processed a prompt.
     fn serve(&mut self, now_ms: u64) {
         if self.queue.is_empty() {
             self.busy_until_ms = now_ms + REQUEST_TOKENS / READ_TOKENS_PER_MS;
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Twice what the home can serve, for half a minute.
+    /// Simulates 30 s with twice the demand that the home can serve.
     fn run(&mut self) {
         let mut rng = SmallRng::seed_from_u64(7);
         let arrivals_per_ms = 2.0 * READ_TOKENS_PER_MS as f64 / REQUEST_TOKENS as f64;
@@ -278,7 +279,8 @@
     }
 }
 
-/// Of about 236 answers that the home can give.
+/// The home can serve about 236 responses in the simulated time. Entries that know only of their
+/// own requests keep a queue at the home that makes responses late.
 #[test]
 fn entries_that_share_queue_totals_keep_no_queue_that_delays_all() {
     let mut apart = CongestedHome::new(false);
@@ -286,14 +288,17 @@
     let mut together = CongestedHome::new(true);
     together.run();
     println!(
-        "in aim and late: {} and {} apart, {} and {} together",
+        "on time and late: {} and {} without shared totals, {} and {} with them",
         apart.on_time, apart.late, together.on_time, together.late
     );
     let served = together.on_time + together.late;
-    assert!(together.on_time * 10 >= served * 7, "most are in time");
+    assert!(
+        together.on_time * 10 >= served * 7,
+        "most responses start in time"
+    );
     assert!(together.on_time >= 2 * apart.on_time);
     assert!(
         served * 10 >= (apart.on_time + apart.late) * 9,
-        "the home is used"
+        "the home stays in use"
     );
 }
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -1,4 +1,4 @@
-//! The leader's duties that no suite reaches.
+//! Cases of the leader's target controller that the fuzz tests do not reach.
 
 use std::collections::BTreeMap;
 
@@ -48,10 +48,10 @@
         controller.on_agent_heartbeat(&state, now_ms, &heartbeat());
         assert_eq!(controller.round(&state, now_ms, 0), [], "at {now_ms} ms");
     }
-    // It is frozen for a minute, and wakes.
+    // The leader is frozen for a minute, then resumes.
     now_ms += 60_000;
     assert_eq!(controller.round(&state, now_ms, 0), []);
-    // The member stays silent from here on: only that counts.
+    // The member sends no heartbeat from here on: only this silence counts.
     let resumed_ms = now_ms;
     let lost = loop {
         now_ms += 100;
@@ -60,15 +60,15 @@
         }
         assert!(
             now_ms < resumed_ms + 10_000,
-            "a silent member is never lost"
+            "a silent member is never marked lost"
         );
     };
     assert_eq!(lost, Command::Lost(host, Incarnation(1)));
     assert!(now_ms > resumed_ms + POLICY.loss_ms);
 }
 
-/// Found by reading: the weight store's gap was measured by the log's clock,
-/// so on a quiet site the next load waited for a commit that never came.
+/// The minimum gap between loads from the weight store was measured with the log's clock, so that
+/// on an idle site the next load waited for a commit that never came. Found by code review.
 #[test]
 fn a_repair_does_not_wait_for_the_next_commit() {
     let mut state = SiteState::default();
@@ -125,7 +125,7 @@
     // Nothing is committed from here on; only time passes.
     let demand = DemandTracker::default();
     let early = moves::plan(&state, &POLICY.placement, &demand, 50_700);
-    assert_eq!(early, [], "before the store's gap is over");
+    assert_eq!(early, [], "before the end of the store's load gap");
     let due = moves::plan(&state, &POLICY.placement, &demand, 50_714);
     assert_eq!(due.len(), 1);
     assert_eq!((&due[0].model, due[0].kind), (&model("b"), MoveKind::Load));
--- a/tests/engine_crashes.rs
+++ b/tests/engine_crashes.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines beside agents end: what the log is told, over real processes.
+//! Crashes of engines with agents during requests: reports to the log, over real processes.
 
 mod support;
 
@@ -20,14 +20,14 @@
 
 const ENGINES: [&str; 3] = ["t1-engine", "t2-engine", "t3-engine"];
 
-/// How often an engine has begun to run a prompt in its life.
+/// Returns how often an engine has started to run a prompt since it started.
 async fn run_count(site: &TestSite, engine: &str, prompt: &str) -> usize {
     let record = site.record(engine).await;
     let runs = record["runs"].as_array().unwrap().iter();
     runs.filter(|run| run["prompt"] == prompt).count()
 }
 
-/// The engine that has begun to run a prompt once more than before.
+/// Waits for an engine that has started to run a prompt more often than before; returns its name.
 async fn engine_that_ran(site: &TestSite, prompt: &str, before: &[usize]) -> &'static str {
     until("a run", async || {
         for (engine, before) in ENGINES.iter().zip(before) {
@@ -45,7 +45,7 @@
     let content = |number: u8| ContentDigest([number; ContentDigest::LEN]);
     let mut runs = LostRuns::default();
     runs.record(7, content(1), 100);
-    // Asked before the loss: it says nothing.
+    // A report requested before the loss proves nothing.
     assert!(runs.on_report(7, 100).is_empty());
     runs.record(7, content(2), 110);
     let ended = CrashedIncarnation {
@@ -53,7 +53,7 @@
         contents: [content(1), content(2)].into(),
     };
     assert_eq!(runs.on_report(8, 120), [ended]);
-    // The same life, asked after the loss: the connection broke, and no more.
+    // A report of the same boot, requested after the loss: only the connection broke.
     runs.record(8, content(3), 200);
     assert!(runs.on_report(8, 201).is_empty());
     assert!(runs.on_report(9, 300).is_empty());
@@ -65,7 +65,7 @@
     traits["piece_us"] = json!(20_000);
     let mut site = TestSite::start_with(&traits).await;
     site.add_row("one", &row("review", "filing-review")).await;
-    // Both entries follow the row.
+    // Waits until both entries have followed the row.
     site.settled("one", 1).await;
     for count in 1..=3 {
         let entry = ["e1", "e2"][count % 2];
@@ -79,34 +79,34 @@
             site.signal(engine, "-KILL");
             engine
         };
-        // While its model has no home it is refused.
+        // The request is refused while its model has no home.
         let calls = async {
             loop {
                 let response = site.complete(entry, &deadly).await;
                 assert!(response.text.contains("-home"), "{}", response.text);
             }
         };
-        // Its caller leaves with the end: further attempts would go on elsewhere.
+        // The caller disconnects when the engine is killed: further attempts would run elsewhere.
         let engine = tokio::select! {
             engine = kill => engine,
-            () = calls => unreachable!("it asks on"),
+            () = calls => unreachable!("the calls never end"),
         };
         site.kill(engine);
         site.restart_in_place(engine).await;
-        until("the log to know", async || {
+        until("the crash to be in the log", async || {
             let counts = site.crash_counts().await;
             (counts == [count as u8]).then_some(())
         })
         .await;
     }
-    // The model has a home again, and the entries follow all that the log holds.
+    // Waits until the model has a home again and the entries have followed the log.
     site.settled("one", 1).await;
     for entry in ["e1", "e2"] {
         let refused = site.complete(entry, &ask("deadly", 500)).await;
         assert_eq!(refused.status, 503);
         let body: Value = serde_json::from_str(&refused.text).unwrap_or_default();
         assert_eq!(body["error"]["code"], "targets-ended", "{}", refused.text);
-        until("a harmless answer", async || {
+        until("a response to a harmless request", async || {
             let response = site.complete(entry, &ask("harmless", 3)).await;
             (response.status == 200).then_some(())
         })
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! Evacuated data halls: what the log holds, what members follow, what entries choose and
-//! where the leader places models meanwhile.
+//! Evacuated data halls: state in the log, changes sent to members, choices of entries and
+//! placement of models by the leader.
 
 mod support_place;
 mod support_replicas;
@@ -42,7 +42,8 @@
     }
 }
 
-/// Two replicas with the model in `old`, an empty one there and one in `new`.
+/// Returns a state with two replicas that hold the model in hall `old`, an empty replica there and
+/// an empty one in `new`.
 fn two_halls() -> SiteState {
     let model = EngineModel {
         weights_mb: 70,
@@ -94,7 +95,7 @@
     view.follow(&page_after(&state, view.position));
     evacuate(&mut state);
     let once = state.changed();
-    // The same word again changes nothing.
+    // Repeating the command changes nothing.
     evacuate(&mut state);
     assert_eq!(state.changed(), once);
     let page = page_after(&state, view.position);
@@ -133,7 +134,7 @@
     let choose =
         |table: &ReplicaTable| table.choose(0, &need, &BTreeSet::new(), EngineBounds::default());
     let Choice::Send(chosen) = choose(&table) else {
-        panic!("both replicas have room");
+        panic!("both replicas have free capacity");
     };
     let incarnation = state.replicas.records()[&chosen].incarnation();
     evacuate(&mut state);
@@ -142,9 +143,9 @@
         table.claim(0, &incarnation, None),
         Err(SendBlock::Evacuated)
     );
-    // The same as if nobody held the model: the leader brings it elsewhere.
+    // The model counts as absent: the leader loads it elsewhere.
     assert_eq!(choose(&table), Choice::Absent);
-    // Nobody brings a plain service elsewhere: it is refused at once.
+    // A service without models is not placed elsewhere: its requests are refused at once.
     let plain = Need {
         model: None,
         ..need.clone()
@@ -215,7 +216,7 @@
     );
 }
 
-/// The same for targets with agents.
+/// Guards the same rule for targets with agents.
 #[test]
 fn homes_of_targets_in_an_evacuated_hall_are_replaced_elsewhere() {
     let model = ModelName::from(MODEL);
