--- a/tests/accounts.rs
+++ b/tests/accounts.rs
@@ -39,8 +39,8 @@
         "{twice}"
     );
     for name in ["", "a b", "a\r\nX: y", "ä"] {
-        let named = check(vec![account(name, &[])]);
-        assert_eq!(named, Err(AccountError::Name { index: 0 }), "{name}");
+        let checked = check(vec![account(name, &[])]);
+        assert_eq!(checked, Err(AccountError::Name { index: 0 }), "{name}");
     }
     for (per_s, burst, field) in [
         (-1.0, 0.0, "per_s"),
@@ -90,15 +90,15 @@
     /// version up to the held one attests.
     #[test]
     fn a_proof_counts_for_its_version_and_all_later_ones(
-        heard in prop::collection::vec((0u64..6, 0u64..50, 50u64..100), 0..30),
+        observed in prop::collection::vec((0u64..6, 0u64..50, 50u64..100), 0..30),
         held in 0u64..7,
     ) {
         let mut proofs = ProofCache::default();
         let mut oracle: BTreeMap<u64, u64> = BTreeMap::new();
-        for (version, age_ms, asked_ms) in heard {
-            proofs.record(FreshnessProof { version, age_ms }, asked_ms);
+        for (version, age_ms, requested_ms) in observed {
+            proofs.record(FreshnessProof { version, age_ms }, requested_ms);
             let newest = oracle.entry(version).or_default();
-            *newest = (*newest).max(asked_ms - age_ms);
+            *newest = (*newest).max(requested_ms - age_ms);
         }
         let expected = oracle.range(..=held).map(|(_, at_ms)| *at_ms).max();
         prop_assert_eq!(proofs.fresh_at_ms(held), expected);
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -38,8 +38,8 @@
     assert_eq!(parsed_ms(&["1, 3"]), Some(3_000));
     assert_eq!(parsed_ms(&["1e9"]), Some(1_000_000_000_000));
     assert_eq!(parsed_ms(&["1e300"]), Some(u64::MAX));
-    for word in ["", " ", "0", "-1", "inf", "NaN", "soon", "1 s"] {
-        assert_eq!(parsed_ms(&[word]), None, "{word}");
+    for text in ["", " ", "0", "-1", "inf", "NaN", "soon", "1 s"] {
+        assert_eq!(parsed_ms(&[text]), None, "{text}");
     }
     assert_eq!(parsed_ms(&["Wed, 21 Oct 2099 07:28:00 GMT"]), None);
     assert_eq!(parsed_ms(&[]), None);
@@ -206,7 +206,7 @@
     /// A request is to be sent.
     Send,
     /// The peer accepts the oldest pending request.
-    Answer,
+    Accept,
     /// The peer refuses the oldest pending request and requests a backoff in milliseconds.
     Refuse(u64),
     /// Entries without effect are removed.
@@ -218,7 +218,7 @@
         3 => (1u64..700).prop_map(Step::Wait),
         1 => (1u64..2 * MAX_BACKOFF_MS).prop_map(Step::Wait),
         6 => Just(Step::Send),
-        2 => Just(Step::Answer),
+        2 => Just(Step::Accept),
         2 => (1u64..9_000).prop_map(Step::Refuse),
         1 => Just(Step::Refuse(5_000_000)),
         1 => Just(Step::Prune),
@@ -253,8 +253,8 @@
                         }
                     }
                 }
-                Step::Answer if open.is_empty() => {}
-                Step::Answer => {
+                Step::Accept if open.is_empty() => {}
+                Step::Accept => {
                     tracker.release(now_ms, &"r", open.remove(0), SlotOutcome::Accepted);
                     // An accepted request after the longest backoff revokes the periods before.
                     let kept = |(from_ms, until_ms, _): &(u64, u64, u32)| {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -23,13 +23,13 @@
     for (name, value) in headers {
         call = call.header(*name, *value);
     }
-    let answer = call.send_body(body.to_owned()).await.unwrap();
-    let outcome = answer
+    let response = call.send_body(body.to_owned()).await.unwrap();
+    let outcome = response
         .headers()
         .get("x-outcome")
         .map(|value| value.to_str().unwrap().to_owned());
-    let status = answer.status().as_u16();
-    let bytes = answer.body().await.unwrap_or_default();
+    let status = response.status().as_u16();
+    let bytes = response.body().await.unwrap_or_default();
     Response {
         status,
         outcome: outcome.unwrap_or_default(),
--- a/tests/bounded_sending.rs
+++ b/tests/bounded_sending.rs
@@ -79,10 +79,11 @@
             "still sending {deadline:?} after the write"
         );
         SockRef::from(&remote).detach_filter().unwrap();
-        let seen = tokio::time::timeout(Duration::from_secs(1), remote.read(&mut [0; 16])).await;
+        let received =
+            tokio::time::timeout(Duration::from_secs(1), remote.read(&mut [0; 16])).await;
         let arrived_ms = started.elapsed().as_millis();
         assert!(
-            !matches!(seen, Ok(Ok(1..))),
+            !matches!(received, Ok(Ok(1..))),
             "limited to {limit_ms} ms, the order arrived {arrived_ms} ms after the write"
         );
     }
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -239,11 +239,11 @@
 fn a_member_counts_its_own_observations_until_the_log_includes_them() {
     let mut index = SuspectIndex::default();
     assert!(index.is_empty());
-    let seen = report(1, &[1]);
-    index.record_crash(&seen, None);
+    let crash = report(1, &[1]);
+    index.record_crash(&crash, None);
     index.follow(Position(9), &CrashCounts::new());
     assert_eq!(index.standing(&content(1)), SUSPECT);
-    index.record_crash(&seen, Some(Position(10)));
+    index.record_crash(&crash, Some(Position(10)));
     index.follow(Position(9), &CrashCounts::new());
     assert_eq!(index.standing(&content(1)), SUSPECT);
     index.follow(Position(10), &CrashCounts::from([(content(1), 2)]));
--- a/tests/engine_crashes.rs
+++ b/tests/engine_crashes.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use support::{CompletionRequest, TestSite, engine_traits, row, until};
 
-fn ask(prompt: &str, tokens: u32) -> CompletionRequest<'_> {
+fn completion(prompt: &str, tokens: u32) -> CompletionRequest<'_> {
     CompletionRequest {
         model: "review",
         class: "filing-review",
@@ -69,7 +69,7 @@
     site.settled("one", 1).await;
     for count in 1..=3 {
         let entry = ["e1", "e2"][count % 2];
-        let deadly = ask("deadly", 500);
+        let deadly = completion("deadly", 500);
         let mut before = Vec::new();
         for engine in ENGINES {
             before.push(run_count(&site, engine, "deadly").await);
@@ -102,12 +102,12 @@
     // Waits until the model has a home again and the entries have followed the log.
     site.settled("one", 1).await;
     for entry in ["e1", "e2"] {
-        let refused = site.complete(entry, &ask("deadly", 500)).await;
+        let refused = site.complete(entry, &completion("deadly", 500)).await;
         assert_eq!(refused.status, 503);
         let body: Value = serde_json::from_str(&refused.text).unwrap_or_default();
         assert_eq!(body["error"]["code"], "targets-ended", "{}", refused.text);
         until("a response to a harmless request", async || {
-            let response = site.complete(entry, &ask("harmless", 3)).await;
+            let response = site.complete(entry, &completion("harmless", 3)).await;
             (response.status == 200).then_some(())
         })
         .await;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -11,7 +11,7 @@
     CompletionRequest, OPERATOR, OTHER_OPERATOR, TestSite, complete_text, engine_traits, row, until,
 };
 
-fn ask(prompt: &str) -> CompletionRequest<'_> {
+fn completion(prompt: &str) -> CompletionRequest<'_> {
     CompletionRequest {
         model: "review",
         class: "filing-review",
@@ -55,8 +55,8 @@
     site.signal(&frozen, "-CONT");
     // The resumed host may reply, but only with the current state.
     for entry in ["e1", "e2"] {
-        let seen = until("the table", async || version_of(&site, entry, "two").await).await;
-        assert_eq!(seen, version);
+        let seen_version = until("the table", async || version_of(&site, entry, "two").await).await;
+        assert_eq!(seen_version, version);
     }
     until("the resumed host to follow", async || {
         let metrics = site.metrics(&frozen).await;
@@ -95,8 +95,8 @@
     .await;
     // Another host is lost right after the repair.
     site.kill("c2");
-    let seen = until("the row", async || version_of(&site, "e1", "one").await).await;
-    assert_eq!(seen, version);
+    let seen_version = until("the row", async || version_of(&site, "e1", "one").await).await;
+    assert_eq!(seen_version, version);
     site.add_row("two", &row("draft", "notice")).await;
 }
 
@@ -115,14 +115,14 @@
                 .await
         }
     });
-    let answers = join_all(edits).await;
-    let accepted: Vec<&Value> = answers
+    let replies = join_all(edits).await;
+    let accepted: Vec<&Value> = replies
         .iter()
         .filter(|(status, _)| *status == 200)
         .map(|(_, body)| body)
         .collect();
-    assert_eq!(accepted.len(), 1, "equal versions, one winner: {answers:?}");
-    let conflicts = answers.iter().filter(|(status, _)| *status == 412).count();
+    assert_eq!(accepted.len(), 1, "equal versions, one winner: {replies:?}");
+    let conflicts = replies.iter().filter(|(status, _)| *status == 412).count();
     assert_eq!(conflicts, 7);
     let (status, _) = site
         .put_row(
@@ -136,7 +136,7 @@
         .await;
     assert_eq!(status, 403);
     // The accepted edit is sent again, as after a lost response.
-    let winner = answers
+    let winner = replies
         .iter()
         .position(|(status, _)| *status == 200)
         .unwrap();
@@ -159,7 +159,7 @@
         ("patience_ms", json!("soon"), 422, "patience_ms"),
         ("wieght", json!(1), 422, "wieght"),
     ];
-    for (field, value, status, named) in cases {
+    for (field, value, status, expected_field) in cases {
         let mut fields = row("review", "other");
         fields[field] = value;
         let edit = format!("bad-{field}");
@@ -167,7 +167,7 @@
         assert_eq!(response, status, "{body}");
         let message = body["error"]["message"].as_str().unwrap();
         assert!(
-            message.contains(named) && message.contains("bad"),
+            message.contains(expected_field) && message.contains("bad"),
             "{message}"
         );
     }
@@ -244,8 +244,8 @@
         .await;
     site.settled("review", 2).await;
     // One home is killed during its runs, the other continues.
-    let (dies, stays, bystander) = home_roles(&site).await;
-    let engine = format!("{dies}-engine");
+    let (killed, surviving, bystander) = home_roles(&site).await;
+    let engine = format!("{killed}-engine");
     for target in ["t1", "t2", "t3"] {
         site.inject(&format!("{target}-engine"), &json!({ "cut_streams": 5 }))
             .await;
@@ -254,15 +254,16 @@
     let calls = prompts.iter().map(|prompt| {
         let site = &site;
         async move {
-            let mut ask = ask(prompt);
-            ask.stream = prompt.len().is_multiple_of(2);
-            site.complete("e1", &ask).await
+            let mut completion = completion(prompt);
+            completion.stream = prompt.len().is_multiple_of(2);
+            site.complete("e1", &completion).await
         }
     });
     let kill = async {
         until("both homes to have runs in progress", async || {
-            let at_work = running_on(&site, dies).await > 0 && running_on(&site, stays).await > 0;
-            at_work.then_some(())
+            let both_running =
+                running_on(&site, killed).await > 0 && running_on(&site, surviving).await > 0;
+            both_running.then_some(())
         })
         .await;
         site.signal(bystander, "-KILL");
@@ -301,9 +302,9 @@
         let calls = prompts.iter().enumerate().map(|(at, prompt)| {
             let site = &site;
             let entry = if at % 2 == 0 { "e1" } else { "e2" };
-            let mut keyed = ask(prompt);
-            keyed.key = Some(prompt);
-            async move { site.complete(entry, &keyed).await }
+            let mut request_with_key = completion(prompt);
+            request_with_key.key = Some(prompt);
+            async move { site.complete(entry, &request_with_key).await }
         });
         let stop = async {
             tokio::time::sleep(std::time::Duration::from_millis(80)).await;
@@ -328,10 +329,10 @@
     site.add_row("review", &row("review", "filing-review"))
         .await;
     site.settled("review", 2).await;
-    let mut long = ask("a long one");
+    let mut long = completion("a long one");
     long.tokens = 200;
-    let leave = async {
-        let leaving = until("the long request to run", async || {
+    let drain = async {
+        let draining = until("the long request to run", async || {
             for target in ["t1", "t2", "t3"] {
                 if runs_on(&site, target).await > 0 {
                     return Some(target);
@@ -340,18 +341,18 @@
             None
         })
         .await;
-        site.signal(leaving, "-TERM");
+        site.signal(draining, "-TERM");
         until("two other homes of the model", async || {
             let table = site.table("e1").await?;
             let homes = table["rows"][0]["homes"].as_array()?.clone();
-            let left = homes.iter().filter(|home| **home != leaving).count();
+            let left = homes.iter().filter(|home| **home != draining).count();
             (left >= 2).then_some(())
         })
         .await;
         // The draining target still processes the long request and must get no other.
         let prompts: Vec<String> = (0..20).map(|at| format!("meanwhile {at}")).collect();
         let calls = prompts.iter().map(|prompt| {
-            let mut short = ask(prompt);
+            let mut short = completion(prompt);
             short.tokens = 1;
             let site = &site;
             async move { site.complete("e1", &short).await }
@@ -360,16 +361,16 @@
             assert_eq!(response.outcome, "done", "{response:?}");
         }
         assert_eq!(
-            runs_on(&site, leaving).await,
+            runs_on(&site, draining).await,
             1,
             "new work on a draining target"
         );
-        leaving
+        draining
     };
-    let (response, leaving) = futures::join!(site.complete("e1", &long), leave);
+    let (response, draining) = futures::join!(site.complete("e1", &long), drain);
     assert_eq!(response.outcome, "done", "{response:?}");
     assert_eq!(response.text, complete_text("a long one", 200));
-    assert!(site.ended(leaving).await);
+    assert!(site.ended(draining).await);
 }
 
 /// Returns the two homes of the only row, and the target that is not a home.
@@ -379,7 +380,7 @@
     let is_home = |target: &&str| homes.iter().any(|home| home == target);
     let (homes, others): (Vec<_>, Vec<_>) = ["t1", "t2", "t3"].into_iter().partition(is_home);
     match (&homes[..], &others[..]) {
-        ([dies, stays], [bystander]) => (dies, stays, bystander),
+        ([killed, surviving], [bystander]) => (killed, surviving, bystander),
         _ => panic!("homes {homes:?}"),
     }
 }
@@ -433,7 +434,7 @@
         site.signal(name, "-STOP");
     }
     let response = until("the entry to refuse", async || {
-        let response = site.complete("e1", &ask("cut off")).await;
+        let response = site.complete("e1", &completion("cut off")).await;
         // Before that, agents without a lease may refuse requests for their own reason.
         response.text.contains("stale-table").then_some(response)
     })
@@ -447,7 +448,7 @@
         site.signal(name, "-CONT");
     }
     until("the entry to serve again", async || {
-        let response = site.complete("e1", &ask("back")).await;
+        let response = site.complete("e1", &completion("back")).await;
         (response.outcome == "done").then_some(())
     })
     .await;
@@ -470,7 +471,9 @@
         (now.len() == 1 && !homes.contains(&now[0])).then_some(())
     })
     .await;
-    let response = site.complete("e1", &ask("on the one that is left")).await;
+    let response = site
+        .complete("e1", &completion("on the one that is left"))
+        .await;
     assert_eq!(response.outcome, "done", "{response:?}");
 }
 
@@ -499,7 +502,7 @@
         })
         .await;
     };
-    let request = ask("long");
+    let request = completion("long");
     let (response, ()) = futures::join!(site.complete("e1", &request), wait_for_report);
     assert_eq!(response.outcome, "done");
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -600,12 +600,12 @@
     assert_eq!(steps.len(), 1);
     assert_eq!(steps[0].model, ModelName::from("cold"));
     assert_eq!(steps[0].for_model, Some(ModelName::from("hot")));
-    let asked = plan_models(&[("cold", 1.0), ("hot", 30.0), ("lost", 0.0)]);
+    let both_in_demand = plan_models(&[("cold", 1.0), ("hot", 30.0), ("lost", 0.0)]);
     let both = vec![
         plan_replica("r1", 0, &["hot"]),
         plan_replica("r2", 0, &["cold"]),
     ];
-    assert_eq!(plan(both, &asked, 1.0, 1), []);
+    assert_eq!(plan(both, &both_in_demand, 1.0, 1), []);
 }
 
 #[test]
@@ -687,8 +687,8 @@
     directory.put(&record("r1", 1, &["a", "b"]), 0);
     let (id, model) = (ReplicaId::from("r1"), ModelName::from("a"));
     let held = directory.records()[&id].clone();
-    let answer = orders.decide(&held, 1, &directory, &placement("x"), 0);
-    assert_eq!(answer, AdapterDecision::Load);
+    let decision = orders.decide(&held, 1, &directory, &placement("x"), 0);
+    assert_eq!(decision, AdapterDecision::Load);
     directory.record_adapter_order(&id, &model, "x");
     assert_eq!(orders.take_due(&directory, 0), [placement("x")]);
     orders.on_outcome(&placement("x"), OrderOutcome::Unknown, 0);
@@ -768,10 +768,10 @@
     ));
     fleet.controller = leader(2, 4_000);
     // The predecessor's lease has expired, and the new leader has had no round yet.
-    let answer = fleet
+    let decision = fleet
         .controller
         .on_adapter_request(&fleet.state, 7_000, &placement("z"));
-    assert_eq!(answer, (false, None));
+    assert_eq!(decision, (false, None));
 }
 
 #[test]
@@ -886,15 +886,15 @@
             replicas.put(&held, now_ms);
         }
         orders.settle(&replicas, now_ms);
-        let answer = orders.decide(
+        let decision = orders.decide(
             &record_of(&replicas),
             slots,
             &replicas,
             &placement("a2"),
             now_ms,
         );
-        assert_ne!(answer, AdapterDecision::Load, "at {now_ms}");
-        if answer == AdapterDecision::Evict(placement("a1")) {
+        assert_ne!(decision, AdapterDecision::Load, "at {now_ms}");
+        if decision == AdapterDecision::Evict(placement("a1")) {
             return;
         }
     }
--- a/tests/founding.rs
+++ b/tests/founding.rs
@@ -1,6 +1,6 @@
 //! Exactly one site is bootstrapped, although hosts are killed and restarted meanwhile.
 
-#[expect(dead_code, reason = "these hosts restart on addresses of their own")]
+#[expect(dead_code, reason = "this file binds its own addresses")]
 mod support_control;
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -13,9 +13,9 @@
         Some(body) => call.send_json(body).await,
         None => call.send().await,
     };
-    let answer = sent.unwrap_or_else(|error| panic!("{error} at {url}"));
-    let status = answer.status().as_u16();
-    let body = answer.body().await.unwrap();
+    let response = sent.unwrap_or_else(|error| panic!("{error} at {url}"));
+    let status = response.status().as_u16();
+    let body = response.body().await.unwrap();
     (status, String::from_utf8(body.to_vec()).unwrap())
 }
 
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -195,25 +195,25 @@
 #[test]
 fn a_first_start_continues_until_the_folder_has_a_log_or_an_identity_of_its_own() {
     const BOOTSTRAP_NODE: NodeId = NodeId(7);
-    let named = vec![VoterSettings {
+    let listed = vec![VoterSettings {
         host: HostName::from("c1"),
         address: "127.0.0.1:9".parse().unwrap(),
     }];
     let first_start = || {
         let folder = TempDir::new().unwrap();
-        journal::begin_first_start(folder.path(), &named).unwrap();
+        journal::begin_first_start(folder.path(), &listed).unwrap();
         folder
     };
     let unfinished =
         |folder: &TempDir| journal::unfinished_first_start(folder.path(), BOOTSTRAP_NODE).unwrap();
     assert_eq!(unfinished(&TempDir::new().unwrap()), None, "never started");
-    assert_eq!(unfinished(&first_start()), Some(named.clone()));
+    assert_eq!(unfinished(&first_start()), Some(listed.clone()));
 
     let bootstrapping = first_start();
     let (mut journal, _) = DiskJournal::open(bootstrapping.path(), Some(BOOTSTRAP_NODE)).unwrap();
     assert_eq!(
         unfinished(&bootstrapping),
-        Some(named.clone()),
+        Some(listed.clone()),
         "an identity only"
     );
     let snapshot = LogSnapshot::default();
--- a/tests/log_limit.rs
+++ b/tests/log_limit.rs
@@ -25,9 +25,9 @@
 }
 
 impl SharedLines {
-    fn count(&self, word: &str) -> u32 {
+    fn count(&self, pattern: &str) -> u32 {
         let text = String::from_utf8(self.0.lock().unwrap().clone()).unwrap();
-        text.lines().filter(|line| line.contains(word)).count() as u32
+        text.lines().filter(|line| line.contains(pattern)).count() as u32
     }
 }
 
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -14,7 +14,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use support_quota::{ACCOUNT, QuotaSite, SiteShape, book};
+use support_quota::{ACCOUNT, QuotaSite, SiteShape, account_list};
 
 #[test]
 fn what_is_given_is_close_to_the_limit_however_demand_is_spread() {
@@ -147,11 +147,11 @@
     for seed in 0..10 {
         let mut site = QuotaSite::new(shape, seed);
         site.run(5_000);
-        let (refused, asked) = (site.refused, site.asked.len());
+        let (refused, demanded) = (site.refused, site.demanded.len());
         site.leader = None;
         site.run(2_000);
         lost += site.refused - refused;
-        came += site.asked.len() - asked;
+        came += site.demanded.len() - demanded;
     }
     println!("{lost} of {came} refused without a leader");
     assert!(lost * 8 <= came, "{lost} of {came}");
@@ -167,7 +167,7 @@
 /// A leader that has led for long, with a full bucket.
 fn grantor(quota: QuotaSpec) -> QuotaGrantor {
     let mut grantor = QuotaGrantor::new(0);
-    grantor.set_limits(1, Some(&book(quota)));
+    grantor.set_limits(1, Some(&account_list(quota)));
     grantor
 }
 
@@ -275,7 +275,7 @@
     let held = ask(&mut before, 10_000, 1, false);
     assert_eq!(held, quota.burst as u64);
     let mut next = QuotaGrantor::new(10_010);
-    next.set_limits(1, Some(&book(quota)));
+    next.set_limits(1, Some(&account_list(quota)));
     let fresh = ask(&mut next, 10_020, 2, false);
     ask(&mut next, 10_030, 1, true);
     // What comes in these 30 ms, and the half that a change of leader may cost.
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -179,13 +179,13 @@
             "site": Self::site_spec(),
         });
         let path = self.write(name, &settings);
-        let found = Command::new(program("dunlinspring-control"))
+        let bootstrap = Command::new(program("dunlinspring-control"))
             .args(["--found", "--settings", &path])
             .output()
             .unwrap();
-        let stderr = String::from_utf8_lossy(&found.stderr);
+        let stderr = String::from_utf8_lossy(&bootstrap.stderr);
         assert!(
-            found.status.success(),
+            bootstrap.status.success(),
             "bootstrap of {name} failed: {stderr}"
         );
         let args = vec!["--settings".to_owned(), path];
@@ -309,11 +309,11 @@
         let link = ControlLink::new(self.secret(), self.control_addresses());
         let call =
             |client: ControlWireClient, context| async move { client.contents(context).await };
-        let book = link
+        let crashes = link
             .call_leader("contents", WAIT_TIMEOUT, call)
             .await
             .unwrap();
-        book.counts().into_values().collect()
+        crashes.counts().into_values().collect()
     }
 
     /// Kills a process and waits for its end.
@@ -379,14 +379,14 @@
         fields: &Value,
     ) -> (u16, Value) {
         let client = client_without_timeout().await;
-        let answer = client
+        let response = client
             .put(self.url(entry, &format!("/v1/table/rows/{id}")))
             .bearer_auth(operator)
             .header("if-match", version.to_string())
             .header("idempotency-key", edit)
             .send_json(fields)
             .await;
-        read_json(answer).await
+        read_json(response).await
     }
 
     /// Puts a new row, repeated until it is accepted; returns its version.
@@ -405,12 +405,12 @@
 
     pub async fn table(&self, entry: &str) -> Option<Value> {
         let client = client_without_timeout().await;
-        let answer = client
+        let response = client
             .get(self.url(entry, "/v1/table"))
             .bearer_auth(OPERATOR)
             .send()
             .await;
-        let (status, body) = read_json(answer).await;
+        let (status, body) = read_json(response).await;
         (status == 200).then_some(body)
     }
 
@@ -521,8 +521,8 @@
         let client = client_without_timeout().await;
         let url = format!("http://{}/metrics", self.address(name, "watch"));
         let read = async {
-            let answer = client.get(url).send().await.ok()?;
-            let body = answer.body().await.ok()?;
+            let response = client.get(url).send().await.ok()?;
+            let body = response.body().await.ok()?;
             String::from_utf8(body.to_vec()).ok()
         };
         let read = tokio::time::timeout(Duration::from_secs(1), read).await;
@@ -532,8 +532,8 @@
     pub async fn inject(&self, target: &str, faults: &Value) {
         let client = client_without_timeout().await;
         let url = format!("http://{}/faults", self.address(target, "listen"));
-        let answer = client.post(url).send_json(faults).await.unwrap();
-        assert!(answer.status().is_success());
+        let response = client.post(url).send_json(faults).await.unwrap();
+        assert!(response.status().is_success());
     }
 }
 
@@ -587,17 +587,17 @@
 
 type SendResult = Result<ntex::client::ClientResponse, ntex::client::error::ClientError>;
 
-async fn read_json(answer: SendResult) -> (u16, Value) {
-    let Ok(answer) = answer else {
+async fn read_json(response: SendResult) -> (u16, Value) {
+    let Ok(response) = response else {
         return (0, Value::Null);
     };
-    let status = answer.status().as_u16();
-    let body = answer.body().limit(16 << 20).await.unwrap_or_default();
+    let status = response.status().as_u16();
+    let body = response.body().limit(16 << 20).await.unwrap_or_default();
     (status, serde_json::from_slice(&body).unwrap_or(Value::Null))
 }
 
-async fn read_response(answer: SendResult) -> CallResponse {
-    let Ok(answer) = answer else {
+async fn read_response(response: SendResult) -> CallResponse {
+    let Ok(response) = response else {
         return CallResponse {
             status: 0,
             outcome: String::new(),
@@ -606,14 +606,14 @@
         };
     };
     let header = |name: &str| {
-        let value = answer.headers().get(name)?;
+        let value = response.headers().get(name)?;
         Some(value.to_str().unwrap().to_owned())
     };
-    let status = answer.status().as_u16();
+    let status = response.status().as_u16();
     let mut outcome = header("x-outcome").unwrap_or_default();
     let retry_after = header("retry-after");
     let streamed = header("content-type").as_deref() == Some("text/event-stream");
-    let body = answer.body().limit(16 << 20).await.unwrap_or_default();
+    let body = response.body().limit(16 << 20).await.unwrap_or_default();
     let mut text = String::from_utf8(body.to_vec()).unwrap();
     if streamed {
         let (joined, last) = read_events(&text);
--- a/tests/support_quota/mod.rs
+++ b/tests/support_quota/mod.rs
@@ -61,7 +61,7 @@
 }
 
 /// Returns a list of one account with this quota.
-pub fn book(quota: QuotaSpec) -> AccountList {
+pub fn account_list(quota: QuotaSpec) -> AccountList {
     let account = AccountSpec {
         name: AccountName::from(ACCOUNT),
         keys: Vec::new(),
@@ -103,7 +103,7 @@
     /// When the quota request that has no reply yet was made.
     pending_since_ms: Option<u64>,
     requests: Vec<SentRequest>,
-    answers: Vec<SentGrants>,
+    replies: Vec<SentGrants>,
     /// Relative weight of the entry's demand.
     weight: f64,
     /// Time until which the entry is cut off from the leader.
@@ -125,7 +125,7 @@
             requested_ms: 0,
             pending_since_ms: None,
             requests: Vec::new(),
-            answers: Vec::new(),
+            replies: Vec::new(),
             weight,
             cut_until_ms: 0,
             frozen_until_ms: 0,
@@ -140,13 +140,13 @@
     pub leader: Option<QuotaGrantor>,
     pub now_ms: u64,
     version: u64,
-    book: AccountList,
+    account_list: AccountList,
     rng: SmallRng,
     incarnations: u64,
     /// Time and tokens of each request that ran.
     ran: Vec<(u64, u64)>,
     /// Time and tokens of each request that arrived.
-    pub asked: Vec<(u64, u64)>,
+    pub demanded: Vec<(u64, u64)>,
     pub refused: usize,
 }
 
@@ -158,11 +158,11 @@
             leader: Some(QuotaGrantor::new(0)),
             now_ms: 0,
             version: 1,
-            book: book(shape.quota()),
+            account_list: account_list(shape.quota()),
             rng: SmallRng::seed_from_u64(seed),
             incarnations: 0,
             ran: Vec::new(),
-            asked: Vec::new(),
+            demanded: Vec::new(),
             refused: 0,
         };
         for _ in 0..shape.entries {
@@ -196,7 +196,7 @@
 
     pub fn set_limit(&mut self, quota: QuotaSpec) {
         self.version += 1;
-        self.book = book(quota);
+        self.account_list = account_list(quota);
         for entry in &mut self.entries {
             entry.holder.clear_short();
         }
@@ -222,7 +222,7 @@
         while left > 0.0 {
             if self.rng.random_bool(left.min(1.0)) {
                 let cost = (MEAN * self.rng.random_range(0.2..1.8)) as u64;
-                self.asked.push((self.now_ms, cost));
+                self.demanded.push((self.now_ms, cost));
                 let number = self.pick_entry();
                 let now_ms = self.now_ms;
                 let holder = &mut self.entries[number].holder;
@@ -263,8 +263,8 @@
         // The leader replies to the requests that have arrived.
         for sent in entry.requests.extract_if(.., |sent| sent.due_ms <= now_ms) {
             if let (Some(leader), false) = (&mut self.leader, cut) {
-                leader.set_limits(self.version, Some(&self.book));
-                entry.answers.push(SentGrants {
+                leader.set_limits(self.version, Some(&self.account_list));
+                entry.replies.push(SentGrants {
                     due_ms: now_ms + TRANSIT_MS,
                     made_ms: sent.made_ms,
                     number: sent.request.number,
@@ -273,7 +273,7 @@
             }
         }
         let mut granted = false;
-        for sent in entry.answers.extract_if(.., |sent| sent.due_ms <= now_ms) {
+        for sent in entry.replies.extract_if(.., |sent| sent.due_ms <= now_ms) {
             if !cut {
                 granted = true;
                 entry.pending_since_ms = None;
@@ -336,14 +336,14 @@
     }
 
     pub fn refused_share(&self) -> f64 {
-        self.refused as f64 / self.asked.len() as f64
+        self.refused as f64 / self.demanded.len() as f64
     }
 
     /// Returns the share of requests that a single bucket for all entries would refuse.
     pub fn refused_by_one_bucket(&self) -> f64 {
         let quota = self.shape.quota();
         let (mut level, mut at_ms, mut refused) = (quota.burst, 0, 0);
-        for (now_ms, cost) in &self.asked {
+        for (now_ms, cost) in &self.demanded {
             let filled = (now_ms - at_ms) as f64 / 1_000.0 * quota.per_s;
             level = f64::min(level + filled, quota.burst);
             at_ms = *now_ms;
@@ -352,6 +352,6 @@
                 false => refused += 1,
             }
         }
-        f64::from(refused) / self.asked.len() as f64
+        f64::from(refused) / self.demanded.len() as f64
     }
 }
