--- a/tests/accounts.rs
+++ b/tests/accounts.rs
@@ -1,5 +1,5 @@
-//! The pure parts of client accounts: what makes sense, how a key is found, and how old a
-//! word of the newest configuration is.
+//! Pure parts of client accounts: validation, key lookup, and the age of the proof that a
+//! configuration version is the newest.
 
 mod support_accounts;
 
@@ -14,7 +14,7 @@
 use support_accounts::account;
 
 #[test]
-fn accounts_that_make_no_sense_are_refused_with_field_and_place() {
+fn invalid_accounts_are_rejected_with_field_and_index() {
     let check = |accounts: Vec<AccountSpec>| AccountList { accounts }.check();
     assert_eq!(
         check(vec![account("a", &["k1", "k1"]), account("b", &["k2"])]),
@@ -39,8 +39,8 @@
         "{twice}"
     );
     for name in ["", "a b", "a\r\nX: y", "ä"] {
-        let named = check(vec![account(name, &[])]);
-        assert_eq!(named, Err(AccountError::Name { index: 0 }), "{name}");
+        let checked = check(vec![account(name, &[])]);
+        assert_eq!(checked, Err(AccountError::Name { index: 0 }), "{name}");
     }
     for (per_s, burst, field) in [
         (-1.0, 0.0, "per_s"),
@@ -86,18 +86,19 @@
 }
 
 proptest! {
-    /// Against the plain rule: of all proofs for versions up to the one held, the latest.
+    /// Compares `ProofCache` with a direct computation: the latest time that any proof for a
+    /// version up to the held one attests.
     #[test]
-    fn a_proof_counts_for_whoever_holds_its_version(
-        heard in prop::collection::vec((0u64..6, 0u64..50, 50u64..100), 0..30),
+    fn a_proof_counts_for_its_version_and_all_later_ones(
+        observed in prop::collection::vec((0u64..6, 0u64..50, 50u64..100), 0..30),
         held in 0u64..7,
     ) {
         let mut proofs = ProofCache::default();
         let mut oracle: BTreeMap<u64, u64> = BTreeMap::new();
-        for (version, age_ms, asked_ms) in heard {
-            proofs.record(FreshnessProof { version, age_ms }, asked_ms);
+        for (version, age_ms, requested_ms) in observed {
+            proofs.record(FreshnessProof { version, age_ms }, requested_ms);
             let newest = oracle.entry(version).or_default();
-            *newest = (*newest).max(asked_ms - age_ms);
+            *newest = (*newest).max(requested_ms - age_ms);
         }
         let expected = oracle.range(..=held).map(|(_, at_ms)| *at_ms).max();
         prop_assert_eq!(proofs.fresh_at_ms(held), expected);
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input from callers and peers: a clear answer, and nothing lost.
+//! Invalid input from callers and peers: it gets a specific error and has no other effect.
 
 mod support;
 
@@ -9,35 +9,35 @@
 use dunlinspring::process::peers::{self, PeerPool, SiteSecret};
 use ntex::client::Client;
 use serde_json::{Value, json};
-use support::{Ask, CALLER, TestSite, engine_traits, row, until};
+use support::{CALLER, CompletionRequest, TestSite, engine_traits, row, until};
 
-struct Answer {
+struct Response {
     status: u16,
     outcome: String,
     body: Value,
 }
 
-async fn post(site: &TestSite, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
+async fn post(site: &TestSite, path: &str, headers: &[(&str, &str)], body: &str) -> Response {
     let url = format!("http://{}{path}", site.address("e1", "callers"));
     let mut call = Client::new().await.post(url);
     for (name, value) in headers {
         call = call.header(*name, *value);
     }
-    let answer = call.send_body(body.to_owned()).await.unwrap();
-    let outcome = answer
+    let response = call.send_body(body.to_owned()).await.unwrap();
+    let outcome = response
         .headers()
         .get("x-outcome")
         .map(|value| value.to_str().unwrap().to_owned());
-    let status = answer.status().as_u16();
-    let bytes = answer.body().await.unwrap_or_default();
-    Answer {
+    let status = response.status().as_u16();
+    let bytes = response.body().await.unwrap_or_default();
+    Response {
         status,
         outcome: outcome.unwrap_or_default(),
         body: serde_json::from_slice(&bytes).unwrap_or_default(),
     }
 }
 
-/// What is wrong, the headers, the body, and the status and code told.
+/// Description of the fault, request headers, request body, expected status and error code.
 type BadCase<'a> = (&'a str, &'a [(&'a str, &'a str)], &'a str, u16, &'a str);
 
 fn completion(model: &str) -> String {
@@ -45,7 +45,7 @@
 }
 
 #[ntex::test]
-async fn callers_are_told_what_is_wrong_and_nothing_runs() {
+async fn invalid_requests_get_a_specific_error_and_run_nothing() {
     let site = TestSite::start().await;
     let mut once = row("draft", "notice");
     once["at_most_once"] = json!(true);
@@ -58,13 +58,13 @@
     let path = "/v1/completions";
     let large = json!({ "model": "review", "prompt": "x".repeat(2 << 20) }).to_string();
     let zero = json!({ "model": "review", "prompt": "p", "max_tokens": 0 }).to_string();
-    let wrong = ("authorization", "Bearer wrong");
+    let wrong_key = ("authorization", "Bearer wrong");
     let class = ("x-request-class", "nobody");
     let cases: [BadCase<'_>; 8] = [
         ("no key", &[], &completion("review"), 401, "invalid_key"),
         (
             "a wrong key",
-            &[wrong],
+            &[wrong_key],
             &completion("review"),
             401,
             "invalid_key",
@@ -95,17 +95,17 @@
         ("a large body", &[key], &large, 413, "body_too_large"),
     ];
     for (what, headers, body, status, code) in cases {
-        let told = post(&site, path, headers, body).await;
-        assert_eq!(told.status, status, "{what}: {}", told.body);
+        let response = post(&site, path, headers, body).await;
+        assert_eq!(response.status, status, "{what}: {}", response.body);
         assert_eq!(
-            told.body["error"]["code"].as_str().unwrap_or_default(),
+            response.body["error"]["code"].as_str().unwrap_or_default(),
             code,
             "{what}"
         );
         assert!(
-            told.outcome == "not-run" || status == 413,
+            response.outcome == "not-run" || status == 413,
             "{what}: '{}'",
-            told.outcome
+            response.outcome
         );
     }
     let keyed = [key, ("idempotency-key", "k")];
@@ -114,28 +114,31 @@
     let again = post(&site, path, &keyed, &completion("draft")).await;
     assert_eq!(
         again.body["choices"], first.body["choices"],
-        "a resend gets the recorded answer"
+        "a resend gets the recorded response"
     );
     let other = json!({ "model": "draft", "prompt": "other", "max_tokens": 3 }).to_string();
-    let told = post(&site, path, &keyed, &other).await;
-    assert_eq!((told.status, told.outcome.as_str()), (409, "not-run"));
+    let response = post(&site, path, &keyed, &other).await;
+    assert_eq!(
+        (response.status, response.outcome.as_str()),
+        (409, "not-run")
+    );
     let mut runs = 0;
     for target in ["t1", "t2", "t3"] {
         let record = site.record(&format!("{target}-engine")).await;
         runs += record["runs"].as_array().unwrap().len();
     }
-    assert_eq!(runs, 1, "only the one good request ran");
+    assert_eq!(runs, 1, "only the valid request ran");
 }
 
 #[ntex::test]
-async fn a_caller_that_leaves_has_its_run_cancelled() {
+async fn a_disconnected_caller_has_its_run_cancelled() {
     let mut traits = engine_traits();
     traits["piece_us"] = json!(50_000);
     let site = TestSite::start_with(&traits).await;
     site.add_row("review", &row("review", "filing-review"))
         .await;
     site.settled("review", 1).await;
-    let ask = Ask {
+    let request = CompletionRequest {
         model: "review",
         class: "filing-review",
         prompt: "a long answer",
@@ -143,8 +146,12 @@
         stream: true,
         key: None,
     };
-    let left = tokio::time::timeout(Duration::from_millis(400), site.complete("e1", &ask)).await;
-    assert!(left.is_err(), "the answer was to take longer");
+    let timed_out =
+        tokio::time::timeout(Duration::from_millis(400), site.complete("e1", &request)).await;
+    assert!(
+        timed_out.is_err(),
+        "the response must take longer than the time-out"
+    );
     until("the run to be cancelled", async || {
         let mut runs = 0;
         for target in ["t1", "t2", "t3"] {
@@ -159,21 +166,21 @@
 }
 
 #[ntex::test]
-async fn peers_without_the_secret_or_with_wild_frames_are_refused() {
+async fn peers_without_the_secret_or_with_invalid_frames_are_rejected() {
     let site = TestSite::start().await;
     let address = site.control_addresses()[0].clone();
-    let stranger = PeerPool::new(
+    let foreign_pool = PeerPool::new(
         SiteSecret::new("another-secret-altogether"),
         peers::dial_control,
     );
     let context = || peers::within(Duration::from_secs(2));
-    let status = stranger
+    let status = foreign_pool
         .call(&address, "status", |client| async move {
             client.status(context()).await
         })
         .await;
-    assert!(status.is_err(), "a stranger was let in");
-    // A frame that claims four gigabytes, and one of another protocol.
+    assert!(status.is_err(), "a peer with another secret was accepted");
+    // A frame with a declared length of 4 GiB, and one of another protocol version.
     let frames: [Vec<u8>; 2] = [
         u32::MAX.to_be_bytes().to_vec(),
         [&68u32.to_be_bytes()[..], &99u32.to_le_bytes(), &[0; 64]].concat(),
@@ -185,29 +192,29 @@
             .unwrap();
         stream.write_all(&frame).unwrap();
         let mut rest = Vec::new();
-        // The greeting of the host comes, then it closes.
+        // The host sends its greeting, then closes the connection.
         let _ = stream.read_to_end(&mut rest);
-        assert!(rest.len() < 100, "the peer went on talking");
+        assert!(rest.len() < 100, "the host sent more than its greeting");
     }
-    let friend = PeerPool::new(
+    let site_pool = PeerPool::new(
         SiteSecret::new("a-secret-of-the-test-site"),
         peers::dial_control,
     );
-    let status = friend
+    let status = site_pool
         .call(&address, "status", |client| async move {
             client.status(context()).await
         })
         .await;
     assert!(status.is_ok(), "{status:?}");
-    // Lines are written by a thread of their own.
-    let named = async || site.log("c1").contains("speaks protocol 99").then_some(());
-    until("the version to be named", named).await;
+    // A separate thread writes log lines.
+    let logged = async || site.log("c1").contains("speaks protocol 99").then_some(());
+    until("the log line with the protocol version", logged).await;
 }
 
-/// Found by reading: a service's 503 was taken for a proof that it did nothing,
-/// which freed the key of a call that may not be repeated.
+/// A service's 503 was taken as proof that the call had no effect, which released the idempotency
+/// key of a call that must not be repeated. Found by code review.
 #[ntex::test]
-async fn a_service_that_fails_after_the_fact_is_not_called_again() {
+async fn a_service_that_fails_after_its_effect_is_not_called_again() {
     let site = TestSite::start().await;
     let mut seal = row("seal", "seal");
     seal["at_most_once"] = json!(true);
@@ -219,12 +226,12 @@
         ("idempotency-key", "deed"),
     ];
     for _ in 0..3 {
-        let told = post(&site, "/services/seal/failing", &headers, "deed").await;
+        let response = post(&site, "/services/seal/failing", &headers, "deed").await;
         assert_eq!(
-            (told.status, told.outcome.as_str()),
+            (response.status, response.outcome.as_str()),
             (502, "unknown"),
             "{}",
-            told.body
+            response.body
         );
     }
     let record = site.record("s1-service").await;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,5 +1,4 @@
-//! What must hold, over real processes, while they are killed, frozen, cut off
-//! and raced.
+//! Invariants over real processes that are killed, frozen, cut off, or edited concurrently.
 
 mod support;
 
@@ -8,10 +7,12 @@
 use dunlinspring::admission::ledger::EngineReport;
 use futures::future::join_all;
 use serde_json::{Value, json};
-use support::{Ask, OPERATOR, OTHER_OPERATOR, TestSite, engine_traits, row, until, whole_text};
+use support::{
+    CompletionRequest, OPERATOR, OTHER_OPERATOR, TestSite, complete_text, engine_traits, row, until,
+};
 
-fn ask(prompt: &str) -> Ask<'_> {
-    Ask {
+fn completion(prompt: &str) -> CompletionRequest<'_> {
+    CompletionRequest {
         model: "review",
         class: "filing-review",
         prompt,
@@ -21,7 +22,7 @@
     }
 }
 
-/// The control host that leads.
+/// Waits for a leader; returns the name of its control host.
 async fn leader(site: &TestSite) -> String {
     until("a leader", async || {
         for name in ["c1", "c2", "c3"] {
@@ -43,7 +44,7 @@
 }
 
 #[ntex::test]
-async fn a_frozen_leader_decides_nothing_when_it_wakes() {
+async fn a_frozen_leader_decides_nothing_when_it_resumes() {
     let site = TestSite::start().await;
     site.add_row("one", &row("review", "filing-review")).await;
     let frozen = leader(&site).await;
@@ -52,12 +53,12 @@
     let next = leader_besides(&site, &frozen).await;
     assert_ne!(next, frozen);
     site.signal(&frozen, "-CONT");
-    // The woken one may answer, but only with what is true now.
+    // The resumed host may reply, but only with the current state.
     for entry in ["e1", "e2"] {
-        let seen = until("the table", async || version_of(&site, entry, "two").await).await;
-        assert_eq!(seen, version);
+        let seen_version = until("the table", async || version_of(&site, entry, "two").await).await;
+        assert_eq!(seen_version, version);
     }
-    until("the woken one to follow", async || {
+    until("the resumed host to follow", async || {
         let metrics = site.metrics(&frozen).await;
         metrics.contains("dunlinspring_leads 0").then_some(())
     })
@@ -83,24 +84,24 @@
     site.kill("c1");
     site.lose_disk("c1");
     site.restart("c1").await;
-    // Lines are written by a thread of their own.
-    let blank = async || site.log("c1").contains("learner=true").then_some(());
-    until("the blank disk to start as no voter", blank).await;
+    // A separate thread writes log lines.
+    let learner = async || site.log("c1").contains("learner=true").then_some(());
+    until("the host with a blank disk to start as a learner", learner).await;
     until("the new disk to be a voter", async || {
         let metrics = site.metrics("c1").await;
-        let whole = metrics.contains("dunlinspring_voters 3");
-        (whole && metrics.contains("dunlinspring_votes 1")).then_some(())
+        let three_voters = metrics.contains("dunlinspring_voters 3");
+        (three_voters && metrics.contains("dunlinspring_votes 1")).then_some(())
     })
     .await;
-    // Just repaired: the next one goes.
+    // Another host is lost right after the repair.
     site.kill("c2");
-    let seen = until("the row", async || version_of(&site, "e1", "one").await).await;
-    assert_eq!(seen, version);
+    let seen_version = until("the row", async || version_of(&site, "e1", "one").await).await;
+    assert_eq!(seen_version, version);
     site.add_row("two", &row("draft", "notice")).await;
 }
 
 #[ntex::test]
-async fn operators_who_race_never_undo_each_other() {
+async fn concurrent_edits_never_overwrite_each_other() {
     let site = TestSite::start().await;
     let first = site.add_row("race", &row("review", "filing-review")).await;
     let edits = (0..8).map(|number| {
@@ -114,15 +115,15 @@
                 .await
         }
     });
-    let answers = join_all(edits).await;
-    let won: Vec<&Value> = answers
+    let replies = join_all(edits).await;
+    let accepted: Vec<&Value> = replies
         .iter()
         .filter(|(status, _)| *status == 200)
         .map(|(_, body)| body)
         .collect();
-    assert_eq!(won.len(), 1, "equal versions, one winner: {answers:?}");
-    let lost = answers.iter().filter(|(status, _)| *status == 412).count();
-    assert_eq!(lost, 7);
+    assert_eq!(accepted.len(), 1, "equal versions, one winner: {replies:?}");
+    let conflicts = replies.iter().filter(|(status, _)| *status == 412).count();
+    assert_eq!(conflicts, 7);
     let (status, _) = site
         .put_row(
             "e1",
@@ -134,8 +135,8 @@
         )
         .await;
     assert_eq!(status, 403);
-    // The winner resends, having lost the answer.
-    let winner = answers
+    // The accepted edit is sent again, as after a lost response.
+    let winner = replies
         .iter()
         .position(|(status, _)| *status == 200)
         .unwrap();
@@ -145,11 +146,11 @@
     let (status, body) = site
         .put_row("e2", OPERATOR, "race", first, &edit, &fields)
         .await;
-    assert_eq!((status, &body), (200, won[0]));
+    assert_eq!((status, &body), (200, accepted[0]));
 }
 
 #[ntex::test]
-async fn a_bad_row_is_refused_by_name_and_changes_nothing() {
+async fn an_invalid_row_is_rejected_with_its_field_and_changes_nothing() {
     let site = TestSite::start().await;
     site.add_row("good", &row("review", "filing-review")).await;
     let cases = [
@@ -158,15 +159,15 @@
         ("patience_ms", json!("soon"), 422, "patience_ms"),
         ("wieght", json!(1), 422, "wieght"),
     ];
-    for (field, value, status, named) in cases {
+    for (field, value, status, expected_field) in cases {
         let mut fields = row("review", "other");
         fields[field] = value;
         let edit = format!("bad-{field}");
-        let (told, body) = site.put_row("e1", OPERATOR, "bad", 0, &edit, &fields).await;
-        assert_eq!(told, status, "{body}");
+        let (response, body) = site.put_row("e1", OPERATOR, "bad", 0, &edit, &fields).await;
+        assert_eq!(response, status, "{body}");
         let message = body["error"]["message"].as_str().unwrap();
         assert!(
-            message.contains(named) && message.contains("bad"),
+            message.contains(expected_field) && message.contains("bad"),
             "{message}"
         );
     }
@@ -175,7 +176,7 @@
 }
 
 #[ntex::test]
-async fn a_seal_never_comes_twice_while_processes_die() {
+async fn a_document_is_never_sealed_twice_while_processes_crash() {
     let mut site = TestSite::start().await;
     let mut seal = row("seal", "seal");
     seal["at_most_once"] = json!(true);
@@ -184,7 +185,7 @@
     let mut done = BTreeSet::new();
     for (round, victim) in ["e1", "s1", "c1", "e2", "c2", "s1"].iter().enumerate() {
         let documents: Vec<String> = (0..12).map(|at| format!("deed-{round}-{at}")).collect();
-        // One document at two entries in the same moment, and a process dies meanwhile.
+        // Each document is sent to two entries at the same time while a process is killed.
         let calls = documents.iter().flat_map(|document| {
             let site = &site;
             ["e1", "e2"].map(|entry| async move {
@@ -195,9 +196,9 @@
             tokio::time::sleep(std::time::Duration::from_millis(4)).await;
             site.signal(victim, "-KILL");
         };
-        let (told, ()) = futures::join!(join_all(calls), kill);
-        for (document, told) in told {
-            if told.outcome == "done" {
+        let (responses, ()) = futures::join!(join_all(calls), kill);
+        for (document, response) in responses {
+            if response.outcome == "done" {
                 done.insert(document);
             }
         }
@@ -205,12 +206,12 @@
         site.restart(victim).await;
         site.settled("seal", 1).await;
     }
-    // Their callers ask again with the same keys.
+    // The callers repeat their requests with the same keys.
     for round in 0..6 {
         for at in 0..12 {
             let document = format!("deed-{round}-{at}");
-            let told = site.seal("e1", &document, &document).await;
-            if told.outcome == "done" {
+            let response = site.seal("e1", &document, &document).await;
+            if response.outcome == "done" {
                 done.insert(document);
             }
         }
@@ -227,24 +228,24 @@
     for document in &done {
         assert!(
             distinct.contains(document.as_str()),
-            "told done, but never sealed"
+            "reported as done, but never sealed"
         );
     }
     assert!(done.len() > 36, "only {} of 72 were sealed", done.len());
 }
 
 #[ntex::test]
-async fn answers_are_whole_while_streams_break_and_targets_die() {
+async fn responses_are_complete_while_streams_break_and_targets_crash() {
     let mut traits = engine_traits();
-    // Longer than the way from the look at what runs to the kill.
+    // Longer than the time between the check that runs are in progress and the kill.
     traits["piece_us"] = json!(5_000);
     let mut site = TestSite::start_with(&traits).await;
     site.add_row("review", &row("review", "filing-review"))
         .await;
     site.settled("review", 2).await;
-    // Of the homes one dies at work and the other goes on.
-    let (dies, stays, bystander) = roles(&site).await;
-    let engine = format!("{dies}-engine");
+    // One home is killed during its runs, the other continues.
+    let (killed, surviving, bystander) = home_roles(&site).await;
+    let engine = format!("{killed}-engine");
     for target in ["t1", "t2", "t3"] {
         site.inject(&format!("{target}-engine"), &json!({ "cut_streams": 5 }))
             .await;
@@ -253,41 +254,45 @@
     let calls = prompts.iter().map(|prompt| {
         let site = &site;
         async move {
-            let mut ask = ask(prompt);
-            ask.stream = prompt.len().is_multiple_of(2);
-            site.complete("e1", &ask).await
+            let mut completion = completion(prompt);
+            completion.stream = prompt.len().is_multiple_of(2);
+            site.complete("e1", &completion).await
         }
     });
     let kill = async {
-        until("both homes to be at work", async || {
-            let at_work = underway_on(&site, dies).await > 0 && underway_on(&site, stays).await > 0;
-            at_work.then_some(())
+        until("both homes to have runs in progress", async || {
+            let both_running =
+                running_on(&site, killed).await > 0 && running_on(&site, surviving).await > 0;
+            both_running.then_some(())
         })
         .await;
         site.signal(bystander, "-KILL");
         site.signal(&engine, "-KILL");
     };
-    let (told, ()) = futures::join!(join_all(calls), kill);
-    for (prompt, told) in prompts.iter().zip(&told) {
-        match told.outcome.as_str() {
-            "done" => assert_eq!(told.text, whole_text(prompt, 30)),
-            "not-run" => assert!(told.retry_after.is_some()),
+    let (responses, ()) = futures::join!(join_all(calls), kill);
+    for (prompt, response) in prompts.iter().zip(&responses) {
+        match response.outcome.as_str() {
+            "done" => assert_eq!(response.text, complete_text(prompt, 30)),
+            "not-run" => assert!(response.retry_after.is_some()),
             "unknown" => {}
-            outcome => panic!("no outcome: '{outcome}' {told:?}"),
+            outcome => panic!("no outcome: '{outcome}' {response:?}"),
         }
     }
-    let done = told.iter().filter(|told| told.outcome == "done").count();
-    assert!(done >= 30, "only {done} of 40 were done: {told:?}");
+    let done = responses
+        .iter()
+        .filter(|response| response.outcome == "done")
+        .count();
+    assert!(done >= 30, "only {done} of 40 were done: {responses:?}");
     assert!(!site.ended(bystander).await && !site.ended(&engine).await);
 }
 
 #[ntex::test]
 async fn planned_stops_cut_nothing_off() {
     let mut traits = engine_traits();
-    // Longer than a process that did not wait would take to end.
+    // Longer than a process takes to exit if it does not wait for its runs.
     traits["piece_us"] = json!(60_000);
     let mut site = TestSite::start_with(&traits).await;
-    // May not be repeated: a run that is cut off cannot be made good elsewhere.
+    // At most once: an interrupted run cannot be repeated elsewhere.
     let mut once = row("review", "filing-review");
     once["at_most_once"] = json!(true);
     site.add_row("review", &once).await;
@@ -297,37 +302,37 @@
         let calls = prompts.iter().enumerate().map(|(at, prompt)| {
             let site = &site;
             let entry = if at % 2 == 0 { "e1" } else { "e2" };
-            let mut keyed = ask(prompt);
-            keyed.key = Some(prompt);
-            async move { site.complete(entry, &keyed).await }
+            let mut request_with_key = completion(prompt);
+            request_with_key.key = Some(prompt);
+            async move { site.complete(entry, &request_with_key).await }
         });
         let stop = async {
             tokio::time::sleep(std::time::Duration::from_millis(80)).await;
             site.signal(victim, "-TERM");
         };
-        let (told, ()) = futures::join!(join_all(calls), stop);
-        for (prompt, told) in prompts.iter().zip(&told) {
-            assert_eq!(told.outcome, "done", "{victim} stopped: {told:?}");
-            assert_eq!(told.text, whole_text(prompt, 30));
+        let (responses, ()) = futures::join!(join_all(calls), stop);
+        for (prompt, response) in prompts.iter().zip(&responses) {
+            assert_eq!(response.outcome, "done", "{victim} stopped: {response:?}");
+            assert_eq!(response.text, complete_text(prompt, 30));
         }
-        assert!(site.ended(victim).await, "{victim} did not end well");
+        assert!(site.ended(victim).await, "{victim} exited with an error");
         site.restart(victim).await;
         site.settled("review", 2).await;
     }
 }
 
 #[ntex::test]
-async fn a_leaving_target_gets_no_new_work_and_its_models_move() {
+async fn a_draining_target_gets_no_new_work_and_its_models_move() {
     let mut traits = engine_traits();
     traits["piece_us"] = json!(20_000);
     let mut site = TestSite::start_with(&traits).await;
     site.add_row("review", &row("review", "filing-review"))
         .await;
     site.settled("review", 2).await;
-    let mut long = ask("a long one");
+    let mut long = completion("a long one");
     long.tokens = 200;
-    let leave = async {
-        let leaving = until("the long one to run", async || {
+    let drain = async {
+        let draining = until("the long request to run", async || {
             for target in ["t1", "t2", "t3"] {
                 if runs_on(&site, target).await > 0 {
                     return Some(target);
@@ -336,65 +341,65 @@
             None
         })
         .await;
-        site.signal(leaving, "-TERM");
-        until("the others to take over", async || {
+        site.signal(draining, "-TERM");
+        until("two other homes of the model", async || {
             let table = site.table("e1").await?;
             let homes = table["rows"][0]["homes"].as_array()?.clone();
-            let left = homes.iter().filter(|home| **home != leaving).count();
+            let left = homes.iter().filter(|home| **home != draining).count();
             (left >= 2).then_some(())
         })
         .await;
-        // It still works on the long one, and must get nothing besides.
+        // The draining target still processes the long request and must get no other.
         let prompts: Vec<String> = (0..20).map(|at| format!("meanwhile {at}")).collect();
         let calls = prompts.iter().map(|prompt| {
-            let mut short = ask(prompt);
+            let mut short = completion(prompt);
             short.tokens = 1;
             let site = &site;
             async move { site.complete("e1", &short).await }
         });
-        for told in join_all(calls).await {
-            assert_eq!(told.outcome, "done", "{told:?}");
+        for response in join_all(calls).await {
+            assert_eq!(response.outcome, "done", "{response:?}");
         }
         assert_eq!(
-            runs_on(&site, leaving).await,
+            runs_on(&site, draining).await,
             1,
-            "new work on a leaving target"
+            "new work on a draining target"
         );
-        leaving
+        draining
     };
-    let (told, leaving) = futures::join!(site.complete("e1", &long), leave);
-    assert_eq!(told.outcome, "done", "{told:?}");
-    assert_eq!(told.text, whole_text("a long one", 200));
-    assert!(site.ended(leaving).await);
+    let (response, draining) = futures::join!(site.complete("e1", &long), drain);
+    assert_eq!(response.outcome, "done", "{response:?}");
+    assert_eq!(response.text, complete_text("a long one", 200));
+    assert!(site.ended(draining).await);
 }
 
-/// The two homes of the only row, and the target that is none.
-async fn roles(site: &TestSite) -> (&'static str, &'static str, &'static str) {
+/// Returns the two homes of the only row, and the target that is not a home.
+async fn home_roles(site: &TestSite) -> (&'static str, &'static str, &'static str) {
     let table = site.table("e1").await.unwrap();
     let homes = table["rows"][0]["homes"].as_array().unwrap();
     let is_home = |target: &&str| homes.iter().any(|home| home == target);
     let (homes, others): (Vec<_>, Vec<_>) = ["t1", "t2", "t3"].into_iter().partition(is_home);
     match (&homes[..], &others[..]) {
-        ([dies, stays], [bystander]) => (dies, stays, bystander),
+        ([killed, surviving], [bystander]) => (killed, surviving, bystander),
         _ => panic!("homes {homes:?}"),
     }
 }
 
-/// Runs that the target's engine has started and not ended.
-async fn underway_on(site: &TestSite, target: &str) -> usize {
+/// Returns the number of runs that the target's engine has started and not completed.
+async fn running_on(site: &TestSite, target: &str) -> usize {
     let record = site.record(&format!("{target}-engine")).await;
     let runs = record["runs"].as_array().unwrap().iter();
     runs.filter(|run| run["whole"] == false).count()
 }
 
-/// Runs that the target's engine has started so far.
+/// Returns the number of runs that the target's engine has started so far.
 async fn runs_on(site: &TestSite, target: &str) -> usize {
     let record = site.record(&format!("{target}-engine")).await;
     record["runs"].as_array().unwrap().len()
 }
 
 #[ntex::test]
-async fn memory_holds_while_orders_are_lost_and_rows_change() {
+async fn memory_is_not_overcommitted_while_orders_are_lost_and_rows_change() {
     let mut site = TestSite::start().await;
     for model in ["review", "draft", "lookup", "review-fj"] {
         site.add_row(model, &row(model, "class")).await;
@@ -424,30 +429,33 @@
     site.add_row("review", &row("review", "filing-review"))
         .await;
     site.settled("review", 2).await;
-    // The entry hears nothing from control, but still reaches its callers.
+    // The entry receives nothing from the control hosts, but still reaches its callers.
     for name in ["c1", "c2", "c3"] {
         site.signal(name, "-STOP");
     }
-    let told = until("the entry to refuse", async || {
-        let told = site.complete("e1", &ask("cut off")).await;
-        // Before that, agents without a lease may refuse for themselves.
-        told.text.contains("stale-table").then_some(told)
+    let response = until("the entry to refuse", async || {
+        let response = site.complete("e1", &completion("cut off")).await;
+        // Before that, agents without a lease may refuse requests for their own reason.
+        response.text.contains("stale-table").then_some(response)
     })
     .await;
-    assert_eq!((told.status, told.outcome.as_str()), (503, "not-run"));
-    assert!(told.retry_after.is_some());
+    assert_eq!(
+        (response.status, response.outcome.as_str()),
+        (503, "not-run")
+    );
+    assert!(response.retry_after.is_some());
     for name in ["c1", "c2", "c3"] {
         site.signal(name, "-CONT");
     }
     until("the entry to serve again", async || {
-        let told = site.complete("e1", &ask("back")).await;
-        (told.outcome == "done").then_some(())
+        let response = site.complete("e1", &completion("back")).await;
+        (response.outcome == "done").then_some(())
     })
     .await;
 }
 
 #[ntex::test]
-async fn models_of_a_dead_engine_move_though_its_agent_lives() {
+async fn models_of_a_crashed_engine_move_while_its_agent_runs() {
     let mut site = TestSite::start().await;
     site.add_row("review", &row("review", "filing-review"))
         .await;
@@ -457,27 +465,29 @@
     for home in &homes {
         site.kill(&format!("{}-engine", home.as_str().unwrap()));
     }
-    until("a home on the engine that is left", async || {
+    until("a home on the remaining engine", async || {
         let table = site.table("e1").await?;
         let now = table["rows"][0]["homes"].as_array()?.clone();
         (now.len() == 1 && !homes.contains(&now[0])).then_some(())
     })
     .await;
-    let told = site.complete("e1", &ask("on the one that is left")).await;
-    assert_eq!(told.outcome, "done", "{told:?}");
+    let response = site
+        .complete("e1", &completion("on the one that is left"))
+        .await;
+    assert_eq!(response.outcome, "done", "{response:?}");
 }
 
-/// Found by measuring: a report that named a running attempt could not be
-/// written as JSON, so a busy engine looked dead.
+/// A report that contained a running attempt could not be serialized as JSON, so a busy engine
+/// looked as if it had crashed. Found by measurement.
 #[ntex::test]
-async fn a_busy_engine_reports_what_runs() {
+async fn a_busy_engine_reports_its_running_attempts() {
     let mut traits = engine_traits();
     traits["piece_us"] = json!(20_000);
     let site = TestSite::start_with(&traits).await;
     site.add_row("review", &row("review", "filing-review"))
         .await;
     site.settled("review", 2).await;
-    let look = async {
+    let wait_for_report = async {
         until("a report that names a run", async || {
             for target in ["t1", "t2", "t3"] {
                 let engine = site.address(&format!("{target}-engine"), "listen");
@@ -492,7 +502,7 @@
         })
         .await;
     };
-    let request = ask("long");
-    let (told, ()) = futures::join!(site.complete("e1", &request), look);
-    assert_eq!(told.outcome, "done");
+    let request = completion("long");
+    let (response, ()) = futures::join!(site.complete("e1", &request), wait_for_report);
+    assert_eq!(response.outcome, "done");
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,4 +1,4 @@
-//! A leader that is asked to stop hands over once nothing that it allowed is on its way.
+//! A leader that is asked to stop hands over once no order that it permitted is in transit.
 
 mod support_control;
 mod support_founders;
@@ -10,16 +10,16 @@
 use tokio::sync::oneshot;
 
 use support_control::{leader_of, status_where, until};
-use support_founders::founders;
+use support_founders::start_control_hosts;
 
-/// The leader's leave to send an order.
+/// Returns the leader's status and a permit of it to send an order.
 async fn permit_of(daemons: &[ControlDaemon]) -> (ControlStatus, SendPermit) {
-    until("leave to send an order", async || {
+    until("a permit to send an order", async || {
         for daemon in daemons {
             let status = daemon.status().await?;
             let handle = daemon.handle();
-            let asked = handle.request(|answer| ControlEvent::OrderPermit(status.term, answer));
-            if let Ok(permit) = asked.await {
+            let reply = handle.request(|answer| ControlEvent::OrderPermit(status.term, answer));
+            if let Ok(permit) = reply.await {
                 return Some((status, permit));
             }
         }
@@ -28,30 +28,26 @@
     .await
 }
 
-/// **What users saw:** two hosts ordered one target that does not check fences.
+/// Two hosts ordered one target that does not check fences. A leader permitted an order and was
+/// asked to stop while the order was in transit. It gave up its lease at once and had another host
+/// elected within milliseconds. The order arrived after that election, so that less than a lease
+/// lay between it and the successor's first order.
 ///
-/// **Order of events:** a leader allowed an order, and was asked to stop while the order was
-/// on its way. It gave up its lease at once and had another host elected, within
-/// milliseconds. The order arrived later than its successor's election, so that less than a
-/// lease lay between it and the successor's first order.
-///
-/// **Cause:** what was allowed under a lease outlived the lease: it was given up early, which
-/// no look at the clock by the order could show.
-///
-/// **Evidence:** on the code before, a successor decides while the permit still lasts. All
-/// hosts of this test run in one process and so share a clock.
+/// The permit outlived the lease, which was given up early; a check of the clock before sending the
+/// order cannot detect that. Without the fix, a successor decides while the permit is still valid.
+/// All hosts of this test run in one process and so share a clock.
 #[ntex::test]
-async fn a_stopping_leader_keeps_its_lease_while_orders_may_be_on_their_way() {
+async fn a_stopping_leader_keeps_its_lease_while_orders_may_be_in_transit() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut daemons, _) = founders(folder.path()).await;
+    let (mut daemons, _) = start_control_hosts(folder.path()).await;
     leader_of(&daemons).await;
     let (leader, permit) = permit_of(&daemons).await;
     let at = async |host: &ControlDaemon| host.status().await.unwrap().node == leader.node;
-    let mut place = 0;
-    while !at(&daemons[place]).await {
-        place += 1;
+    let mut index = 0;
+    while !at(&daemons[index]).await {
+        index += 1;
     }
-    let stopping = daemons.remove(place);
+    let stopping = daemons.remove(index);
     let stopped = ntex::rt::spawn(async move { stopping.stop().await });
     let first = status_where(&daemons[0], "a successor", |s| s.decides);
     let second = status_where(&daemons[1], "a successor", |s| s.decides);
@@ -68,12 +64,12 @@
     stopped.await.unwrap();
 }
 
-/// From the moment it is asked to stop it allows no more orders, though it leads on until
-/// the end of what it allowed: else it would never come to that end.
+/// A leader that was asked to stop issues no more permits, although it keeps leading until the last
+/// permit expires: otherwise new permits would postpone that end indefinitely.
 #[ntex::test]
-async fn a_stopping_leader_allows_no_more_orders() {
+async fn a_stopping_leader_permits_no_more_orders() {
     let folder = tempfile::tempdir().unwrap();
-    let (daemons, _) = founders(folder.path()).await;
+    let (daemons, _) = start_control_hosts(folder.path()).await;
     leader_of(&daemons).await;
     let (leader, _) = permit_of(&daemons).await;
     for daemon in &daemons {
@@ -83,8 +79,8 @@
         let handle = daemon.handle();
         let (answer, stopped) = oneshot::channel();
         handle.notify(ControlEvent::Stop(answer));
-        let asked = handle.request(|answer| ControlEvent::OrderPermit(leader.term, answer));
-        assert!(asked.await.is_err());
+        let reply = handle.request(|answer| ControlEvent::OrderPermit(leader.term, answer));
+        assert!(reply.await.is_err());
         stopped.await.unwrap();
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Starts a whole site as separate processes on loopback, and breaks it.
+//! Starts a complete site as separate processes on loopback, and injects faults into it.
 
 #![allow(dead_code)]
 
@@ -17,11 +17,11 @@
 use tempfile::TempDir;
 use tokio::net::TcpSocket;
 
-/// Longest wait for a condition that must come; reaching it is a failure.
-const PATIENCE: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(20);
-/// Time for a control host to say how far it is.
-const NOTICE_TIME: Duration = Duration::from_millis(500);
+/// Longest wait for a condition; reaching it fails the test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time-out of a query for the position of a control host.
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
 
 pub const CALLER: &str = "caller-key-of-fiji";
 pub const OPERATOR: &str = "operator-key-of-fiji";
@@ -37,7 +37,7 @@
 pub struct TestSite {
     dir: TempDir,
     processes: BTreeMap<String, Process>,
-    /// Bound but not listening: keeps the ports of the control hosts.
+    /// Sockets that are bound but not listening: they reserve the ports of the control hosts.
     held: Vec<TcpSocket>,
     control: Vec<(String, SocketAddr)>,
 }
@@ -56,14 +56,14 @@
     })
 }
 
-pub async fn until<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
-    let give_up = Instant::now() + PATIENCE;
+pub async fn until<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = check().await {
             return found;
         }
-        assert!(Instant::now() < give_up, "waited in vain for {what}");
-        tokio::time::sleep(LOOK).await;
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -78,7 +78,8 @@
 }
 
 impl TestSite {
-    /// Three control hosts, two entries, three engines and a service with an agent each.
+    /// Starts three control hosts, two entries, three engines and a service, each of these four
+    /// with an agent.
     pub async fn start() -> Self {
         Self::start_with(&engine_traits()).await
     }
@@ -87,7 +88,7 @@
         Self::start_timed(traits, 5).await
     }
 
-    /// A site whose service takes so many milliseconds for each call.
+    /// Starts a site whose service takes `service_ms` for each call.
     pub async fn start_timed(traits: &Value, service_ms: u64) -> Self {
         let mut site = Self {
             dir: TempDir::new().unwrap(),
@@ -178,12 +179,15 @@
             "site": Self::site_spec(),
         });
         let path = self.write(name, &settings);
-        let found = Command::new(program("dunlinspring-control"))
+        let bootstrap = Command::new(program("dunlinspring-control"))
             .args(["--found", "--settings", &path])
             .output()
             .unwrap();
-        let said = String::from_utf8_lossy(&found.stderr);
-        assert!(found.status.success(), "{name} was not founded: {said}");
+        let stderr = String::from_utf8_lossy(&bootstrap.stderr);
+        assert!(
+            bootstrap.status.success(),
+            "bootstrap of {name} failed: {stderr}"
+        );
         let args = vec!["--settings".to_owned(), path];
         self.add(name, "dunlinspring-control", args).await;
     }
@@ -258,7 +262,7 @@
         self.restart(name).await;
     }
 
-    /// Starts a process that does not run, and waits until it serves.
+    /// Starts a process that is not running, and waits until it has announced its addresses.
     pub async fn restart(&mut self, name: &str) {
         let announce = self.dir.path().join(format!("{name}.addresses"));
         let _ = std::fs::remove_file(&announce);
@@ -290,7 +294,7 @@
             .collect();
     }
 
-    /// Starts a process that does not run at the address that it had.
+    /// Starts a process that is not running at its previous address.
     pub async fn restart_in_place(&mut self, name: &str) {
         let address = self.address(name, "listen").to_string();
         let process = self.processes.get_mut(name).unwrap();
@@ -300,16 +304,19 @@
         self.restart(name).await;
     }
 
-    /// How often engines have ended under each content that the log holds.
+    /// Returns how often engines have crashed during runs of each content in the log.
     pub async fn crash_counts(&self) -> Vec<u8> {
         let link = ControlLink::new(self.secret(), self.control_addresses());
         let call =
             |client: ControlWireClient, context| async move { client.contents(context).await };
-        let book = link.call_leader("contents", PATIENCE, call).await.unwrap();
-        book.counts().into_values().collect()
+        let crashes = link
+            .call_leader("contents", WAIT_TIMEOUT, call)
+            .await
+            .unwrap();
+        crashes.counts().into_values().collect()
     }
 
-    /// Kills a process at once.
+    /// Kills a process and waits for its end.
     pub fn kill(&mut self, name: &str) {
         let child = self.processes.get_mut(name).unwrap().child.take();
         let mut child = child.unwrap();
@@ -324,7 +331,7 @@
         assert!(status.success());
     }
 
-    /// Waits for a process that was told to stop; returns whether it ended well.
+    /// Waits until a process exits; returns whether it did so successfully.
     pub async fn ended(&mut self, name: &str) -> bool {
         let child = self.processes.get_mut(name).unwrap().child.take();
         let mut child = child.unwrap();
@@ -335,7 +342,7 @@
         status.success()
     }
 
-    /// Loses a control host's disk.
+    /// Deletes the data folder of a control host.
     pub fn lose_disk(&self, name: &str) {
         std::fs::remove_dir_all(self.dir.path().join(format!("{name}.data"))).unwrap();
     }
@@ -361,7 +368,7 @@
         format!("http://{}{path}", self.address(entry, "callers"))
     }
 
-    /// Puts a row by an entry; returns the status and the body.
+    /// Puts a row through an entry; returns the status and the body.
     pub async fn put_row(
         &self,
         entry: &str,
@@ -371,18 +378,18 @@
         edit: &str,
         fields: &Value,
     ) -> (u16, Value) {
-        let client = slow_client().await;
-        let answer = client
+        let client = client_without_timeout().await;
+        let response = client
             .put(self.url(entry, &format!("/v1/table/rows/{id}")))
             .bearer_auth(operator)
             .header("if-match", version.to_string())
             .header("idempotency-key", edit)
             .send_json(fields)
             .await;
-        read_json(answer).await
+        read_json(response).await
     }
 
-    /// Puts a row until control accepts it.
+    /// Puts a new row, repeated until it is accepted; returns its version.
     pub async fn add_row(&self, id: &str, fields: &Value) -> u64 {
         until(&format!("row {id} to be accepted"), async || {
             let edit = format!("add-{id}");
@@ -397,17 +404,18 @@
     }
 
     pub async fn table(&self, entry: &str) -> Option<Value> {
-        let client = slow_client().await;
-        let answer = client
+        let client = client_without_timeout().await;
+        let response = client
             .get(self.url(entry, "/v1/table"))
             .bearer_auth(OPERATOR)
             .send()
             .await;
-        let (status, body) = read_json(answer).await;
+        let (status, body) = read_json(response).await;
         (status == 200).then_some(body)
     }
 
-    /// Waits until a row is in force everywhere and has homes, which the entries know.
+    /// Waits until a row is in force at all members, has at least `homes` homes, and the entries
+    /// have followed the log.
     pub async fn settled(&self, id: &str, homes: usize) {
         until(&format!("row {id} to settle"), async || {
             let table = self.table("e1").await?;
@@ -421,7 +429,7 @@
         .await
     }
 
-    /// Whether the entries that run have all that control has decided by now.
+    /// Returns whether all running entries have followed the log to its current position.
     async fn entries_follow(&self) -> bool {
         let decided = self.decided().await;
         for (name, process) in &self.processes {
@@ -442,14 +450,14 @@
         true
     }
 
-    /// The last change that members follow, by the control host that knows most.
+    /// Returns the highest position that any control host reports to members.
     async fn decided(&self) -> Position {
         let link = ControlLink::new(self.secret(), self.control_addresses());
         let mut decided = Position(0);
         for address in self.control_addresses() {
             let notice = link.call_at(&address, "notice", |client| async move {
                 client
-                    .notice(peers::within(NOTICE_TIME), Position(0), 0)
+                    .notice(peers::within(NOTICE_TIMEOUT), Position(0), 0)
                     .await
             });
             if let Ok(Ok(notice)) = notice.await {
@@ -463,58 +471,58 @@
         settings::load_secret(&self.dir.path().join("secret")).unwrap()
     }
 
-    pub async fn complete(&self, entry: &str, ask: &Ask<'_>) -> Told {
-        let client = slow_client().await;
+    pub async fn complete(&self, entry: &str, request: &CompletionRequest<'_>) -> CallResponse {
+        let client = client_without_timeout().await;
         let body = json!({
-            "model": ask.model, "prompt": ask.prompt, "max_tokens": ask.tokens,
-            "stream": ask.stream,
+            "model": request.model, "prompt": request.prompt, "max_tokens": request.tokens,
+            "stream": request.stream,
         });
         let call = client
             .post(self.url(entry, "/v1/completions"))
             .bearer_auth(CALLER)
-            .header("x-request-class", ask.class);
-        let call = match ask.key {
+            .header("x-request-class", request.class);
+        let call = match request.key {
             Some(key) => call.header("idempotency-key", key),
             None => call,
         };
-        told(call.send_json(&body).await).await
+        read_response(call.send_json(&body).await).await
     }
 
-    pub async fn seal(&self, entry: &str, key: &str, document: &str) -> Told {
-        let client = slow_client().await;
+    pub async fn seal(&self, entry: &str, key: &str, document: &str) -> CallResponse {
+        let client = client_without_timeout().await;
         let call = client
             .post(self.url(entry, "/services/seal/stamp"))
             .bearer_auth(CALLER)
             .header("idempotency-key", key);
-        told(call.send_body(document.to_owned()).await).await
+        read_response(call.send_body(document.to_owned()).await).await
     }
 
-    /// Calls the service as one class of callers.
-    pub async fn call_service(&self, entry: &str, class: &str, body: &str) -> Told {
-        let client = slow_client().await;
+    /// Calls the service with a request class.
+    pub async fn call_service(&self, entry: &str, class: &str, body: &str) -> CallResponse {
+        let client = client_without_timeout().await;
         let call = client
             .post(self.url(entry, "/services/seal/look"))
             .bearer_auth(CALLER)
             .header("x-request-class", class);
-        told(call.send_body(body.to_owned()).await).await
+        read_response(call.send_body(body.to_owned()).await).await
     }
 
-    /// What a target recorded.
+    /// Returns the record of calls of a stand-in target.
     pub async fn record(&self, target: &str) -> Value {
-        let client = slow_client().await;
+        let client = client_without_timeout().await;
         let url = format!("http://{}/record", self.address(target, "listen"));
         let (status, body) = read_json(client.get(url).send().await).await;
         assert_eq!(status, 200);
         body
     }
 
-    /// A daemon's metrics; empty where it does not answer.
+    /// Returns the metrics of a daemon; empty if it does not respond within 1 s.
     pub async fn metrics(&self, name: &str) -> String {
-        let client = slow_client().await;
+        let client = client_without_timeout().await;
         let url = format!("http://{}/metrics", self.address(name, "watch"));
         let read = async {
-            let answer = client.get(url).send().await.ok()?;
-            let body = answer.body().await.ok()?;
+            let response = client.get(url).send().await.ok()?;
+            let body = response.body().await.ok()?;
             String::from_utf8(body.to_vec()).ok()
         };
         let read = tokio::time::timeout(Duration::from_secs(1), read).await;
@@ -522,10 +530,10 @@
     }
 
     pub async fn inject(&self, target: &str, faults: &Value) {
-        let client = slow_client().await;
+        let client = client_without_timeout().await;
         let url = format!("http://{}/faults", self.address(target, "listen"));
-        let answer = client.post(url).send_json(faults).await.unwrap();
-        assert!(answer.status().is_success());
+        let response = client.post(url).send_json(faults).await.unwrap();
+        assert!(response.status().is_success());
     }
 }
 
@@ -548,7 +556,7 @@
     }
 }
 
-pub struct Ask<'a> {
+pub struct CompletionRequest<'a> {
     pub model: &'a str,
     pub class: &'a str,
     pub prompt: &'a str,
@@ -557,40 +565,40 @@
     pub key: Option<&'a str>,
 }
 
-/// What a caller was told.
+/// Response to a caller.
 #[derive(Debug)]
-pub struct Told {
+pub struct CallResponse {
     pub status: u16,
     pub outcome: String,
     pub text: String,
     pub retry_after: Option<String>,
 }
 
-pub fn whole_text(prompt: &str, tokens: u32) -> String {
+pub fn complete_text(prompt: &str, tokens: u32) -> String {
     (0..tokens)
         .map(|index| dunlinspring::standin::piece_text(prompt, index))
         .collect()
 }
 
-async fn slow_client() -> Client {
+async fn client_without_timeout() -> Client {
     let client = Client::builder().disable_timeout();
     client.build(ntex::SharedCfg::default()).await.unwrap()
 }
 
-type Sent = Result<ntex::client::ClientResponse, ntex::client::error::ClientError>;
+type SendResult = Result<ntex::client::ClientResponse, ntex::client::error::ClientError>;
 
-async fn read_json(answer: Sent) -> (u16, Value) {
-    let Ok(answer) = answer else {
+async fn read_json(response: SendResult) -> (u16, Value) {
+    let Ok(response) = response else {
         return (0, Value::Null);
     };
-    let status = answer.status().as_u16();
-    let body = answer.body().limit(16 << 20).await.unwrap_or_default();
+    let status = response.status().as_u16();
+    let body = response.body().limit(16 << 20).await.unwrap_or_default();
     (status, serde_json::from_slice(&body).unwrap_or(Value::Null))
 }
 
-async fn told(answer: Sent) -> Told {
-    let Ok(answer) = answer else {
-        return Told {
+async fn read_response(response: SendResult) -> CallResponse {
+    let Ok(response) = response else {
+        return CallResponse {
             status: 0,
             outcome: String::new(),
             text: String::new(),
@@ -598,25 +606,25 @@
         };
     };
     let header = |name: &str| {
-        let value = answer.headers().get(name)?;
+        let value = response.headers().get(name)?;
         Some(value.to_str().unwrap().to_owned())
     };
-    let status = answer.status().as_u16();
+    let status = response.status().as_u16();
     let mut outcome = header("x-outcome").unwrap_or_default();
     let retry_after = header("retry-after");
     let streamed = header("content-type").as_deref() == Some("text/event-stream");
-    let body = answer.body().limit(16 << 20).await.unwrap_or_default();
+    let body = response.body().limit(16 << 20).await.unwrap_or_default();
     let mut text = String::from_utf8(body.to_vec()).unwrap();
     if streamed {
         let (joined, last) = read_events(&text);
         text = joined;
         outcome = last.unwrap_or_default();
     } else if let Ok(body) = serde_json::from_str::<Value>(&text)
-        && let Some(whole) = body["choices"][0]["text"].as_str()
+        && let Some(complete) = body["choices"][0]["text"].as_str()
     {
-        text = whole.to_owned();
+        text = complete.to_owned();
     }
-    Told {
+    CallResponse {
         status,
         outcome,
         text,
--- a/tests/support_quota/mod.rs
+++ b/tests/support_quota/mod.rs
@@ -1,4 +1,4 @@
-//! Entries that draw from the quota of one account, in simulated time.
+//! Simulation of entries that draw from the quota of one account.
 
 use dunlinspring::ids::{AccountName, HostName};
 use dunlinspring::table::accounts::{AccountList, AccountSpec, QuotaSpec, QuotaUnit};
@@ -8,28 +8,28 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Way of a question to the leader, or of its answer, in milliseconds.
-const WAY_MS: u64 = 3;
-/// Time between two regular questions.
-const REGULAR_MS: u64 = 500;
-/// Longest wait of a request.
-const PATIENCE_MS: u64 = 150;
-/// Longest wait for an answer.
-const ASK_TIME_MS: u64 = 150;
-/// Least time between two questions.
-const PAUSE_MS: u64 = 10;
+/// Transit time of a quota request to the leader, or of its reply.
+const TRANSIT_MS: u64 = 3;
+/// Time between two regular quota requests.
+const REQUEST_INTERVAL_MS: u64 = 500;
+/// Longest time for which a client request waits for quota.
+const MAX_WAIT_MS: u64 = 150;
+/// Time after which a missing reply counts as lost.
+const REPLY_TIMEOUT_MS: u64 = 150;
+/// Minimum time between two quota requests.
+const MIN_REQUEST_GAP_MS: u64 = 10;
 
 pub const ACCOUNT: &str = "acme";
 
-/// An account and who asks for it.
+/// Quota of the account and distribution of its demand over entries.
 #[derive(Clone, Copy)]
 pub struct SiteShape {
     pub entries: usize,
-    /// Tokens a second; the burst is what comes in one.
+    /// Quota in tokens a second; the burst equals one second of it.
     pub per_s: f64,
-    /// Demand, as a part of the limit.
+    /// Demand as a fraction of the quota.
     pub load: f64,
-    /// Power by which demand falls from entry to entry; 0 for even.
+    /// Exponent by which demand decreases from entry to entry; 0 for equal demand.
     pub skew: f64,
 }
 
@@ -60,8 +60,8 @@
     }
 }
 
-/// One account with that limit.
-pub fn book(quota: QuotaSpec) -> AccountList {
+/// Returns a list of one account with this quota.
+pub fn account_list(quota: QuotaSpec) -> AccountList {
     let account = AccountSpec {
         name: AccountName::from(ACCOUNT),
         keys: Vec::new(),
@@ -79,14 +79,14 @@
     since_ms: u64,
 }
 
-/// A question on its way to the leader.
-struct SentAsk {
+/// A quota request in transit to the leader.
+struct SentRequest {
     due_ms: u64,
     made_ms: u64,
-    ask: QuotaRequest,
+    request: QuotaRequest,
 }
 
-/// An answer on its way back.
+/// A reply in transit to the entry.
 struct SentGrants {
     due_ms: u64,
     made_ms: u64,
@@ -94,21 +94,21 @@
     grants: QuotaGrants,
 }
 
-/// One entry, with its links to the leader.
+/// One entry, with its messages in transit to and from the leader.
 pub struct QuotaEntry {
     number: usize,
     holder: QuotaHolder,
     waiting: Vec<WaitingRequest>,
-    asked_ms: u64,
-    /// When the ask was made that waits for its answer.
-    under_way: Option<u64>,
-    asks: Vec<SentAsk>,
-    answers: Vec<SentGrants>,
-    /// Its weight among all entries.
+    requested_ms: u64,
+    /// When the quota request that has no reply yet was made.
+    pending_since_ms: Option<u64>,
+    requests: Vec<SentRequest>,
+    replies: Vec<SentGrants>,
+    /// Relative weight of the entry's demand.
     weight: f64,
-    /// Until when it is cut off from the leader.
+    /// Time until which the entry is cut off from the leader.
     pub cut_until_ms: u64,
-    /// Until when it stands still.
+    /// Time until which the entry is suspended.
     pub frozen_until_ms: u64,
 }
 
@@ -122,10 +122,10 @@
             number,
             holder: QuotaHolder::new(entry, now_ms),
             waiting: Vec::new(),
-            asked_ms: 0,
-            under_way: None,
-            asks: Vec::new(),
-            answers: Vec::new(),
+            requested_ms: 0,
+            pending_since_ms: None,
+            requests: Vec::new(),
+            replies: Vec::new(),
             weight,
             cut_until_ms: 0,
             frozen_until_ms: 0,
@@ -133,20 +133,20 @@
     }
 }
 
-/// A site in simulated time, a millisecond a step.
+/// A site in simulated time, in steps of 1 ms.
 pub struct QuotaSite {
     pub shape: SiteShape,
     pub entries: Vec<QuotaEntry>,
     pub leader: Option<QuotaGrantor>,
     pub now_ms: u64,
     version: u64,
-    book: AccountList,
+    account_list: AccountList,
     rng: SmallRng,
-    lives: u64,
-    /// What ran, and when.
+    incarnations: u64,
+    /// Time and tokens of each request that ran.
     ran: Vec<(u64, u64)>,
-    /// What was asked for, and when.
-    pub asked: Vec<(u64, u64)>,
+    /// Time and tokens of each request that arrived.
+    pub demanded: Vec<(u64, u64)>,
     pub refused: usize,
 }
 
@@ -158,54 +158,54 @@
             leader: Some(QuotaGrantor::new(0)),
             now_ms: 0,
             version: 1,
-            book: book(shape.quota()),
+            account_list: account_list(shape.quota()),
             rng: SmallRng::seed_from_u64(seed),
-            lives: 0,
+            incarnations: 0,
             ran: Vec::new(),
-            asked: Vec::new(),
+            demanded: Vec::new(),
             refused: 0,
         };
         for _ in 0..shape.entries {
             site.join();
         }
-        // Entries stand idle for a while before requests come.
+        // Entries are idle for 10 s before the first request arrives.
         site.now_ms = 10_000;
         site
     }
 
-    /// Another entry takes part.
+    /// Adds an entry.
     pub fn join(&mut self) {
-        self.lives += 1;
+        self.incarnations += 1;
         let number = self.entries.len();
         let weight = 1.0 / ((number + 1) as f64).powf(self.shape.skew);
-        let entry = QuotaEntry::new(number, self.lives, weight, self.now_ms);
+        let entry = QuotaEntry::new(number, self.incarnations, weight, self.now_ms);
         self.entries.push(entry);
     }
 
-    /// An entry ends and starts again: it knows nothing.
+    /// Restarts an entry, which loses its state.
     pub fn restart(&mut self, number: usize) {
-        self.lives += 1;
+        self.incarnations += 1;
         let weight = self.entries[number].weight;
-        self.entries[number] = QuotaEntry::new(number, self.lives, weight, self.now_ms);
+        self.entries[number] = QuotaEntry::new(number, self.incarnations, weight, self.now_ms);
     }
 
-    /// Another host leads; what the one before had handed out is not known to it.
+    /// Replaces the leader; the new one does not know its predecessor's grants.
     pub fn change_leader(&mut self) {
         self.leader = Some(QuotaGrantor::new(self.now_ms));
     }
 
     pub fn set_limit(&mut self, quota: QuotaSpec) {
         self.version += 1;
-        self.book = book(quota);
+        self.account_list = account_list(quota);
         for entry in &mut self.entries {
             entry.holder.clear_short();
         }
     }
 
-    pub fn run(&mut self, span_ms: u64) {
-        for _ in 0..span_ms {
+    pub fn run(&mut self, duration_ms: u64) {
+        for _ in 0..duration_ms {
             self.now_ms += 1;
-            self.come();
+            self.add_arrivals();
             for number in 0..self.entries.len() {
                 if self.now_ms >= self.entries[number].frozen_until_ms {
                     self.step(number);
@@ -214,16 +214,16 @@
         }
     }
 
-    /// Requests of a mean of 2,400 tokens come at random.
-    fn come(&mut self) {
+    /// Adds the random arrivals of this step, with a mean of 2,400 tokens each.
+    fn add_arrivals(&mut self) {
         const MEAN: f64 = 2_400.0;
         let chance = self.shape.per_s * self.shape.load / MEAN / 1_000.0;
         let mut left = chance;
         while left > 0.0 {
             if self.rng.random_bool(left.min(1.0)) {
                 let cost = (MEAN * self.rng.random_range(0.2..1.8)) as u64;
-                self.asked.push((self.now_ms, cost));
-                let number = self.draw_entry();
+                self.demanded.push((self.now_ms, cost));
+                let number = self.pick_entry();
                 let now_ms = self.now_ms;
                 let holder = &mut self.entries[number].holder;
                 holder.record_request(&AccountName::from(ACCOUNT), cost);
@@ -239,14 +239,14 @@
         let entry = &mut self.entries[number];
         match entry.holder.charge(self.now_ms, &account, waiting.cost) {
             QuotaCharge::Paid => self.ran.push((self.now_ms, waiting.cost)),
-            QuotaCharge::Ask if self.now_ms < waiting.since_ms + PATIENCE_MS => {
+            QuotaCharge::Ask if self.now_ms < waiting.since_ms + MAX_WAIT_MS => {
                 entry.waiting.push(waiting);
             }
             QuotaCharge::Ask | QuotaCharge::Limited(_) | QuotaCharge::Unknown => self.refused += 1,
         }
     }
 
-    fn draw_entry(&mut self) -> usize {
+    fn pick_entry(&mut self) -> usize {
         let all: f64 = self.entries.iter().map(|entry| entry.weight).sum();
         let mut draw = self.rng.random_range(0.0..all);
         let found = self.entries.iter().position(|entry| {
@@ -260,59 +260,64 @@
         let now_ms = self.now_ms;
         let entry = &mut self.entries[number];
         let cut = now_ms < entry.cut_until_ms;
-        // The leader answers what has come.
-        for sent in entry.asks.extract_if(.., |sent| sent.due_ms <= now_ms) {
+        // The leader replies to the requests that have arrived.
+        for sent in entry.requests.extract_if(.., |sent| sent.due_ms <= now_ms) {
             if let (Some(leader), false) = (&mut self.leader, cut) {
-                leader.set_limits(self.version, Some(&self.book));
-                entry.answers.push(SentGrants {
-                    due_ms: now_ms + WAY_MS,
+                leader.set_limits(self.version, Some(&self.account_list));
+                entry.replies.push(SentGrants {
+                    due_ms: now_ms + TRANSIT_MS,
                     made_ms: sent.made_ms,
-                    number: sent.ask.number,
-                    grants: leader.grant(now_ms, &sent.ask),
+                    number: sent.request.number,
+                    grants: leader.grant(now_ms, &sent.request),
                 });
             }
         }
-        let mut told = false;
-        for sent in entry.answers.extract_if(.., |sent| sent.due_ms <= now_ms) {
+        let mut granted = false;
+        for sent in entry.replies.extract_if(.., |sent| sent.due_ms <= now_ms) {
             if !cut {
-                told = true;
-                entry.under_way = None;
+                granted = true;
+                entry.pending_since_ms = None;
                 let holder = &mut entry.holder;
                 holder.apply_grants(sent.number, sent.made_ms, now_ms, &sent.grants);
             }
         }
-        if told {
+        if granted {
             for waiting in std::mem::take(&mut entry.waiting) {
                 self.charge(number, waiting);
             }
         }
         let entry = &mut self.entries[number];
-        let late_ms = now_ms.saturating_sub(ASK_TIME_MS);
-        let lost = entry.under_way.is_some_and(|made_ms| made_ms < late_ms);
+        let late_ms = now_ms.saturating_sub(REPLY_TIMEOUT_MS);
+        let lost = entry
+            .pending_since_ms
+            .is_some_and(|made_ms| made_ms < late_ms);
         if lost {
-            entry.under_way = None;
+            entry.pending_since_ms = None;
             entry.holder.record_missing_reply();
             for waiting in std::mem::take(&mut entry.waiting) {
                 self.charge(number, waiting);
             }
         }
         let entry = &mut self.entries[number];
-        let since_ms = now_ms - entry.asked_ms;
-        let hungry = entry.holder.has_unmet_demand() && since_ms >= PAUSE_MS;
-        if entry.under_way.is_none() && (hungry || since_ms >= REGULAR_MS + entry.number as u64) {
-            entry.asked_ms = now_ms;
-            if let Some(ask) = entry.holder.next_request(now_ms) {
-                entry.under_way = Some(now_ms);
-                entry.asks.push(SentAsk {
-                    due_ms: now_ms + WAY_MS,
+        let since_ms = now_ms - entry.requested_ms;
+        let has_unmet_demand = entry.holder.has_unmet_demand() && since_ms >= MIN_REQUEST_GAP_MS;
+        if entry.pending_since_ms.is_none()
+            && (has_unmet_demand || since_ms >= REQUEST_INTERVAL_MS + entry.number as u64)
+        {
+            entry.requested_ms = now_ms;
+            if let Some(request) = entry.holder.next_request(now_ms) {
+                entry.pending_since_ms = Some(now_ms);
+                entry.requests.push(SentRequest {
+                    due_ms: now_ms + TRANSIT_MS,
                     made_ms: now_ms,
-                    ask,
+                    request,
                 });
             }
         }
     }
 
-    /// Tokens that ran between two moments after the start, as a part of the limit.
+    /// Returns the tokens that ran between two times after the idle phase, as a fraction of the
+    /// quota.
     pub fn given_of_limit(&self, from_ms: u64, until_ms: u64) -> f64 {
         let given = self.ran_between(10_000 + from_ms, 10_000 + until_ms);
         given as f64 / (self.shape.per_s * (until_ms - from_ms) as f64 / 1_000.0)
@@ -323,22 +328,22 @@
         self.ran.iter().filter(within).map(|(_, cost)| cost).sum()
     }
 
-    /// The most that ran within any span, from a moment on.
-    pub fn most_within(&self, span_ms: u64, from_ms: u64) -> u64 {
+    /// Returns the maximum number of tokens that ran within any window, from a time on.
+    pub fn most_within(&self, window_ms: u64, from_ms: u64) -> u64 {
         let starts = self.ran.iter().filter(|(at_ms, _)| *at_ms >= from_ms);
-        let sums = starts.map(|(at_ms, _)| self.ran_between(*at_ms, at_ms + span_ms));
+        let sums = starts.map(|(at_ms, _)| self.ran_between(*at_ms, at_ms + window_ms));
         sums.max().unwrap_or(0)
     }
 
     pub fn refused_share(&self) -> f64 {
-        self.refused as f64 / self.asked.len() as f64
+        self.refused as f64 / self.demanded.len() as f64
     }
 
-    /// The share that one bucket for all entries would refuse.
+    /// Returns the share of requests that a single bucket for all entries would refuse.
     pub fn refused_by_one_bucket(&self) -> f64 {
         let quota = self.shape.quota();
         let (mut level, mut at_ms, mut refused) = (quota.burst, 0, 0);
-        for (now_ms, cost) in &self.asked {
+        for (now_ms, cost) in &self.demanded {
             let filled = (now_ms - at_ms) as f64 / 1_000.0 * quota.per_s;
             level = f64::min(level + filled, quota.burst);
             at_ms = *now_ms;
@@ -347,6 +352,6 @@
                 false => refused += 1,
             }
         }
-        f64::from(refused) / self.asked.len() as f64
+        f64::from(refused) / self.demanded.len() as f64
     }
 }
