--- a/tests/forwarding/accounts.rs
+++ b/tests/forwarding/accounts.rs
@@ -1,5 +1,5 @@
-//! Client accounts through an entry: which keys are obeyed and for how long, what replicas
-//! are told, and limits.
+//! Client accounts at an entry: which API keys are accepted and for how long, which headers
+//! replicas receive, and quotas.
 
 #[path = "../support_accounts/mod.rs"]
 mod support_accounts;
@@ -8,51 +8,51 @@
 
 use dunlinspring::table::accounts::{AccountList, AccountSpec, QuotaSpec, QuotaUnit};
 
-use crate::support::{Answer, Behaviour, ForwardSite, RouteShape, answered};
+use crate::support::{Behaviour, ForwardSite, Response, RouteShape, wait_for};
 use support_accounts::account;
 
 const PLAIN: RouteShape = RouteShape::plain("/plain/");
 const OPEN: RouteShape = RouteShape::open("/open/");
 
-fn book(accounts: Vec<AccountSpec>) -> Option<AccountList> {
+fn account_list(accounts: Vec<AccountSpec>) -> Option<AccountList> {
     Some(AccountList { accounts })
 }
 
-/// A site with two accounts, and a replica that answers all.
+/// Starts a site with client accounts and a replica that responds to all requests.
 async fn start(accounts: Option<AccountList>) -> ForwardSite {
     let mut site = ForwardSite::start_bare().await;
     let configured = async || {
         let taken = site.configure_accounts(1, &[PLAIN, OPEN], accounts.clone());
         taken.await.ok()
     };
-    answered("a leader", configured).await;
-    site.add_replica("r1", vec![Behaviour::Answer(200, "done"); 50])
+    wait_for("a leader", configured).await;
+    site.add_replica("r1", vec![Behaviour::Response(200, "done"); 50])
         .await;
-    answered("the configuration", async || {
-        let answer = site.ask("GET", "/none/", "probe", "").await;
+    wait_for("the configuration", async || {
+        let answer = site.send("GET", "/none/", "probe", "").await;
         (answer.status == 404).then_some(())
     })
     .await;
     site
 }
 
-async fn ask_until(site: &ForwardSite, key: &str, status: u16) -> Answer {
-    answered("the answer", async || {
-        let answer = site.ask_as("/plain/x", "until", key, "").await;
+async fn send_until(site: &ForwardSite, key: &str, status: u16) -> Response {
+    wait_for("the status", async || {
+        let answer = site.send_as("/plain/x", "until", key, "").await;
         (answer.status == status).then_some(answer)
     })
     .await
 }
 
 #[ntex::test]
-async fn a_key_stays_here_and_its_account_goes_on() {
-    let site = start(book(vec![
+async fn an_api_key_is_not_forwarded_but_its_account_is() {
+    let site = start(account_list(vec![
         account("acme", &["k1", "k2"]),
         account("other", &["k3"]),
     ]))
     .await;
     let answer = site
-        .ask_as("/plain/x", "id-1", "k2", "account: forged\r\n")
+        .send_as("/plain/x", "id-1", "k2", "account: forged\r\n")
         .await;
     assert_eq!(answer.status, 200);
     let seen = site.seen("r1").pop().unwrap();
@@ -66,8 +66,8 @@
 }
 
 #[ntex::test]
-async fn without_a_known_key_nothing_runs_but_on_public_routes() {
-    let site = start(book(vec![account("acme", &["k1"])])).await;
+async fn only_public_routes_run_without_a_known_key() {
+    let site = start(account_list(vec![account("acme", &["k1"])])).await;
     let long = "k".repeat(10_000);
     let shown = [
         String::new(),
@@ -99,45 +99,45 @@
 }
 
 #[ntex::test]
-async fn a_key_that_was_taken_away_is_refused_and_a_new_one_is_taken() {
-    let site = start(book(vec![account("acme", &["k1", "k2"])])).await;
-    assert_eq!(site.ask_as("/plain/x", "a", "k1", "").await.status, 200);
-    let next = book(vec![account("acme", &["k2", "k3"])]);
+async fn a_revoked_key_is_refused_and_a_new_key_is_accepted() {
+    let site = start(account_list(vec![account("acme", &["k1", "k2"])])).await;
+    assert_eq!(site.send_as("/plain/x", "a", "k1", "").await.status, 200);
+    let next = account_list(vec![account("acme", &["k2", "k3"])]);
     site.configure_accounts(2, &[PLAIN, OPEN], next)
         .await
         .unwrap();
-    ask_until(&site, "k3", 200).await;
-    ask_until(&site, "k1", 401).await;
-    assert_eq!(site.ask_as("/plain/x", "b", "k2", "").await.status, 200);
+    send_until(&site, "k3", 200).await;
+    send_until(&site, "k1", 401).await;
+    assert_eq!(site.send_as("/plain/x", "b", "k2", "").await.status, 200);
 }
 
 #[ntex::test]
-async fn where_nothing_newer_can_be_heard_no_key_is_obeyed_for_long() {
+async fn no_key_is_accepted_for_long_without_newer_state() {
     let mut site = ForwardSite::start_bounded(1_500).await;
-    let accounts = book(vec![account("acme", &["k1"])]);
+    let accounts = account_list(vec![account("acme", &["k1"])]);
     let configured = async || {
         let taken = site.configure_accounts(1, &[PLAIN, OPEN], accounts.clone());
         taken.await.ok()
     };
-    answered("a leader", configured).await;
-    site.add_replica("r1", vec![Behaviour::Answer(200, "done"); 500])
+    wait_for("a leader", configured).await;
+    site.add_replica("r1", vec![Behaviour::Response(200, "done"); 500])
         .await;
-    ask_until(&site, "k1", 200).await;
+    send_until(&site, "k1", 200).await;
     site.stop_control().await;
-    let refused = ask_until(&site, "k1", 503).await;
+    let refused = send_until(&site, "k1", 503).await;
     assert!(refused.header("retry-after").is_some());
-    let ran = site.seen("r1").len();
+    let before = site.seen("r1").len();
     tokio::time::sleep(Duration::from_millis(100)).await;
-    // Neither a known key nor an unknown one is judged; a public route stays open.
+    // Both known and unknown keys get 503, not 401; a public route still works.
     for (key, id) in [("k1", "a"), ("k9", "b")] {
-        assert_eq!(site.ask_as("/plain/x", id, key, "").await.status, 503);
+        assert_eq!(site.send_as("/plain/x", id, key, "").await.status, 503);
     }
-    assert_eq!(site.ask("GET", "/open/x", "c", "").await.status, 200);
-    assert_eq!(site.seen("r1").len(), ran + 1);
+    assert_eq!(site.send("GET", "/open/x", "c", "").await.status, 200);
+    assert_eq!(site.seen("r1").len(), before + 1);
 }
 
 #[ntex::test]
-async fn an_account_at_its_limit_is_told_when_to_come_back() {
+async fn an_account_over_its_quota_gets_429_with_retry_after() {
     let mut limited = account("acme", &["k1"]);
     limited.quota = Some(QuotaSpec {
         unit: QuotaUnit::Tokens,
@@ -145,14 +145,14 @@
         burst: 1_000.0,
         plain_tokens: 100,
     });
-    let site = start(book(vec![limited, account("free", &["k2"])])).await;
-    // No leader has given anything before: the whole burst is there, ten requests.
+    let site = start(account_list(vec![limited, account("free", &["k2"])])).await;
+    // No leader has granted anything before, so the full burst is available: ten requests.
     let mut statuses = Vec::new();
     for number in 0..30 {
         let id = format!("id-{number}");
-        // Where the leader's answer came too late, what is left is not known: asked again.
-        let answer = answered("what is left", async || {
-            let answer = site.ask_as("/plain/x", &id, "k1", "").await;
+        // 503 means that the leader's reply came too late to know the quota: sent again.
+        let answer = wait_for("the quota", async || {
+            let answer = site.send_as("/plain/x", &id, "k1", "").await;
             (answer.status != 503).then_some(answer)
         })
         .await;
@@ -165,9 +165,12 @@
     assert_eq!(statuses[0], 200);
     assert_eq!(statuses[29], 429);
     assert!(statuses.iter().all(|status| matches!(status, 200 | 429)));
-    let ran = site.seen("r1").len();
-    assert_eq!(ran, 10);
-    assert_eq!(site.ask_as("/plain/x", "other", "k2", "").await.status, 200);
+    let before = site.seen("r1").len();
+    assert_eq!(before, 10);
+    assert_eq!(
+        site.send_as("/plain/x", "other", "k2", "").await.status,
+        200
+    );
     let [acme, free] = &site.account_statuses().await[..] else {
         panic!("two accounts");
     };
@@ -178,20 +181,20 @@
 }
 
 #[ntex::test]
-async fn the_rank_of_an_account_goes_before_that_of_the_route() {
+async fn an_account_priority_overrides_the_route_priority() {
     let routes = [RouteShape::model("/model/")];
     let mut second = account("second", &["k2"]);
     second.priority = Some(2);
-    let accounts = book(vec![account("first", &["k1"]), second]);
+    let accounts = account_list(vec![account("first", &["k1"]), second]);
     let mut site = ForwardSite::start_bare().await;
     let configured = async || {
         let taken = site.configure_accounts(1, &routes, accounts.clone());
         taken.await.ok()
     };
-    answered("a leader", configured).await;
+    wait_for("a leader", configured).await;
     site.add_model_replica("r1", "m").await;
     for (key, place) in [("k1", "0"), ("k2", "2")] {
-        let answer = site.ask_as("/model/x", key, key, "Model: m\r\n").await;
+        let answer = site.send_as("/model/x", key, key, "Model: m\r\n").await;
         assert_eq!(answer.status, 200);
         let seen = site.seen("r1").pop().unwrap();
         assert_eq!(seen.header("priority"), Some(place), "{key}");
--- a/tests/forwarding/main.rs
+++ b/tests/forwarding/main.rs
@@ -1,5 +1,5 @@
-//! Requests through an entry to replicas over real sockets, where replicas and
-//! clients misbehave.
+//! Requests through an entry to replicas over real sockets, with misbehaving replicas and
+//! clients.
 
 mod accounts;
 mod crashes;
@@ -11,7 +11,7 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-use support::{Answer, Behaviour, ForwardSite, RouteShape, answered};
+use support::{Behaviour, ForwardSite, Response, RouteShape, wait_for};
 
 const PLAIN: RouteShape = RouteShape::plain("/plain/");
 const UNSAFE: RouteShape = RouteShape::unsafe_("/once/");
@@ -19,11 +19,11 @@
 const RESUMED: RouteShape = RouteShape::stream("/resumed/", true);
 
 #[ntex::test]
-async fn an_answer_passes_unchanged() {
+async fn a_response_passes_unchanged() {
     let mut site = ForwardSite::start(&[PLAIN]).await;
-    site.add_replica("r1", vec![Behaviour::Answer(200, "the whole body")])
+    site.add_replica("r1", vec![Behaviour::Response(200, "the whole body")])
         .await;
-    let answer = site.ask("POST", "/plain/a?b=c", "id-1", "hello").await;
+    let answer = site.send("POST", "/plain/a?b=c", "id-1", "hello").await;
     assert_eq!(
         (answer.status, answer.body.as_str()),
         (200, "the whole body")
@@ -49,19 +49,19 @@
 }
 
 #[ntex::test]
-async fn what_may_have_run_is_never_sent_again_nor_told_as_not_run() {
+async fn requests_that_may_have_run_are_not_retried_nor_reported_as_not_run() {
     let mut site = ForwardSite::start(&[UNSAFE]).await;
     site.add_replica(
         "r1",
         vec![
             Behaviour::Close,
-            Behaviour::Answer(503, "busy"),
+            Behaviour::Response(503, "busy"),
             Behaviour::Unsigned,
         ],
     )
     .await;
     for id in ["a", "b", "c"] {
-        let answer = site.ask("POST", "/once/x", id, "").await;
+        let answer = site.send("POST", "/once/x", id, "").await;
         assert_eq!(answer.status, 502, "{id}");
         assert_eq!(answer.header("stamp"), None);
     }
@@ -69,24 +69,24 @@
 }
 
 #[ntex::test]
-async fn what_did_not_run_goes_to_another_replica() {
+async fn requests_that_did_not_run_go_to_another_replica() {
     let mut site = ForwardSite::start(&[UNSAFE]).await;
     site.add_replica("r1", vec![Behaviour::NotExecuted; 4])
         .await;
-    site.add_replica("r2", vec![Behaviour::Answer(200, "done"); 4])
+    site.add_replica("r2", vec![Behaviour::Response(200, "done"); 4])
         .await;
     for id in ["a", "b", "c"] {
-        let answer = site.ask("POST", "/once/x", id, "").await;
+        let answer = site.send("POST", "/once/x", id, "").await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "done"));
     }
 }
 
 #[ntex::test]
-async fn a_refusal_tells_when_to_come_back() {
+async fn a_refusal_has_retry_after() {
     let mut site = ForwardSite::start(&[UNSAFE]).await;
     site.add_replica("r1", vec![Behaviour::NotExecuted; 40])
         .await;
-    let answer = site.ask("POST", "/once/x", "a", "").await;
+    let answer = site.send("POST", "/once/x", "a", "").await;
     assert_eq!(answer.status, 503);
     assert!(
         answer
@@ -100,87 +100,88 @@
 }
 
 #[ntex::test]
-async fn a_surplus_answer_is_passed_over() {
+async fn a_surplus_response_is_skipped() {
     let mut site = ForwardSite::start(&[PLAIN]).await;
     site.add_replica(
         "r1",
         vec![
             Behaviour::SurplusFirst("mine"),
-            Behaviour::Answer(200, "next"),
+            Behaviour::Response(200, "next"),
         ],
     )
     .await;
-    assert_eq!(site.ask("GET", "/plain/a", "a", "").await.body, "mine");
-    assert_eq!(site.ask("GET", "/plain/b", "b", "").await.body, "next");
+    assert_eq!(site.send("GET", "/plain/a", "a", "").await.body, "mine");
+    assert_eq!(site.send("GET", "/plain/b", "b", "").await.body, "next");
 }
 
-/// Replicas hold what entries don't take, and entries what clients don't take.
+/// Back-pressure: a client that does not read keeps a run on its replica until the entry
+/// cuts the client off.
 #[ntex::test]
-async fn a_client_that_reads_nothing_is_cut_and_its_replica_is_free() {
+async fn a_client_that_does_not_read_is_cut_off_and_frees_its_replica() {
     let mut site = ForwardSite::start(&[STREAM]).await;
     site.add_replica("r1", vec![Behaviour::Flood]).await;
     let freed = async || site.closed("r1").then_some(());
-    site.ask_without_reading("/stream/x", freed).await;
+    site.send_without_reading("/stream/x", freed).await;
 }
 
 #[ntex::test]
-async fn a_late_surplus_answer_reaches_nobody() {
+async fn a_late_surplus_response_reaches_no_client() {
     let mut site = ForwardSite::start(&[PLAIN]).await;
     site.add_replica(
         "r1",
         vec![
             Behaviour::SurplusAfter("one"),
-            Behaviour::Answer(200, "two"),
+            Behaviour::Response(200, "two"),
         ],
     )
     .await;
-    assert_eq!(site.ask("GET", "/plain/a", "a", "").await.body, "one");
+    assert_eq!(site.send("GET", "/plain/a", "a", "").await.body, "one");
     tokio::time::sleep(Duration::from_millis(50)).await;
-    assert_eq!(site.ask("GET", "/plain/b", "b", "").await.body, "two");
+    assert_eq!(site.send("GET", "/plain/b", "b", "").await.body, "two");
 }
 
 #[ntex::test]
-async fn a_short_answer_never_looks_whole() {
+async fn a_truncated_response_never_looks_complete() {
     let mut site = ForwardSite::start(&[UNSAFE, STREAM]).await;
     site.add_replica("r1", vec![Behaviour::CutBody, Behaviour::CutStream(2)])
         .await;
-    assert_eq!(site.ask("POST", "/once/x", "a", "").await.status, 502);
-    let answer = site.ask("POST", "/stream/x", "b", "").await;
+    assert_eq!(site.send("POST", "/once/x", "a", "").await.status, 502);
+    let answer = site.send("POST", "/stream/x", "b", "").await;
     assert_eq!(answer.status, 200);
-    assert!(!answer.whole);
-    // The event that broke off is not passed on.
+    assert!(!answer.complete);
+    // The incomplete event is not forwarded.
     assert_eq!(answer.body, "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n");
 }
 
 #[ntex::test]
-async fn a_stream_goes_on_elsewhere_after_its_last_whole_event() {
+async fn a_stream_resumes_elsewhere_after_its_last_complete_event() {
     let mut site = ForwardSite::start(&[RESUMED]).await;
-    // Of two that are alike, the first by name is chosen.
+    // Of two equal replicas the first by name is chosen.
     site.add_replica("r1", vec![Behaviour::CutStream(2)]).await;
     site.add_replica("r2", vec![Behaviour::Events(4)]).await;
-    let answer = site.ask("POST", "/resumed/x", "a", "").await;
-    assert!(answer.whole);
+    let answer = site.send("POST", "/resumed/x", "a", "").await;
+    assert!(answer.complete);
     let events: String = (1..=4).map(|n| format!("id: {n}\ndata: {n}\n\n")).collect();
     assert_eq!(answer.body, events);
-    // The head is that of the first replica.
+    // The client keeps the response head of the first replica.
     assert_eq!(answer.header("stamp"), Some("r1"));
     assert_eq!(site.seen("r2")[0].header("last-event"), Some("2"));
 }
 
 #[ntex::test]
-async fn a_stream_that_nobody_can_go_on_with_does_not_look_whole() {
+async fn a_stream_that_cannot_resume_does_not_look_complete() {
     let mut site = ForwardSite::start(&[RESUMED]).await;
     site.add_replica("r1", vec![Behaviour::CutStream(2); 9])
         .await;
-    assert!(!site.ask("POST", "/resumed/x", "a", "").await.whole);
+    assert!(!site.send("POST", "/resumed/x", "a", "").await.complete);
 }
 
 #[ntex::test]
-async fn a_client_that_leaves_ends_its_run() {
+async fn a_client_that_disconnects_ends_its_run() {
     let mut site = ForwardSite::start(&[STREAM]).await;
     site.add_replica("r1", vec![Behaviour::HangAfter(1)]).await;
-    site.ask_and_leave("/stream/x", "a").await;
-    answered("the replica's connection to close", async || {
+    site.read_part_and_disconnect("/stream/x", "a").await;
+    wait_for("the replica's connection to close", async || {
         site.closed("r1").then_some(())
     })
     .await;
@@ -189,7 +190,7 @@
 #[ntex::test]
 async fn smuggled_and_oversized_requests_reach_no_replica() {
     let mut site = ForwardSite::start(&[PLAIN]).await;
-    site.add_replica("r1", vec![Behaviour::Answer(200, "x"); 9])
+    site.add_replica("r1", vec![Behaviour::Response(200, "x"); 9])
         .await;
     let smuggled = "POST /plain/a HTTP/1.1\r\nHost: h.example\r\nRequest-Id: a\r\nContent-Length: 40\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /plain/b HTTP/1.1\r\n\r\n";
     assert_eq!(site.send_raw(smuggled).await.status, 400);
@@ -207,21 +208,21 @@
 }
 
 #[ntex::test]
-async fn a_draining_replica_gets_nothing_once_that_is_acknowledged() {
+async fn a_draining_replica_gets_nothing_once_entries_know() {
     let mut site = ForwardSite::start(&[PLAIN]).await;
-    site.add_replica("r1", vec![Behaviour::Answer(200, "one"); 20])
+    site.add_replica("r1", vec![Behaviour::Response(200, "one"); 20])
         .await;
-    site.add_replica("r2", vec![Behaviour::Answer(200, "two"); 20])
+    site.add_replica("r2", vec![Behaviour::Response(200, "two"); 20])
         .await;
     site.drain("r1").await;
-    answered("the entry to know", async || {
-        let answer: Answer = site.ask("GET", "/plain/a", "probe", "").await;
+    wait_for("the entry to know", async || {
+        let answer: Response = site.send("GET", "/plain/a", "probe", "").await;
         (answer.body == "two").then_some(())
     })
     .await;
     let before = site.seen("r1").len();
     for _ in 0..8 {
-        assert_eq!(site.ask("GET", "/plain/a", "x", "").await.body, "two");
+        assert_eq!(site.send("GET", "/plain/a", "x", "").await.body, "two");
     }
     assert_eq!(site.seen("r1").len(), before);
 }
@@ -229,22 +230,22 @@
 #[ntex::test]
 async fn a_newer_configuration_holds_and_an_older_one_changes_nothing() {
     let mut site = ForwardSite::start(&[PLAIN]).await;
-    site.add_replica("r1", vec![Behaviour::Answer(200, "x"); 99])
+    site.add_replica("r1", vec![Behaviour::Response(200, "x"); 99])
         .await;
     site.configure(7, &[PLAIN, UNSAFE]).await.unwrap();
-    answered("the new route", async || {
-        (site.ask("POST", "/once/a", "a", "").await.status == 200).then_some(())
+    wait_for("the new route", async || {
+        (site.send("POST", "/once/a", "a", "").await.status == 200).then_some(())
     })
     .await;
     site.configure(6, &[]).await.unwrap();
     assert!(site.configure(7, &[]).await.is_err());
     assert!(site.configure(7, &[PLAIN, UNSAFE]).await.is_ok());
-    assert_eq!(site.ask("POST", "/once/a", "b", "").await.status, 200);
+    assert_eq!(site.send("POST", "/once/a", "b", "").await.status, 200);
     assert_eq!(site.configuration_read().await, 7);
 }
 
 #[ntex::test]
-async fn a_stopping_entry_refuses_at_once_what_waits_for_a_model() {
+async fn a_stopping_entry_refuses_at_once_requests_that_wait_for_a_model() {
     let site = ForwardSite::start(&[RouteShape::model("/model/")]).await;
     let text = "POST /model/x HTTP/1.1\r\nHost: h.example\r\nRequest-Id: a\r\nModel: m\r\n\
                 Deadline-Ms: 60000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -258,7 +259,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         site.stop().await;
     };
-    // Left alone it would wait for half of its two seconds.
+    // Without the stop the request would wait for half of its 2 s.
     let later = async {
         tokio::time::sleep(Duration::from_millis(600)).await;
         order.borrow_mut().push("later");
@@ -281,7 +282,7 @@
     };
     let asks = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        // The entry still runs for less than five seconds; an event a token.
+        // The entry runs for less than 5 s more; a token takes one event.
         let long = site.send_raw(&stream("a", "10,5000")).await;
         let short = site.send_raw(&stream("b", "10,2")).await;
         (long, short)
@@ -289,7 +290,7 @@
     let ((long, short), ()) = futures::join!(asks, site.stop());
     assert_eq!((long.status, short.status), (503, 503));
     assert!(long.header("retry-after").is_some());
-    let reason = |answer: &Answer| answer.body.clone();
+    let reason = |answer: &Response| answer.body.clone();
     assert!(
         reason(&long).contains("this entry stops"),
         "{}",
@@ -301,32 +302,32 @@
 #[ntex::test]
 async fn a_request_waits_for_the_first_configuration() {
     let site = ForwardSite::start_bare().await;
-    // It would wait for a quarter of its time, were the configuration never to come.
+    // Without a configuration it would wait for a quarter of its deadline.
     let early = "GET /no-route/ HTTP/1.1\r\nHost: h.example\r\nRequest-Id: early\r\n\
                  Deadline-Ms: 240000\r\nConnection: close\r\n\r\n";
     let asks = site.send_raw(early);
     let configures = async {
         let configured = async || site.configure(1, &[PLAIN]).await.ok();
-        answered("a leader", configured).await;
+        wait_for("a leader", configured).await;
     };
-    // Without the wait it would be refused before the configuration is there.
+    // Without the wait it would be refused before the configuration arrives.
     let (answer, ()) = futures::join!(asks, configures);
     assert_eq!(answer.status, 404);
 }
 
 #[ntex::test]
-async fn a_connection_that_stays_silent_is_closed_when_the_listener_is() {
+async fn a_silent_connection_is_closed_with_the_listener() {
     let mut site = ForwardSite::start(&[PLAIN]).await;
-    // The listener closes 1,000 ms after the stop began, the answer comes after 1,500.
+    // The listener closes 1,000 ms after the stop begins; the response comes after 1,500 ms.
     site.add_replica("r1", vec![Behaviour::Slow(1_500, "last")])
         .await;
     let order = RefCell::new(Vec::new());
     let answer = async {
-        site.ask("GET", "/plain/a", "a", "").await;
+        site.send("GET", "/plain/a", "a", "").await;
         order.borrow_mut().push("answer");
     };
     let silent = async {
-        // It comes while the entry stops already, and sends nothing.
+        // It connects while the entry already stops, and sends nothing.
         tokio::time::sleep(Duration::from_millis(900)).await;
         site.silent_connection().await;
         order.borrow_mut().push("silent");
@@ -336,11 +337,11 @@
 }
 
 #[ntex::test]
-async fn a_stopping_entry_answers_what_it_has_read_and_refuses_what_waits() {
+async fn a_stopping_entry_responds_to_requests_that_it_has_read() {
     let mut site = ForwardSite::start(&[PLAIN, STREAM]).await;
     site.add_replica("r1", vec![Behaviour::Slow(400, "late but whole")])
         .await;
-    let (answer, ()) = futures::join!(site.ask("GET", "/plain/a", "a", ""), async {
+    let (answer, ()) = futures::join!(site.send("GET", "/plain/a", "a", ""), async {
         tokio::time::sleep(Duration::from_millis(100)).await;
         site.stop().await;
     });
--- a/tests/forwarding/pauses.rs
+++ b/tests/forwarding/pauses.rs
@@ -1,45 +1,40 @@
-//! Replicas that ask to be left alone for a time, and replicas that leave.
+//! Replicas that request a backoff period, and replicas that drain.
 //!
-//! What users saw: a replica turned an entry away and asked for 3 s without requests. In that
-//! time the same entry sent it 3 to 5 requests more. Each was turned away; some callers were
-//! refused for it, while other homes had room.
+//! The failure: a replica refused a request with `Retry-After: 3`. Within these 3 s the same
+//! entry sent it 3 to 5 more requests. All were refused, and some clients with them, while
+//! other homes had free capacity.
 //!
-//! The order of events: the replica answers 503 with `Retry-After`; 100 ms later the entry
-//! takes it for one with room again, and as it has nothing running there, it is the cheapest;
-//! the next request goes there, and is turned away; and so on until the replica recovers.
-//!
-//! The cause: nothing read what a refusal asks for. A refusal counted for a fixed time of the
-//! entry's own.
-//!
-//! The evidence: of the refusals in the entries' lines, some name a time; requests go on to
-//! reach those replicas all along it, at the pace of demand, first tries as well as repeats.
+//! The cause: the entry ignored `Retry-After` and avoided a replica for a fixed 100 ms after a
+//! refusal. Then the replica, with nothing running, was the cheapest choice again, until it
+//! recovered. In the logs this shows as first attempts and retries that reach a replica
+//! within the backoff period that it requested.
 
 use std::time::Duration;
 
-use crate::support::{Behaviour, ForwardSite, LEAVING, RouteShape, answered};
+use crate::support::{Behaviour, DRAINING, ForwardSite, RouteShape, wait_for};
 
 const SAFE: RouteShape = RouteShape::plain("/plain/");
 const STREAM: RouteShape = RouteShape::stream("/stream/", true);
-/// Ends long after any of these tests.
+/// A backoff period longer than any of these tests.
 const LONG: &str = "Retry-After: 300\r\n";
-/// Pause of a caller: the requests of a test are spread over some seconds.
-const PACE: Duration = Duration::from_millis(50);
+/// Time between two requests of a caller; spreads the requests of a test over seconds.
+const INTERVAL: Duration = Duration::from_millis(50);
 const REQUESTS: usize = 40;
 
-/// Asks again and again, and returns how many were served.
-async fn ask_on(site: &ForwardSite, path: &str) -> usize {
+/// Sends [`REQUESTS`] requests one after the other. Returns the number of 200 responses.
+async fn send_repeatedly(site: &ForwardSite, path: &str) -> usize {
     let mut served = 0;
     for number in 0..REQUESTS {
         let answer = site
-            .ask("GET", path, &format!("request-{number}"), "")
+            .send("GET", path, &format!("request-{number}"), "")
             .await;
         served += usize::from(answer.status == 200);
-        tokio::time::sleep(PACE).await;
+        tokio::time::sleep(INTERVAL).await;
     }
     served
 }
 
-async fn site_of(replicas: &[(&str, Behaviour)]) -> ForwardSite {
+async fn site_with(replicas: &[(&str, Behaviour)]) -> ForwardSite {
     let mut site = ForwardSite::start(&[SAFE, STREAM]).await;
     for (name, behaviour) in replicas {
         site.add_replica(name, vec![*behaviour; 4 * REQUESTS]).await;
@@ -47,36 +42,36 @@
     site
 }
 
-const WELL: Behaviour = Behaviour::Answer(200, "well");
+const OK: Behaviour = Behaviour::Response(200, "well");
 
 #[ntex::test]
-async fn a_replica_is_left_alone_for_as_long_as_it_asks() {
-    let site = site_of(&[("r1", Behaviour::Refuse(LONG)), ("r2", WELL), ("r3", WELL)]).await;
-    assert_eq!(ask_on(&site, "/plain/x").await, REQUESTS);
+async fn a_replica_gets_no_requests_in_its_backoff_period() {
+    let site = site_with(&[("r1", Behaviour::Refuse(LONG)), ("r2", OK), ("r3", OK)]).await;
+    assert_eq!(send_repeatedly(&site, "/plain/x").await, REQUESTS);
     assert_eq!(site.seen("r1").len(), 1);
 }
 
 #[ntex::test]
-async fn where_all_ask_for_a_pause_callers_are_told_when_the_first_one_ends() {
+async fn when_all_replicas_back_off_retry_after_names_the_first_end() {
     let longer = Behaviour::Refuse("Retry-After: 900\r\n");
-    let site = site_of(&[("r1", Behaviour::Refuse(LONG)), ("r2", longer)]).await;
-    assert_eq!(ask_on(&site, "/plain/x").await, 0);
+    let site = site_with(&[("r1", Behaviour::Refuse(LONG)), ("r2", longer)]).await;
+    assert_eq!(send_repeatedly(&site, "/plain/x").await, 0);
     assert_eq!((site.seen("r1").len(), site.seen("r2").len()), (1, 1));
-    let answer = site.ask("GET", "/plain/x", "last", "").await;
+    let answer = site.send("GET", "/plain/x", "last", "").await;
     assert_eq!(answer.status, 503);
     let retry: f64 = answer.header("retry-after").unwrap().parse().unwrap();
     assert!((200.0..=300.1).contains(&retry), "{retry}");
 }
 
 #[ntex::test]
-async fn a_failure_that_asks_for_a_pause_gets_it() {
-    let site = site_of(&[("r1", Behaviour::Headed(503, LONG))]).await;
-    assert_eq!(ask_on(&site, "/plain/x").await, 0);
+async fn retry_after_on_a_failure_is_obeyed() {
+    let site = site_with(&[("r1", Behaviour::Headed(503, LONG))]).await;
+    assert_eq!(send_repeatedly(&site, "/plain/x").await, 0);
     assert_eq!(site.seen("r1").len(), 1);
 }
 
 #[ntex::test]
-async fn a_word_that_is_no_time_shuts_no_replica_out() {
+async fn an_invalid_retry_after_excludes_no_replica() {
     let words = [
         "Retry-After: -300\r\n",
         "Retry-After: inf\r\n",
@@ -87,113 +82,113 @@
     ];
     let mut site = ForwardSite::start(&[SAFE]).await;
     let mut script: Vec<Behaviour> = words.iter().map(|line| Behaviour::Refuse(line)).collect();
-    script.push(WELL);
+    script.push(OK);
     site.add_replica("r1", script).await;
     for number in 0..=words.len() {
-        let mut answer = site.ask("GET", "/plain/x", &format!("{number}"), "").await;
+        let mut answer = site.send("GET", "/plain/x", &format!("{number}"), "").await;
         for repeat in 0..9 {
             if answer.status == 200 {
                 break;
             }
-            tokio::time::sleep(PACE).await;
+            tokio::time::sleep(INTERVAL).await;
             let id = format!("{number}-{repeat}");
-            answer = site.ask("GET", "/plain/x", &id, "").await;
+            answer = site.send("GET", "/plain/x", &id, "").await;
         }
     }
     assert!(site.seen("r1").len() > words.len());
 }
 
 #[ntex::test]
-async fn of_two_times_the_longer_one_counts_and_one_on_a_success_does_not() {
+async fn the_longer_retry_after_counts_and_one_on_a_success_does_not() {
     let twice = Behaviour::Refuse("Retry-After: 0.01\r\nRetry-After: 300\r\n");
-    let site = site_of(&[("r1", twice), ("r2", WELL)]).await;
-    assert_eq!(ask_on(&site, "/plain/x").await, REQUESTS);
+    let site = site_with(&[("r1", twice), ("r2", OK)]).await;
+    assert_eq!(send_repeatedly(&site, "/plain/x").await, REQUESTS);
     assert_eq!(site.seen("r1").len(), 1);
     let mut site = ForwardSite::start(&[SAFE]).await;
     site.add_replica("r1", vec![Behaviour::Headed(200, LONG); REQUESTS])
         .await;
-    assert_eq!(ask_on(&site, "/plain/x").await, REQUESTS);
+    assert_eq!(send_repeatedly(&site, "/plain/x").await, REQUESTS);
 }
 
-/// A connection takes long to open, as the replica's listener is full; meanwhile the replica
-/// asks for a pause. What was to leave on that connection was chosen before.
+/// A connection opens slowly, as the replica's listener is full, and meanwhile the replica
+/// requests a backoff period. The request chose the replica before that, and must not be sent.
 #[ntex::test]
-async fn a_request_whose_connection_was_slow_to_open_does_not_leave_in_a_pause() {
+async fn a_request_with_a_slow_connection_is_not_sent_in_a_backoff_period() {
     let mut site = ForwardSite::start(&[SAFE]).await;
-    site.add_replica("r1", vec![WELL, Behaviour::RefuseLater(500, LONG), WELL])
+    site.add_replica("r1", vec![OK, Behaviour::RefuseLater(500, LONG), OK])
         .await;
-    // Its connection is kept.
-    assert_eq!(site.ask("GET", "/plain/x", "first", "").await.status, 200);
+    // Keeps a connection to the replica open.
+    assert_eq!(site.send("GET", "/plain/x", "first", "").await.status, 200);
     let waiting = site.shut("r1").await;
     let refused = async {
-        let refused = site.ask("GET", "/plain/x", "refused", "").await;
+        let refused = site.send("GET", "/plain/x", "refused", "").await;
         drop(waiting);
         site.open("r1");
         refused
     };
     let late = async {
-        answered("the refused one to arrive", async || {
+        wait_for("the refused request to arrive", async || {
             (site.seen("r1").len() == 2).then_some(())
         })
         .await;
-        site.ask("GET", "/plain/x", "late", "").await
+        site.send("GET", "/plain/x", "late", "").await
     };
     let (refused, late) = futures::join!(refused, late);
     assert_eq!((refused.status, late.status), (503, 503));
     assert_eq!(site.seen("r1").len(), 2);
 }
 
-/// A replica that says in one answer that it leaves, while its heartbeats say that it is
-/// ready, gets nothing after it.
-async fn is_left(path: &str, last: Behaviour, good: Behaviour) {
+/// Checks that a replica that announces draining in one response gets no more requests, though
+/// its heartbeats still report it ready.
+async fn gets_nothing_after(path: &str, last: Behaviour, good: Behaviour) {
     let mut site = ForwardSite::start(&[SAFE, STREAM]).await;
     let mut script = vec![last];
     script.extend(vec![good; 4 * REQUESTS]);
     site.add_replica("r1", script).await;
-    // The only home there is: it is the one that is asked.
-    site.ask("GET", path, "first", "").await;
+    // The only home, so this request goes to it.
+    site.send("GET", path, "first", "").await;
     site.add_replica("r2", vec![good; 4 * REQUESTS]).await;
     let before = site.seen("r1").len();
-    assert_eq!(ask_on(&site, path).await, REQUESTS);
+    assert_eq!(send_repeatedly(&site, path).await, REQUESTS);
     assert_eq!(site.seen("r1").len(), before);
 }
 
 #[ntex::test]
-async fn a_replica_that_says_in_an_answer_that_it_leaves_gets_no_more() {
-    is_left("/plain/x", Behaviour::Headed(200, LEAVING), WELL).await;
+async fn draining_announced_in_a_response_is_obeyed() {
+    gets_nothing_after("/plain/x", Behaviour::Headed(200, DRAINING), OK).await;
 }
 
 #[ntex::test]
-async fn the_same_in_a_failure() {
-    // The only home: beside another one, its failure alone would have it passed over.
-    let site = site_of(&[("r1", Behaviour::Headed(500, LEAVING))]).await;
+async fn draining_announced_in_a_failure_is_obeyed() {
+    // The only home: with another one, the failure alone would divert the requests.
+    let site = site_with(&[("r1", Behaviour::Headed(500, DRAINING))]).await;
     for number in 0..3 {
-        let answer = site.ask("GET", "/plain/x", &format!("{number}"), "").await;
+        let answer = site.send("GET", "/plain/x", &format!("{number}"), "").await;
         assert_ne!(answer.status, 200);
     }
     assert_eq!(site.seen("r1").len(), 1);
 }
 
 #[ntex::test]
-async fn the_same_in_a_refusal() {
-    is_left("/plain/x", Behaviour::Refuse(LEAVING), WELL).await;
+async fn draining_announced_in_a_refusal_is_obeyed() {
+    gets_nothing_after("/plain/x", Behaviour::Refuse(DRAINING), OK).await;
 }
 
 #[ntex::test]
-async fn the_same_in_a_surplus_answer() {
-    is_left("/plain/x", Behaviour::LeavingSurplus, WELL).await;
+async fn draining_announced_in_a_surplus_response_is_obeyed() {
+    gets_nothing_after("/plain/x", Behaviour::DrainingSurplus, OK).await;
 }
 
 #[ntex::test]
-async fn the_same_in_the_head_of_a_stream() {
+async fn draining_announced_in_the_head_of_a_stream_is_obeyed() {
     let good = Behaviour::Events(3);
-    is_left("/stream/x", Behaviour::LeavingStream(3), good).await;
+    gets_nothing_after("/stream/x", Behaviour::DrainingStream(3), good).await;
 }
 
 #[ntex::test]
-async fn that_a_replica_leaves_is_no_word_for_callers() {
-    let site = site_of(&[("r1", Behaviour::Headed(200, LEAVING))]).await;
-    let answer = site.ask("GET", "/plain/x", "one", "").await;
+async fn the_leaving_header_is_not_forwarded_to_clients() {
+    let site = site_with(&[("r1", Behaviour::Headed(200, DRAINING))]).await;
+    let answer = site.send("GET", "/plain/x", "one", "").await;
     assert_eq!(answer.status, 200);
     assert_eq!(answer.header("leaving"), None);
 }
--- a/tests/forwarding/support/mod.rs
+++ b/tests/forwarding/support/mod.rs
@@ -1,6 +1,6 @@
-//! One control host, one entry, and replicas that follow a script.
+//! One control host, one or more entries, and replicas that follow a script.
 
-pub mod mortal;
+pub mod crashing;
 #[path = "../../support_names/mod.rs"]
 mod support_names;
 #[path = "../../support_replicas/mod.rs"]
@@ -15,6 +15,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use crashing::CrashingReplica;
 use dunlinspring::consensus::crashes::CrashStore;
 use dunlinspring::consensus::directory::{ReplicaPhase, ReplicaRecord};
 use dunlinspring::consensus::raft::RaftTiming;
@@ -33,30 +34,29 @@
 use dunlinspring::table::configuration::{
     Configuration, EngineModel, EngineSpec, RouteKind, RouteSpec, ServiceSpec,
 };
-use mortal::MortalReplica;
 use support_names::NAMES;
 use support_replicas::ready_replica;
 use tempfile::TempDir;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// What a replica that leaves says in its heads.
-pub const LEAVING: &str = "Leaving: 1\r\n";
+/// Response header line of a replica that drains.
+pub const DRAINING: &str = "Leaving: 1\r\n";
 
-/// Longest wait for a condition that must come; reaching it is a failure.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longest wait for a condition; a test fails once it has passed.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// Time of a request on every route, in milliseconds.
+/// Request timeout on every route, in milliseconds.
 pub const TIMEOUT_MS: u64 = 20_000;
 
-/// Time for a connection to a replica: longer than a kernel takes to ask a full listener
-/// again.
+/// Connect timeout to a replica, in milliseconds. Longer than the kernel's interval between
+/// SYN retransmissions to a full listener.
 const CONNECT_MS: u64 = 10_000;
 
-/// Time in which a client takes nothing before it is cut.
+/// Time without progress after which an entry cuts off a client, in milliseconds.
 const STALL_MS: u64 = 300;
 
-/// A route of the test's service.
+/// A route of the test configuration.
 #[derive(Clone, Copy)]
 pub struct RouteShape {
     prefix: &'static str,
@@ -67,7 +67,7 @@
 }
 
 impl RouteShape {
-    /// Streams of a model; its engines load it within 100 ms.
+    /// A streaming route to a model, which engines load in 100 ms.
     pub const fn model(prefix: &'static str) -> Self {
         Self {
             prefix,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// A plain route for which nobody needs a key.
+    /// A plain route that needs no API key.
     pub const fn open(prefix: &'static str) -> Self {
         Self {
             public: true,
@@ -135,48 +135,48 @@
     }
 }
 
-/// What a replica does with one request.
+/// How a replica handles one request.
 #[derive(Clone, Copy, Debug)]
 pub enum Behaviour {
-    /// Answers, signed.
-    Answer(u16, &'static str),
-    /// Answers after so many milliseconds.
+    /// Responds with a status and a body, with the `Stamp` header.
+    Response(u16, &'static str),
+    /// Responds with 200 after a delay in milliseconds.
     Slow(u64, &'static str),
-    /// Answers a success without a signature.
+    /// Responds with 200 without the `Stamp` header.
     Unsigned,
-    /// Says that it did not run it.
+    /// Responds with 503 and `Not-Executed`.
     NotExecuted,
-    /// The same, with a line of the head.
+    /// As `NotExecuted`, with one more header line.
     Refuse(&'static str),
-    /// The same after so many milliseconds.
+    /// As `Refuse`, after a delay in milliseconds.
     RefuseLater(u64, &'static str),
-    /// Answers by a status, with a line of the head.
+    /// Responds with a status and one more header line.
     Headed(u16, &'static str),
-    /// Says that it leaves in the answer to another request, and answers.
-    LeavingSurplus,
-    /// Sends so many events of a stream under a head that says that it leaves.
-    LeavingStream(u32),
-    /// Closes without an answer.
+    /// Sends a response to another request that announces draining, then the response due.
+    DrainingSurplus,
+    /// Streams events up to this number under a head that announces draining.
+    DrainingStream(u32),
+    /// Closes the connection without a response.
     Close,
-    /// Sends another request's answer first.
+    /// Sends a response to another request, then the response due.
     SurplusFirst(&'static str),
-    /// Sends another answer after the due one.
+    /// Sends a second response after the one due.
     SurplusAfter(&'static str),
-    /// Closes within the body.
+    /// Closes the connection within the body.
     CutBody,
-    /// Sends so many events and a part of the next one, then closes.
+    /// Sends this many events and a part of the next one, then closes.
     CutStream(u32),
-    /// Sends events up to this one, from the one after the caller's last.
+    /// Streams events up to this number, starting after the caller's `Last-Event`.
     Events(u32),
-    /// A stream without an end, as fast as it is taken.
+    /// Streams events without end, as fast as the entry reads them.
     Flood,
-    /// Sends so many events, and nothing more.
+    /// Sends this many events, then stays silent.
     HangAfter(u32),
 }
 
-/// A request as a replica saw it.
+/// A request as a replica received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub at: Instant,
     pub method: String,
     pub target: String,
@@ -184,23 +184,23 @@
     pub body: String,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         head::find(&self.headers, name)
     }
 }
 
-/// An answer as a client saw it.
+/// A response as a client received it.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub headers: Vec<Header>,
     pub body: String,
-    /// Its end came in the protocol.
-    pub whole: bool,
+    /// Whether the body ended as its framing requires.
+    pub complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub fn header(&self, name: &str) -> Option<&str> {
         head::find(&self.headers, name)
     }
@@ -209,9 +209,9 @@
 #[derive(Default)]
 struct ReplicaState {
     script: VecDeque<Behaviour>,
-    seen: Vec<Seen>,
+    seen: Vec<ReceivedRequest>,
     closed: bool,
-    /// It accepts no connections for now.
+    /// Whether it accepts no connections for now.
     shut: bool,
 }
 
@@ -224,23 +224,23 @@
     link: Arc<ControlLink>,
     settings: ForwardSettings,
     entries: Vec<ForwardDaemon>,
-    mortals: Vec<Rc<MortalReplica>>,
+    crashing_replicas: Vec<Rc<CrashingReplica>>,
     replicas: BTreeMap<String, (ReplicaRecord, SharedReplica)>,
 }
 
-pub async fn answered<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
-    let give_up = Instant::now() + PATIENCE;
+pub async fn wait_for<T>(what: &str, mut poll: impl AsyncFnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + MAX_WAIT;
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = poll().await {
             return found;
         }
-        assert!(Instant::now() < give_up, "waited in vain for {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Nothing where no quorum took a call in time, as on a host whose disk is busy.
-fn past_quorum<T>(called: Result<T, RegistryError>) -> Option<Result<T, RegistryError>> {
+/// Returns `None` if no quorum took a call in time, as on a host whose disk is busy.
+fn unless_no_quorum<T>(called: Result<T, RegistryError>) -> Option<Result<T, RegistryError>> {
     match called {
         Err(RegistryError::NoQuorum) => None,
         called => Some(called),
@@ -316,28 +316,28 @@
     pub async fn start(routes: &[RouteShape]) -> Self {
         let site = Self::start_bare().await;
         let configured = async || site.configure(1, routes).await.ok();
-        answered("a leader", configured).await;
+        wait_for("a leader", configured).await;
         let known = async || {
-            let answer = site.ask("GET", "/no-route/", "probe", "").await;
+            let answer = site.send("GET", "/no-route/", "probe", "").await;
             (answer.status == 404).then_some(())
         };
-        answered("the configuration", known).await;
+        wait_for("the configuration", known).await;
         site
     }
 
-    /// A site without a configuration.
+    /// Starts a site without a configuration.
     pub async fn start_bare() -> Self {
-        let patience_ms = PATIENCE.as_millis() as u64;
-        Self::start_waiting(patience_ms, patience_ms).await
+        let patience_ms = MAX_WAIT.as_millis() as u64;
+        Self::start_with_waits(patience_ms, patience_ms).await
     }
 
-    /// A site whose entry obeys keys by word of so many milliseconds at most. Requests wait
-    /// a second for newer word.
+    /// Starts a site whose entry accepts API keys for at most `authority_ms` after the last
+    /// contact with the control host. Requests wait 1 s for newer state.
     pub async fn start_bounded(authority_ms: u64) -> Self {
-        Self::start_waiting(authority_ms, 1_000).await
+        Self::start_with_waits(authority_ms, 1_000).await
     }
 
-    async fn start_waiting(authority_ms: u64, config_wait_ms: u64) -> Self {
+    async fn start_with_waits(authority_ms: u64, config_wait_ms: u64) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let (control, address) = start_control(&folder).await;
         let link = Arc::new(ControlLink::new(secret(), vec![address.to_string()]));
@@ -371,7 +371,7 @@
             link,
             settings,
             entries: Vec::new(),
-            mortals: Vec::new(),
+            crashing_replicas: Vec::new(),
             replicas: BTreeMap::new(),
         };
         site.start_entry().await;
@@ -387,16 +387,16 @@
         number
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn entries(&self) -> usize {
         self.entries.len()
     }
 
-    /// Starts a further entry, and waits until it has the configuration.
+    /// Starts another entry and waits until it has the configuration.
     pub async fn add_entry(&mut self) -> usize {
         let entry = self.start_entry().await;
-        answered("the configuration at a further entry", async || {
-            let answer = self.ask_at(entry, "/no-route/", "probe", "").await;
+        wait_for("the configuration at the new entry", async || {
+            let answer = self.send_at(entry, "/no-route/", "probe", "").await;
             (answer.status == 404).then_some(())
         })
         .await;
@@ -411,8 +411,8 @@
         self.configure_accounts(version, routes, None).await
     }
 
-    /// A configuration with client accounts. Without a quorum it is sent again: what was
-    /// taken before is taken once more.
+    /// Sets a configuration with client accounts. It is sent again where no quorum took it
+    /// in time, as setting the same configuration twice is accepted.
     pub async fn configure_accounts(
         &self,
         version: u64,
@@ -437,63 +437,64 @@
         let source = format!("{version} {}", routes.len()).into_bytes();
         let configure = async || {
             let sent = (configuration.clone(), source.clone());
-            past_quorum(self.registry.configure(sent.0, sent.1).await)
+            unless_no_quorum(self.registry.configure(sent.0, sent.1).await)
         };
-        answered("a quorum", configure).await.map(|_| ())
+        wait_for("a quorum", configure).await.map(|_| ())
     }
 
-    /// An operator's word on a data hall.
+    /// Evacuates a data hall or opens it again, as an operator does.
     pub async fn set_hall(&self, hall: &str, standing: HallStanding) -> Result<(), RegistryError> {
         let set = async || {
             let hall = HallName::from(hall);
-            past_quorum(self.registry.set_hall(hall, standing).await)
+            unless_no_quorum(self.registry.set_hall(hall, standing).await)
         };
-        answered("a quorum", set).await
+        wait_for("a quorum", set).await
     }
 
     pub async fn configuration_read(&self) -> u64 {
-        let read = async || past_quorum(self.registry.configuration().await);
-        let record = answered("a quorum", read).await.unwrap();
+        let read = async || unless_no_quorum(self.registry.configuration().await);
+        let record = wait_for("a quorum", read).await.unwrap();
         record.unwrap().configuration.version
     }
 
-    /// The client accounts, as operators are told of them.
+    /// Returns the client accounts as the control host reports them to operators.
     pub async fn account_statuses(&self) -> Vec<AccountStatus> {
         let call =
             |client: ControlWireClient, context| async move { client.accounts(context).await };
         self.link
-            .call_leader("accounts", PATIENCE, call)
+            .call_leader("accounts", MAX_WAIT, call)
             .await
             .unwrap()
     }
 
-    /// The contents under which replicas ended, as operators are told of them.
+    /// Returns the contents that crashed replicas, as the control host reports them to
+    /// operators.
     pub async fn contents(&self) -> CrashStore {
         let call =
             |client: ControlWireClient, context| async move { client.contents(context).await };
         self.link
-            .call_leader("contents", PATIENCE, call)
+            .call_leader("contents", MAX_WAIT, call)
             .await
             .unwrap()
     }
 
-    /// Lets a content be tried again. Returns whether it was barred.
+    /// Lifts the quarantine of a content. Returns whether it was quarantined.
     pub async fn lift(&self, content: ContentDigest) -> bool {
         let call = |client: ControlWireClient, context| async move {
             client
                 .propose(context, Command::ContentLifted(content))
                 .await
         };
-        let (_, reply) = self.link.call_leader("lift", PATIENCE, call).await.unwrap();
+        let (_, reply) = self.link.call_leader("lift", MAX_WAIT, call).await.unwrap();
         reply == Reply::Lifted(true)
     }
 
-    /// Starts a replica, and waits until the entry sends to it.
+    /// Starts a replica and waits until the first entry knows it.
     pub async fn add_replica(&mut self, name: &str, script: Vec<Behaviour>) {
         self.add("plain", name, BTreeMap::new(), script).await;
     }
 
-    /// Starts a replica that holds a model and answers by one event.
+    /// Starts a replica that holds a model and responds with one event.
     pub async fn add_model_replica(&mut self, name: &str, model: &str) {
         let models = BTreeMap::from([(ModelName::from(model), Default::default())]);
         self.add("llm", name, models, vec![Behaviour::Events(1); 9])
@@ -517,17 +518,17 @@
         let state = SharedReplica::default();
         state.borrow_mut().script = script.into();
         ntex::rt::spawn(serve_replica(listener, name.to_owned(), state.clone()));
-        // Heartbeats come again and again: one that met no quorum changes nothing.
-        answered("the entry to know the replica", async || {
-            let _ = past_quorum(self.registry.heartbeat(record.clone()).await)?;
+        // Heartbeats repeat, so one that no quorum took is simply sent again.
+        wait_for("the entry to know the replica", async || {
+            let _ = unless_no_quorum(self.registry.heartbeat(record.clone()).await)?;
             self.entries[0].knows(&ReplicaId::from(name)).then_some(())
         })
         .await;
         self.replicas.insert(name.to_owned(), (record, state));
     }
 
-    /// Has a replica accept no new connections, until it is opened again. Returns once its
-    /// listener is full.
+    /// Stops a replica from accepting connections until `open` is called. Returns the
+    /// connections that fill its listener's backlog.
     pub async fn shut(&self, name: &str) -> Vec<TcpStream> {
         let (record, state) = &self.replicas[name];
         state.borrow_mut().shut = true;
@@ -545,11 +546,11 @@
         self.replicas[name].1.borrow_mut().shut = false;
     }
 
-    pub fn seen(&self, name: &str) -> Vec<Seen> {
+    pub fn seen(&self, name: &str) -> Vec<ReceivedRequest> {
         self.replicas[name].1.borrow().seen.clone()
     }
 
-    /// Whether a connection was closed while the replica was at work on it.
+    /// Returns whether the entry closed a connection while the replica responded on it.
     pub fn closed(&self, name: &str) -> bool {
         self.replicas[name].1.borrow().closed
     }
@@ -557,11 +558,11 @@
     pub async fn drain(&self, name: &str) {
         let mut record = self.replicas[name].0.clone();
         record.phase = ReplicaPhase::Draining;
-        let told = async || past_quorum(self.registry.heartbeat(record.clone()).await);
-        answered("a quorum", told).await.unwrap();
+        let registered = async || unless_no_quorum(self.registry.heartbeat(record.clone()).await);
+        wait_for("a quorum", registered).await.unwrap();
     }
 
-    /// Ends the one control host: nothing newer is heard from then on.
+    /// Stops the only control host, so that entries receive no newer state.
     pub async fn stop_control(&self) {
         self.control.stop().await;
     }
@@ -570,7 +571,7 @@
         self.entries[0].stop().await;
     }
 
-    pub async fn ask(&self, method: &str, target: &str, id: &str, body: &str) -> Answer {
+    pub async fn send(&self, method: &str, target: &str, id: &str, body: &str) -> Response {
         let length = body.len();
         let text = format!(
             "{method} {target} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: {id}\r\n\
@@ -579,8 +580,8 @@
         self.send_raw(&text).await
     }
 
-    /// Posts to one of the entries.
-    pub async fn ask_at(&self, entry: usize, target: &str, id: &str, body: &str) -> Answer {
+    /// Sends a POST request to the given entry.
+    pub async fn send_at(&self, entry: usize, target: &str, id: &str, body: &str) -> Response {
         let length = body.len();
         let text = format!(
             "POST {target} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: {id}\r\n\
@@ -589,8 +590,8 @@
         self.send_raw_at(entry, &text).await
     }
 
-    /// Asks with a key, and with more lines of a head.
-    pub async fn ask_as(&self, target: &str, id: &str, key: &str, more: &str) -> Answer {
+    /// Sends a GET request with an API key and more header lines.
+    pub async fn send_as(&self, target: &str, id: &str, key: &str, more: &str) -> Response {
         let text = format!(
             "GET {target} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: {id}\r\n\
              Deadline-Ms: {TIMEOUT_MS}\r\nConnection: close\r\nAuthorization: Bearer {key}\r\n{more}\r\n"
@@ -598,43 +599,47 @@
         self.send_raw(&text).await
     }
 
-    /// Sends bytes on a connection of their own, and reads one answer.
-    pub async fn send_raw(&self, text: &str) -> Answer {
+    /// Sends bytes on a new connection and reads one response.
+    pub async fn send_raw(&self, text: &str) -> Response {
         self.send_raw_at(0, text).await
     }
 
-    async fn send_raw_at(&self, entry: usize, text: &str) -> Answer {
+    async fn send_raw_at(&self, entry: usize, text: &str) -> Response {
         let mut stream = TcpStream::connect(self.entries[entry].address)
             .await
             .unwrap();
         let _ = stream.write_all(text.as_bytes()).await;
         let mut bytes = Vec::new();
         let _ = stream.read_to_end(&mut bytes).await;
-        parse_answer(&bytes)
+        decode_response(&bytes)
     }
 
-    /// Opens a connection, sends nothing, and returns when it is closed.
+    /// Opens a connection, sends nothing, and returns once the entry closes it.
     pub async fn silent_connection(&self) {
         let mut stream = TcpStream::connect(self.entries[0].address).await.unwrap();
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest).await;
     }
 
-    /// Sends a request, waits for something, and leaves without an answer.
-    pub async fn send_and_leave(&self, text: &str, waits_for: impl AsyncFnMut() -> Option<()>) {
+    /// Sends a request, waits for a condition, and disconnects without reading the response.
+    pub async fn send_and_disconnect(
+        &self,
+        text: &str,
+        waits_for: impl AsyncFnMut() -> Option<()>,
+    ) {
         let mut stream = TcpStream::connect(self.entries[0].address).await.unwrap();
         stream.write_all(text.as_bytes()).await.unwrap();
-        answered("what is waited for", waits_for).await;
+        wait_for("the condition before the disconnect", waits_for).await;
     }
 
-    /// Sends a request and reads nothing, until something has come about.
-    pub async fn ask_without_reading(&self, target: &str, until: impl AsyncFnMut() -> Option<()>) {
+    /// Sends a request and reads nothing until a condition holds.
+    pub async fn send_without_reading(&self, target: &str, until: impl AsyncFnMut() -> Option<()>) {
         let text = format!("GET {target} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: idle\r\n\r\n");
-        self.send_and_leave(&text, until).await;
+        self.send_and_disconnect(&text, until).await;
     }
 
-    /// Sends a request, reads a first part of its answer, and leaves.
-    pub async fn ask_and_leave(&self, target: &str, id: &str) {
+    /// Sends a request, reads the first bytes of its response, and disconnects.
+    pub async fn read_part_and_disconnect(&self, target: &str, id: &str) {
         let mut stream = TcpStream::connect(self.entries[0].address).await.unwrap();
         let text = format!("GET {target} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: {id}\r\n\r\n");
         stream.write_all(text.as_bytes()).await.unwrap();
@@ -643,11 +648,11 @@
     }
 }
 
-fn parse_answer(bytes: &[u8]) -> Answer {
+fn decode_response(bytes: &[u8]) -> Response {
     let parsed = head::parse_response(bytes, "GET").unwrap();
-    let (head, len) = parsed.expect("a whole head");
+    let (head, len) = parsed.expect("a complete response head");
     let rest = &bytes[len..];
-    let (body, whole) = match head.framing {
+    let (body, complete) = match head.framing {
         Framing::Length(length) => (rest.to_vec(), rest.len() as u64 == length),
         Framing::Chunked => {
             let mut decoder = ChunkDecoder::default();
@@ -657,15 +662,15 @@
         }
         Framing::Close => (rest.to_vec(), true),
     };
-    Answer {
+    Response {
         status: head.status,
         headers: head.headers,
         body: String::from_utf8(body).unwrap(),
-        whole,
+        complete,
     }
 }
 
-/// A listener that is full with a few connections.
+/// Returns a listener with a backlog small enough for a test to fill.
 fn small_listener() -> TcpListener {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind(loopback()).unwrap();
@@ -694,24 +699,24 @@
             .unwrap_or(0);
         state.borrow_mut().seen.push(seen);
         let next = state.borrow_mut().script.pop_front();
-        let behaviour = next.unwrap_or(Behaviour::Answer(200, "unscripted"));
+        let behaviour = next.unwrap_or(Behaviour::Response(200, "unscripted"));
         if !behave(&mut stream, behaviour, &name, &id, last, &state).await {
             return;
         }
     }
 }
 
-async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Seen> {
+async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReceivedRequest> {
     loop {
         if let Some((head, len)) = head::parse_request(buffer).unwrap() {
             let Framing::Length(length) = head.framing else {
-                panic!("an entry sends bodies with a length");
+                panic!("an entry sent a request without Content-Length");
             };
             let end = len + length as usize;
             if buffer.len() >= end {
                 let body = String::from_utf8(buffer[len..end].to_vec()).unwrap();
                 buffer.drain(..end);
-                return Some(Seen {
+                return Some(ReceivedRequest {
                     at: Instant::now(),
                     method: head.method,
                     target: head.target,
@@ -726,7 +731,7 @@
     }
 }
 
-fn whole_answer(status: u16, name: &str, id: &str, body: &str, extra: &str) -> String {
+fn full_response(status: u16, name: &str, id: &str, body: &str, extra: &str) -> String {
     let length = body.len();
     format!(
         "HTTP/1.1 {status} Any\r\nRequest-Id: {id}\r\nStamp: {name}\r\nX-Other: kept\r\n\
@@ -735,7 +740,7 @@
 }
 
 fn refusal(name: &str, id: &str, line: &str) -> String {
-    whole_answer(503, name, id, "", &format!("Not-Executed: 1\r\n{line}"))
+    full_response(503, name, id, "", &format!("Not-Executed: 1\r\n{line}"))
 }
 
 fn event_chunks(from: u32, to: u32) -> String {
@@ -746,7 +751,7 @@
     (from..=to).map(event).collect()
 }
 
-/// Sends events without end. Returns once nobody takes them.
+/// Sends events until a write fails.
 async fn flood(stream: &mut TcpStream, head: &str) -> bool {
     let mut written = stream.write_all(head.as_bytes()).await;
     let mut number = 1;
@@ -758,7 +763,7 @@
     true
 }
 
-/// Returns whether the connection stays open.
+/// Sends the scripted response. Returns whether the connection stays open.
 async fn behave(
     stream: &mut TcpStream,
     behaviour: Behaviour,
@@ -771,10 +776,10 @@
         "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nStamp: {name}\r\nTransfer-Encoding: chunked\r\n\r\n"
     );
     let text = match behaviour {
-        Behaviour::Answer(status, body) => whole_answer(status, name, id, body, ""),
+        Behaviour::Response(status, body) => full_response(status, name, id, body, ""),
         Behaviour::Slow(millis, body) => {
             tokio::time::sleep(Duration::from_millis(millis)).await;
-            whole_answer(200, name, id, body, "")
+            full_response(200, name, id, body, "")
         }
         Behaviour::Unsigned => {
             format!("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 2\r\n\r\nhi")
@@ -785,22 +790,22 @@
             tokio::time::sleep(Duration::from_millis(millis)).await;
             refusal(name, id, line)
         }
-        Behaviour::Headed(status, line) => whole_answer(status, name, id, "well", line),
-        Behaviour::LeavingSurplus => {
-            whole_answer(200, name, "another", "not yours", LEAVING)
-                + &whole_answer(200, name, id, "yours", "")
+        Behaviour::Headed(status, line) => full_response(status, name, id, "well", line),
+        Behaviour::DrainingSurplus => {
+            full_response(200, name, "another", "not yours", DRAINING)
+                + &full_response(200, name, id, "yours", "")
         }
-        Behaviour::LeavingStream(count) => {
-            let head = stream_head.replacen("\r\n", &format!("\r\n{LEAVING}"), 1);
+        Behaviour::DrainingStream(count) => {
+            let head = stream_head.replacen("\r\n", &format!("\r\n{DRAINING}"), 1);
             head + &event_chunks(last + 1, count) + "0\r\n\r\n"
         }
         Behaviour::Close => return false,
         Behaviour::SurplusFirst(body) => {
-            let surplus = whole_answer(200, name, "another", "not yours", "");
-            surplus + &whole_answer(200, name, id, body, "")
+            let surplus = full_response(200, name, "another", "not yours", "");
+            surplus + &full_response(200, name, id, body, "")
         }
         Behaviour::SurplusAfter(body) => {
-            whole_answer(200, name, id, body, "") + &whole_answer(200, name, id, "again", "")
+            full_response(200, name, id, body, "") + &full_response(200, name, id, "again", "")
         }
         Behaviour::CutBody => {
             format!(
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -88,8 +88,8 @@
 mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.expires_ms \{/if now_ms == u64::MAX {/' quota what_is_held_lapses_and_what_did_not_run_is_given_back
 mutant doubled-ask-draws-twice src/table/quota.rs 's/let known = ask\.number <= newest\.0;/let known = false;/' quota a_doubled_ask_draws_once_and_a_late_answer_is_dropped
 mutant proof-without-age src/routing/freshness.rs 's/requested_ms\.saturating_sub\(proof\.age_ms\)/requested_ms/' accounts a_proof_counts_for_whoever_holds_its_version
-mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding where_nothing_newer_can_be_heard_no_key_is_obeyed_for_long
-mutant key-passed-on src/forward/request/wire_heads.rs 's/drop\.extend\(\[names\.key, names\.account\]\);//' forwarding a_key_stays_here_and_its_account_goes_on
+mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding no_key_is_accepted_for_long_without_newer_state
+mutant key-passed-on src/forward/request/wire_heads.rs 's/drop\.extend\(\[names\.key, names\.account\]\);//' forwarding an_api_key_is_not_forwarded_but_its_account_is
 mutant order-without-its-leader src/control/order_dispatcher.rs 's/\.ok_or\(CallError::NotLeader\)\?;/.unwrap_or(SendPermit { until_ms: u64::MAX });/' orderer an_order_leaves_only_while_its_leader_decides
 mutant renewal-waits-for-the-voter src/control/order_dispatcher.rs 's/tokio::time::timeout\(left, self\.request\(\)\)\.await/Ok::<_, ()>(self.request().await)/' orderer an_order_ends_with_its_permit_also_while_the_voter_is_held_up
 mutant order-closed-in-good-order src/forward/upstream.rs 's/\.and_then\(\|\(\)\| socket\.set_linger\(Some\(Duration::ZERO\)\)\)//' orderer an_order_that_is_given_up_leaves_nothing_on_its_way
@@ -109,13 +109,13 @@
 mutant one-end-counts-twice src/consensus/crashes.rs 's/ \&\& !record\.crashes\.contains\(\&report\.replica\)//' crashes the_third_end_bars_a_content_whoever_tells_of_each
 mutant turns-for-all src/placement/suspect_leases.rs 's/return SuspectLeaseReply::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
 mutant suspects-together src/placement/suspect_leases.rs 's/\*\*key != request\.content \&\& lease\.replica == request\.replica/**key != request.content \&\& false/' crashes suspects_are_kept_apart
-mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.incarnation\.id, connection\);\s+)Probe::Alive/$1Probe::Ended/' forwarding a_connection_that_breaks_off_is_no_crash
+mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.incarnation\.id, connection\);\s+)Probe::Alive/$1Probe::Ended/' forwarding a_broken_connection_is_not_a_crash
 mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.started_ms > known\.started_ms => HeartbeatStatus::New,\n//' replica_born a_new_life_is_heard_though_its_numbers_begin_anew
 mutant pause-not-kept src/routing/backoff.rs 's/peer if now_ms < peer\.until_ms => /peer if false \&\& now_ms < peer.until_ms => /' backoff a_named_time_brings_two_requests_at_most
 mutant trials-without-bound src/routing/backoff.rs 's/peer\.probes >= MAX_PROBES/false/' backoff a_named_time_brings_two_requests_at_most
 mutant crowd-after-a-pause src/routing/backoff.rs 's/peer\.limit = 1;/peer.limit = UNLIMITED_REQUESTS;/' backoff after_a_pause_one_request_goes_first
-mutant leaving-not-kept src/routing/backoff.rs 's/peer if peer\.is_draining\(incarnation\) => /peer if false \&\& peer.is_draining(incarnation) => /' forwarding a_replica_that_says_in_an_answer
-mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return AttemptOutcome::NotSent;\n            \}/Err(_) => None,/' forwarding a_request_whose_connection_was_slow
+mutant leaving-not-kept src/routing/backoff.rs 's/peer if peer\.is_draining\(incarnation\) => /peer if false \&\& peer.is_draining(incarnation) => /' forwarding draining_announced_in_a_response
+mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return AttemptOutcome::NotSent;\n            \}/Err(_) => None,/' forwarding a_request_with_a_slow_connection
 mutant refusals-not-kept src/entry/flight_steps.rs 's/state\.refusals\.record\([^;]*;//' overload a_home_that_refused_a_row
 limits=no_span_brings_more_than_a_replica_named
 mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(named_us\)/cold_us/' replica_limits $limits
