--- a/tests/forwarding/support/crashing.rs
+++ b/tests/forwarding/support/crashing.rs
@@ -111,10 +111,7 @@
 async fn run_incarnations(replica: Rc<CrashingReplica>, registry: Rc<Registry>) {
     loop {
         let address = replica.address.get().unwrap_or_else(loopback);
-        let listener = wait_for("the address", async || {
-            TcpListener::bind(address).await.ok()
-        })
-        .await;
+        let listener = wait_for("address", async || TcpListener::bind(address).await.ok()).await;
         replica.address.set(Some(listener.local_addr().unwrap()));
         replica.incarnation.set(replica.incarnation.get() + 1);
         register(&replica, &registry).await;
--- a/tests/fuzz/founding.rs
+++ b/tests/fuzz/founding.rs
@@ -1,6 +1,6 @@
-//! The naming of a founder under lost, late, doubled and reordered questions, tries that
-//! overlap or are given up, and named hosts that end at any step and come back knowing
-//! nothing: one name at most is ever agreed on.
+//! Paxos agreement on the bootstrap host under lost, late, duplicated and reordered messages,
+//! proposals that overlap or are given up, and acceptors that restart at any step without
+//! their state: at most one host is ever chosen.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,239 +9,261 @@
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-/// Hosts with a blank disk that ask to be named.
-const ASKERS: usize = 4;
-/// Most tries that are under way at once; older ones were given up.
-const MAX_TRIES: usize = 6;
-/// Tries without a fault until a majority must have agreed.
-const CALM_TRIES: usize = 3;
+/// Number of hosts with a blank disk that ask to be chosen.
+const CANDIDATES: usize = 4;
+/// Maximum number of concurrent proposals; older ones are given up.
+const MAX_PROPOSALS: usize = 6;
+/// Fault-free proposals within which a majority must have agreed.
+const FAULT_FREE_PROPOSALS: usize = 3;
 
 #[derive(Clone, Debug)]
-pub enum NamingStep {
-    /// A named host begins a try for a host that asked it.
-    Begin { relay: usize, asker: usize },
-    /// A question or an answer arrives; a doubled one may arrive again.
+pub enum PaxosStep {
+    /// An acceptor host starts a proposal for a candidate.
+    Begin { relay: usize, candidate: usize },
+    /// Delivers a message; with `double` it also stays in flight.
     Deliver { pick: usize, double: bool },
-    /// It is lost.
+    /// Loses a message.
     Lose { pick: usize },
-    /// A named host ends and comes back.
+    /// Restarts an acceptor without its state.
     Restart { relay: usize },
 }
 
-/// The number of named hosts, then steps that do not depend on the state.
-pub struct NamingScript;
+/// The state is the number of acceptors; steps do not depend on it.
+pub struct PaxosScript;
 
-impl ReferenceStateMachine for NamingScript {
+impl ReferenceStateMachine for PaxosScript {
     type State = usize;
-    type Transition = NamingStep;
+    type Transition = PaxosStep;
 
     fn init_state() -> BoxedStrategy<usize> {
         prop_oneof![1 => Just(1usize), 2 => Just(2usize), 6 => Just(3usize)].boxed()
     }
 
-    fn transitions(_: &usize) -> BoxedStrategy<NamingStep> {
+    fn transitions(_: &usize) -> BoxedStrategy<PaxosStep> {
         let picks = any::<usize>();
         prop_oneof![
-            3 => (0usize..3, 0..ASKERS)
-                .prop_map(|(relay, asker)| NamingStep::Begin { relay, asker }),
+            3 => (0usize..3, 0..CANDIDATES)
+                .prop_map(|(relay, candidate)| PaxosStep::Begin { relay, candidate }),
             14 => (picks, prop::bool::weighted(0.15))
-                .prop_map(|(pick, double)| NamingStep::Deliver { pick, double }),
-            1 => picks.prop_map(|pick| NamingStep::Lose { pick }),
-            1 => (0usize..3).prop_map(|relay| NamingStep::Restart { relay }),
+                .prop_map(|(pick, double)| PaxosStep::Deliver { pick, double }),
+            1 => picks.prop_map(|pick| PaxosStep::Lose { pick }),
+            1 => (0usize..3).prop_map(|relay| PaxosStep::Restart { relay }),
         ]
         .boxed()
     }
 
-    fn apply(state: usize, _: &NamingStep) -> usize {
+    fn apply(state: usize, _: &PaxosStep) -> usize {
         state
     }
 }
 
-/// What a named host waits for: the answers to one question.
-struct Try {
+/// One request that an acceptor host broadcast, with the replies so far.
+struct Proposal {
     relay: usize,
-    asker: HostName,
-    ask: PaxosRequest,
-    answers: BTreeMap<usize, PaxosReply>,
+    candidate: HostName,
+    request: PaxosRequest,
+    replies: BTreeMap<usize, PaxosReply>,
 }
 
 #[derive(Clone)]
-enum Letter {
-    Ask {
+enum Envelope {
+    Request {
         to: usize,
         number: usize,
-        ask: PaxosRequest,
+        request: PaxosRequest,
     },
-    Answer {
+    Reply {
         from: usize,
         number: usize,
-        answer: PaxosReply,
+        reply: PaxosReply,
     },
 }
 
-pub struct NamingWorld {
-    /// None after a restart.
-    books: Vec<Option<PaxosAcceptor>>,
-    /// By the number of the question.
-    tries: BTreeMap<usize, Try>,
+pub struct PaxosWorld {
+    /// `None` after a restart.
+    acceptors: Vec<Option<PaxosAcceptor>>,
+    /// Proposals by request number.
+    proposals: BTreeMap<usize, Proposal>,
     next: usize,
-    bag: Vec<Letter>,
-    agreed: BTreeSet<HostName>,
+    in_flight: Vec<Envelope>,
+    chosen: BTreeSet<HostName>,
 }
 
 fn host(kind: &str, number: usize) -> HostName {
     HostName(format!("{kind}{number}"))
 }
 
-impl NamingWorld {
+impl PaxosWorld {
     fn new(relays: usize) -> Self {
-        let named: BTreeSet<HostName> = (0..relays).map(|n| host("relay", n)).collect();
-        let book = |n| Some(PaxosAcceptor::new(named.clone(), Incarnation(n as u64)));
+        let hosts: BTreeSet<HostName> = (0..relays).map(|n| host("relay", n)).collect();
+        let acceptor = |n| Some(PaxosAcceptor::new(hosts.clone(), Incarnation(n as u64)));
         Self {
-            books: (0..relays).map(book).collect(),
-            tries: BTreeMap::new(),
+            acceptors: (0..relays).map(acceptor).collect(),
+            proposals: BTreeMap::new(),
             next: 0,
-            bag: Vec::new(),
-            agreed: BTreeSet::new(),
+            in_flight: Vec::new(),
+            chosen: BTreeSet::new(),
         }
     }
 
-    fn begin(&mut self, relay: usize, asker: usize) {
-        if let Some(book) = &mut self.books[relay] {
-            let ask = book.prepare();
-            self.ask_all(relay, host("asker", asker), ask);
+    fn begin(&mut self, relay: usize, candidate: usize) {
+        if let Some(acceptor) = &mut self.acceptors[relay] {
+            let request = acceptor.prepare();
+            self.broadcast(relay, host("asker", candidate), request);
         }
     }
 
-    fn ask_all(&mut self, relay: usize, asker: HostName, ask: PaxosRequest) {
+    fn broadcast(&mut self, relay: usize, candidate: HostName, request: PaxosRequest) {
         let number = self.next;
         self.next += 1;
-        for to in 0..self.books.len() {
-            let ask = ask.clone();
-            self.bag.push(Letter::Ask { to, number, ask });
+        for to in 0..self.acceptors.len() {
+            let request = request.clone();
+            self.in_flight.push(Envelope::Request {
+                to,
+                number,
+                request,
+            });
         }
-        let begun = Try {
+        let proposal = Proposal {
             relay,
-            asker,
-            ask,
-            answers: BTreeMap::new(),
+            candidate,
+            request,
+            replies: BTreeMap::new(),
         };
-        self.tries.insert(number, begun);
-        while self.tries.len() > MAX_TRIES {
-            self.tries.pop_first();
+        self.proposals.insert(number, proposal);
+        while self.proposals.len() > MAX_PROPOSALS {
+            self.proposals.pop_first();
         }
     }
 
     fn restart(&mut self, relay: usize) {
-        self.books[relay] = None;
-        self.tries.retain(|_, begun| begun.relay != relay);
+        self.acceptors[relay] = None;
+        self.proposals.retain(|_, proposal| proposal.relay != relay);
     }
 
-    fn deliver(&mut self, letter: Letter) {
-        match letter {
-            Letter::Ask { to, number, ask } => {
-                let book = self.books[to].as_mut();
-                let answer = book.map_or(PaxosReply::Abstained, |book| book.respond(&ask));
+    fn deliver(&mut self, envelope: Envelope) {
+        match envelope {
+            Envelope::Request {
+                to,
+                number,
+                request,
+            } => {
+                let acceptor = self.acceptors[to].as_mut();
+                let reply =
+                    acceptor.map_or(PaxosReply::Abstained, |acceptor| acceptor.respond(&request));
                 let from = to;
-                self.bag.push(Letter::Answer {
+                self.in_flight.push(Envelope::Reply {
                     from,
                     number,
-                    answer,
+                    reply,
                 });
             }
-            Letter::Answer {
+            Envelope::Reply {
                 from,
                 number,
-                answer,
+                reply,
             } => {
-                if let Some(begun) = self.tries.get_mut(&number) {
-                    begun.answers.entry(from).or_insert(answer);
-                    self.go_on(number);
+                if let Some(proposal) = self.proposals.get_mut(&number) {
+                    proposal.replies.entry(from).or_insert(reply);
+                    self.advance(number);
                 }
             }
         }
     }
 
-    /// Whoever asked acts as soon as a majority has granted: the rest may be lost.
-    fn go_on(&mut self, number: usize) {
-        let begun = &self.tries[&number];
-        let answers: Vec<PaxosReply> = begun.answers.values().cloned().collect();
-        let Some(book) = &mut self.books[begun.relay] else {
+    /// Takes the next step of a proposal once a majority has granted its request; further
+    /// replies are not waited for, as they may be lost.
+    fn advance(&mut self, number: usize) {
+        let proposal = &self.proposals[&number];
+        let replies: Vec<PaxosReply> = proposal.replies.values().cloned().collect();
+        let Some(acceptor) = &mut self.acceptors[proposal.relay] else {
             return;
         };
-        if !book.has_majority(&answers) {
+        if !acceptor.has_majority(&replies) {
             return;
         }
-        let begun = self.tries.remove(&number).unwrap();
-        match begun.ask.value.clone() {
+        let proposal = self.proposals.remove(&number).unwrap();
+        match proposal.request.value.clone() {
             None => {
-                let name = paxos::value_to_accept(&answers, &begun.asker);
-                self.ask_all(begun.relay, begun.asker, begun.ask.accept(name));
+                let value = paxos::value_to_accept(&replies, &proposal.candidate);
+                self.broadcast(
+                    proposal.relay,
+                    proposal.candidate,
+                    proposal.request.accept(value),
+                );
             }
-            Some(name) => {
-                self.agreed.insert(name);
-                assert!(self.agreed.len() <= 1, "two founders: {:?}", self.agreed);
+            Some(value) => {
+                self.chosen.insert(value);
+                assert!(
+                    self.chosen.len() <= 1,
+                    "two bootstrap hosts: {:?}",
+                    self.chosen
+                );
             }
         }
     }
 
-    /// Everything arrives, in order.
-    fn calm(&mut self) {
-        while !self.bag.is_empty() {
-            let letter = self.bag.remove(0);
-            self.deliver(letter);
+    /// Delivers all messages in order.
+    fn run_fault_free(&mut self) {
+        while !self.in_flight.is_empty() {
+            let envelope = self.in_flight.remove(0);
+            self.deliver(envelope);
         }
     }
 }
 
-pub struct NamingTest;
+pub struct PaxosTest;
 
-impl StateMachineTest for NamingTest {
-    type SystemUnderTest = NamingWorld;
-    type Reference = NamingScript;
+impl StateMachineTest for PaxosTest {
+    type SystemUnderTest = PaxosWorld;
+    type Reference = PaxosScript;
 
-    fn init_test(relays: &usize) -> NamingWorld {
-        NamingWorld::new(*relays)
+    fn init_test(relays: &usize) -> PaxosWorld {
+        PaxosWorld::new(*relays)
     }
 
-    fn apply(mut world: NamingWorld, _: &usize, step: NamingStep) -> NamingWorld {
-        let relays = world.books.len();
+    fn apply(mut world: PaxosWorld, _: &usize, step: PaxosStep) -> PaxosWorld {
+        let relays = world.acceptors.len();
         match step {
-            NamingStep::Begin { relay, asker } => world.begin(relay % relays, asker),
-            NamingStep::Deliver { pick, double } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
-                let letter = match double {
-                    true => world.bag[at].clone(),
-                    false => world.bag.swap_remove(at),
+            PaxosStep::Begin { relay, candidate } => world.begin(relay % relays, candidate),
+            PaxosStep::Deliver { pick, double } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
+                let envelope = match double {
+                    true => world.in_flight[at].clone(),
+                    false => world.in_flight.swap_remove(at),
                 };
-                world.deliver(letter);
+                world.deliver(envelope);
             }
-            NamingStep::Lose { pick } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
-                world.bag.swap_remove(at);
+            PaxosStep::Lose { pick } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
+                world.in_flight.swap_remove(at);
             }
-            NamingStep::Deliver { .. } | NamingStep::Lose { .. } => {}
-            NamingStep::Restart { relay } => world.restart(relay % relays),
+            PaxosStep::Deliver { .. } | PaxosStep::Lose { .. } => {}
+            PaxosStep::Restart { relay } => world.restart(relay % relays),
         }
         world
     }
 
-    fn teardown(mut world: NamingWorld, _: usize) {
-        world.calm();
-        let open: Vec<usize> = (0..world.books.len())
-            .filter(|relay| world.books[*relay].is_some())
+    fn teardown(mut world: PaxosWorld, _: usize) {
+        world.run_fault_free();
+        let open: Vec<usize> = (0..world.acceptors.len())
+            .filter(|relay| world.acceptors[*relay].is_some())
             .collect();
-        if open.len() * 2 <= world.books.len() {
+        if open.len() * 2 <= world.acceptors.len() {
             return;
         }
-        // With a majority that remembers, whoever asks is told.
+        // With a majority of acceptors that kept their state, proposals succeed.
         for relay in open {
-            for _ in 0..CALM_TRIES {
+            for _ in 0..FAULT_FREE_PROPOSALS {
                 world.begin(relay, 0);
-                world.calm();
+                world.run_fault_free();
             }
         }
-        assert_eq!(world.agreed.len(), 1, "no founder after all faults ended");
+        assert_eq!(
+            world.chosen.len(),
+            1,
+            "no bootstrap host after all faults ended"
+        );
     }
 }
 
@@ -249,5 +271,5 @@
     #![proptest_config(super::config(4000))]
 
     #[test]
-    fn one_founder_at_most_is_named(sequential 1..80 => NamingTest);
+    fn at_most_one_bootstrap_host_is_chosen(sequential 1..80 => PaxosTest);
 }
--- a/tests/fuzz/gate.rs
+++ b/tests/fuzz/gate.rs
@@ -1,5 +1,6 @@
-//! Requests, agents and engines under lost, late, doubled and reordered calls,
-//! crashes and freezes of each, and late orders of agents and leaders replaced.
+//! Requests, agents and engines under lost, late, duplicated and reordered calls, crashes of
+//! entries, agents and engines, freezes of agents, and late orders and plans of replaced agents
+//! and leaders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,13 +17,13 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
 const TARGETS: usize = 2;
-const CAPACITY: u64 = 100;
+const CAPACITY_MIB: u64 = 100;
 const MODELS: [(&str, u64); 3] = [("a", 40), ("b", 40), ("c", 30)];
-const KV: u64 = 15;
+const KV_MIB: u64 = 15;
 const LEASE_MS: u64 = 100;
-/// No call to an engine that does not check orders comes later than this.
-const LATE_MS: u64 = 60;
-const CALL_MS: u64 = 30;
+/// Longest delay of a call to an engine that does not check orders, in milliseconds.
+const MAX_CALL_DELAY_MS: u64 = 60;
+const CALL_TIMEOUT_MS: u64 = 30;
 const PIECES: u32 = 10;
 
 #[derive(Clone, Debug)]
@@ -38,23 +39,23 @@
     Wait {
         ms: u64,
     },
-    Calm {
+    FaultFree {
         rounds: usize,
     },
     Submit {
         model: usize,
         key: Option<usize>,
         target: usize,
-        old_life: bool,
+        old_incarnation: bool,
     },
-    /// A flight's call is not answered in time.
+    /// A call of a request gets no reply in time.
     Timeout {
         pick: usize,
     },
-    Patience {
+    DeadlinePassed {
         pick: usize,
     },
-    /// The entry dies with all its flights.
+    /// The entry crashes and drops all its requests.
     CrashEntry,
     CutStream {
         pick: usize,
@@ -62,7 +63,7 @@
     CrashAgent {
         target: usize,
     },
-    /// The agent stops in silence, and another takes its place.
+    /// The agent freezes, and another one starts in its place.
     FreezeAgent {
         target: usize,
     },
@@ -76,15 +77,15 @@
         target: usize,
         want: usize,
     },
-    /// A leader replaced long ago is heard again.
+    /// A plan of a replaced leader arrives late.
     OldPlan {
         target: usize,
         pick: usize,
     },
-    Leave {
+    Drain {
         target: usize,
     },
-    /// The next claim's answer is lost, before or after it was recorded.
+    /// The next call on a claim gets no reply; with `recorded` it took effect.
     LoseClaim {
         recorded: bool,
     },
@@ -98,12 +99,12 @@
             .prop_map(|(pick, double)| Step::Deliver { pick, double }),
         3 => (any::<usize>(), any::<bool>()).prop_map(|(pick, late)| Step::Lose { pick, late }),
         2 => (1u64..80).prop_map(|ms| Step::Wait { ms }),
-        5 => (1usize..10).prop_map(|rounds| Step::Calm { rounds }),
+        5 => (1usize..10).prop_map(|rounds| Step::FaultFree { rounds }),
         6 => (0..MODELS.len(), key, target.clone(), prop::bool::weighted(0.1)).prop_map(
-            |(model, key, target, old_life)| Step::Submit { model, key, target, old_life }
+            |(model, key, target, old_incarnation)| Step::Submit { model, key, target, old_incarnation }
         ),
         2 => any::<usize>().prop_map(|pick| Step::Timeout { pick }),
-        1 => any::<usize>().prop_map(|pick| Step::Patience { pick }),
+        1 => any::<usize>().prop_map(|pick| Step::DeadlinePassed { pick }),
         1 => Just(Step::CrashEntry),
         2 => any::<usize>().prop_map(|pick| Step::CutStream { pick }),
         1 => target.clone().prop_map(|target| Step::CrashAgent { target }),
@@ -113,18 +114,18 @@
         4 => (target.clone(), 0usize..8).prop_map(|(target, want)| Step::Plan { target, want }),
         1 => (target.clone(), any::<usize>())
             .prop_map(|(target, pick)| Step::OldPlan { target, pick }),
-        1 => target.prop_map(|target| Step::Leave { target }),
+        1 => target.prop_map(|target| Step::Drain { target }),
         1 => any::<bool>().prop_map(|recorded| Step::LoseClaim { recorded }),
     ]
 }
 
-pub struct GateScript;
+pub struct AdmissionScript;
 
-impl ReferenceStateMachine for GateScript {
+impl ReferenceStateMachine for AdmissionScript {
     type State = bool;
     type Transition = Step;
 
-    /// Whether the first engine checks who orders it; the second never does.
+    /// Draws whether the first engine checks fences of orders; the second never does.
     fn init_state() -> BoxedStrategy<bool> {
         any::<bool>().boxed()
     }
@@ -144,7 +145,8 @@
     live: bool,
 }
 
-/// The plainest engine: takes what comes, and is checked at every step.
+/// A simple engine whose memory use is checked at every step. With `checks` it ignores stale
+/// orders.
 #[derive(Default)]
 struct FakeEngine {
     checks: bool,
@@ -205,7 +207,7 @@
         }
     }
 
-    fn go_on(&mut self) {
+    fn make_progress(&mut self) {
         for info in self.resident.values_mut() {
             info.ready = true;
         }
@@ -217,7 +219,7 @@
 }
 
 struct Agent {
-    gate: AdmissionController,
+    controller: AdmissionController,
     order: Option<(EngineOrder, u64)>,
     report: Option<u64>,
 }
@@ -234,87 +236,87 @@
 enum Message {
     ToAgent {
         target: usize,
-        flight: usize,
+        request: usize,
         number: u64,
         call: Call,
     },
-    ToFlight {
-        flight: usize,
+    ToRequest {
+        request: usize,
         number: u64,
-        word: AttemptStatus,
+        status: AttemptStatus,
     },
     Order {
         target: usize,
-        life: Incarnation,
+        incarnation: Incarnation,
         order: EngineOrder,
         sent: u64,
         late: bool,
     },
     Run {
         target: usize,
-        life: Incarnation,
+        incarnation: Incarnation,
         run: RunDispatch,
         sent: u64,
         late: bool,
     },
-    AskReport {
+    ReportRequest {
         target: usize,
-        life: Incarnation,
-        asked: u64,
+        incarnation: Incarnation,
+        requested_at: u64,
     },
     Report {
         target: usize,
-        life: Incarnation,
-        asked: u64,
+        incarnation: Incarnation,
+        requested_at: u64,
         report: EngineReport,
     },
 }
 
 struct Stream {
     target: usize,
-    life: Incarnation,
+    incarnation: Incarnation,
     attempt: AttemptId,
     next: u32,
-    /// Closed, but its frozen agent has not seen that yet.
+    /// Whether it closed while its agent was frozen and has not seen that yet.
     cut: bool,
 }
 
-struct Flying {
-    flight: RequestLifecycle,
+struct ActiveRequest {
+    lifecycle: RequestLifecycle,
     model: usize,
     key: Option<usize>,
     prompt: String,
     target: usize,
-    old_life: bool,
+    old_incarnation: bool,
     number: u64,
-    asked: u64,
+    requested_at: u64,
     waiting: bool,
-    trials: BTreeSet<AttemptId>,
+    attempts: BTreeSet<AttemptId>,
     pieces: Vec<String>,
     outcome: Option<RequestOutcome>,
     dropped: bool,
 }
 
-pub struct GateWorld {
+pub struct AdmissionWorld {
     now: u64,
     engines: Vec<FakeEngine>,
     agents: Vec<Vec<Agent>>,
     frozen: Vec<BTreeSet<Incarnation>>,
-    lives: Vec<Vec<Incarnation>>,
+    incarnations: Vec<Vec<Incarnation>>,
     plans: Vec<Vec<TargetPlan>>,
-    bag: Vec<Message>,
+    in_flight: Vec<Message>,
     streams: Vec<Stream>,
-    flights: Vec<Flying>,
+    requests: Vec<ActiveRequest>,
     claims: ClaimStore,
-    next_life: u64,
+    next_incarnation: u64,
     next_attempt: u64,
     entry: Incarnation,
     position: u64,
     lose_claim: Option<bool>,
-    /// Starts of each attempt and of each prompt, over all engines.
-    ran: BTreeMap<AttemptId, u32>,
-    prompts: BTreeMap<String, u32>,
-    told_not_run: BTreeSet<AttemptId>,
+    /// Number of starts of each attempt, and below of each prompt, over all engines.
+    attempt_starts: BTreeMap<AttemptId, u32>,
+    prompt_starts: BTreeMap<String, u32>,
+    reported_not_run: BTreeSet<AttemptId>,
 }
 
 fn piece(prompt: &str, index: u32) -> String {
@@ -323,7 +325,7 @@
 
 fn policy(check: OrderCheck) -> AdmissionPolicy {
     AdmissionPolicy {
-        capacity_mib: CAPACITY,
+        capacity_mib: CAPACITY_MIB,
         check,
         lease_ms: LEASE_MS,
         queue: QueuePolicy {
@@ -336,7 +338,7 @@
     }
 }
 
-impl GateWorld {
+impl AdmissionWorld {
     fn new(checks: bool) -> Self {
         let engine = |checks| FakeEngine {
             checks,
@@ -348,20 +350,20 @@
             engines: vec![engine(checks), engine(false)],
             agents: vec![Vec::new(), Vec::new()],
             frozen: vec![BTreeSet::new(); TARGETS],
-            lives: vec![Vec::new(); TARGETS],
+            incarnations: vec![Vec::new(); TARGETS],
             plans: vec![Vec::new(); TARGETS],
-            bag: Vec::new(),
+            in_flight: Vec::new(),
             streams: Vec::new(),
-            flights: Vec::new(),
+            requests: Vec::new(),
             claims: ClaimStore::default(),
-            next_life: 1,
+            next_incarnation: 1,
             next_attempt: 1,
             entry: Incarnation(1),
             position: 1,
             lose_claim: None,
-            ran: BTreeMap::new(),
-            prompts: BTreeMap::new(),
-            told_not_run: BTreeSet::new(),
+            attempt_starts: BTreeMap::new(),
+            prompt_starts: BTreeMap::new(),
+            reported_not_run: BTreeSet::new(),
         };
         for target in 0..TARGETS {
             world.start_agent(target);
@@ -371,33 +373,34 @@
     }
 
     fn start_agent(&mut self, target: usize) {
-        self.next_life += 1;
-        let life = Incarnation(self.next_life);
+        self.next_incarnation += 1;
+        let incarnation = Incarnation(self.next_incarnation);
         let check = match self.engines[target].checks {
             true => OrderCheck::Fenced,
-            false => OrderCheck::LateBound(LATE_MS),
+            false => OrderCheck::LateBound(MAX_CALL_DELAY_MS),
         };
-        let gate = AdmissionController::new(life, policy(check), BTreeSet::new(), self.now);
-        self.lives[target].push(life);
+        let controller =
+            AdmissionController::new(incarnation, policy(check), BTreeSet::new(), self.now);
+        self.incarnations[target].push(incarnation);
         self.agents[target].push(Agent {
-            gate,
+            controller,
             order: None,
             report: None,
         });
     }
 
-    fn agent(&mut self, target: usize, life: Incarnation) -> Option<&mut Agent> {
-        if self.frozen[target].contains(&life) {
+    fn agent(&mut self, target: usize, incarnation: Incarnation) -> Option<&mut Agent> {
+        if self.frozen[target].contains(&incarnation) {
             return None;
         }
         let agents = self.agents[target].iter_mut();
         agents
             .into_iter()
-            .find(|agent| agent.gate.incarnation() == life)
+            .find(|agent| agent.controller.incarnation() == incarnation)
     }
 
     fn newest(&self, target: usize) -> Incarnation {
-        *self.lives[target].last().unwrap()
+        *self.incarnations[target].last().unwrap()
     }
 
     fn plan(&mut self, target: usize, want: usize) {
@@ -415,24 +418,24 @@
             lease_ms: LEASE_MS,
         };
         self.plans[target].push(plan.clone());
-        let (now, life) = (self.now, plan.incarnation);
-        if let Some(agent) = self.agent(target, life) {
-            agent.gate.on_plan(now, plan);
+        let (now, incarnation) = (self.now, plan.incarnation);
+        if let Some(agent) = self.agent(target, incarnation) {
+            agent.controller.on_plan(now, plan);
         }
     }
 
-    /// The newest plan again: what a beat brings.
-    fn beat(&mut self, target: usize) {
-        let life = self.newest(target);
+    /// Applies the newest plan again, as the leader does on a heartbeat.
+    fn resend_plan(&mut self, target: usize) {
+        let incarnation = self.newest(target);
         let now = self.now;
         let Some(mut plan) = self.plans[target].last().cloned() else {
             return;
         };
-        let known = plan.incarnation == life;
-        plan.incarnation = life;
+        let known = plan.incarnation == incarnation;
+        plan.incarnation = incarnation;
         plan.desired_models = plan.desired_models.filter(|_| known);
-        if let Some(agent) = self.agent(target, life) {
-            agent.gate.on_plan(now, plan);
+        if let Some(agent) = self.agent(target, incarnation) {
+            agent.controller.on_plan(now, plan);
         }
     }
 
@@ -441,81 +444,87 @@
         let frozen = self.frozen[target].clone();
         let mut sent = Vec::new();
         for agent in &mut self.agents[target] {
-            let life = agent.gate.incarnation();
-            if frozen.contains(&life) {
+            let incarnation = agent.controller.incarnation();
+            if frozen.contains(&incarnation) {
                 continue;
             }
-            while let Some(run) = agent.gate.next_run(now) {
+            while let Some(run) = agent.controller.next_run(now) {
                 sent.push(Message::Run {
                     target,
-                    life,
+                    incarnation,
                     run,
                     sent: now,
                     late: false,
                 });
             }
-            if let Some(order) = agent.gate.next_order(now) {
+            if let Some(order) = agent.controller.next_order(now) {
                 agent.order = Some((order.clone(), now));
                 sent.push(Message::Order {
                     target,
-                    life,
+                    incarnation,
                     order,
                     sent: now,
                     late: false,
                 });
             }
-            if agent.report.is_none_or(|asked| asked + CALL_MS < now) {
+            if agent
+                .report
+                .is_none_or(|requested_at| requested_at + CALL_TIMEOUT_MS < now)
+            {
                 agent.report = Some(now);
-                sent.push(Message::AskReport {
+                sent.push(Message::ReportRequest {
                     target,
-                    life,
-                    asked: now,
+                    incarnation,
+                    requested_at: now,
                 });
             }
         }
-        self.bag.append(&mut sent);
+        self.in_flight.append(&mut sent);
     }
 
-    /// Calls that were not answered in time.
-    fn time_out(&mut self) {
+    /// Ends calls that got no reply in time.
+    fn expire_calls(&mut self) {
         let now = self.now;
         let mut lost = Vec::new();
         for (target, agents) in self.agents.iter_mut().enumerate() {
             for agent in agents {
-                let life = agent.gate.incarnation();
-                let thawed = !self.frozen[target].contains(&life);
-                let due = |(_, sent): &mut (EngineOrder, u64)| thawed && *sent + CALL_MS < now;
+                let incarnation = agent.controller.incarnation();
+                let thawed = !self.frozen[target].contains(&incarnation);
+                let due =
+                    |(_, sent): &mut (EngineOrder, u64)| thawed && *sent + CALL_TIMEOUT_MS < now;
                 if let Some((order, _)) = agent.order.take_if(due) {
-                    agent.gate.order_closed(now, &order);
+                    agent.controller.order_closed(now, &order);
                     lost.push(order.seq);
                 }
             }
         }
-        for message in &mut self.bag {
+        for message in &mut self.in_flight {
             if let Message::Order { order, late, .. } = message {
                 *late |= lost.contains(&order.seq);
             }
         }
-        for at in 0..self.flights.len() {
-            if self.flights[at].waiting && self.flights[at].asked + 2 * CALL_MS < now {
+        for at in 0..self.requests.len() {
+            if self.requests[at].waiting
+                && self.requests[at].requested_at + 2 * CALL_TIMEOUT_MS < now
+            {
                 self.event(at, RequestEvent::NoReply);
             }
         }
     }
 
-    fn calm(&mut self, rounds: usize) {
+    fn run_fault_free(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.now += 10;
-            self.time_out();
+            self.expire_calls();
             for target in 0..TARGETS {
-                self.beat(target);
+                self.resend_plan(target);
                 self.pump(target);
             }
-            for message in std::mem::take(&mut self.bag) {
+            for message in std::mem::take(&mut self.in_flight) {
                 self.deliver(message);
             }
             for target in 0..TARGETS {
-                self.engines[target].go_on();
+                self.engines[target].make_progress();
             }
             self.read_streams();
             self.check();
@@ -536,22 +545,22 @@
             let (from, to) = (stream.next, run.pieces);
             let whole = run.call.given + run.pieces >= run.call.max_tokens;
             let (live, prompt, given) = (run.live, run.call.prompt.clone(), run.call.given);
-            let Some(agent) = self.agent(stream.target, stream.life) else {
+            let Some(agent) = self.agent(stream.target, stream.incarnation) else {
                 self.streams.push(stream);
                 continue;
             };
-            // A resumed stream repeats the last piece.
+            // A resumed stream repeats its last piece.
             for index in from.saturating_sub(1)..to {
                 let text = piece(&prompt, given + index);
                 agent
-                    .gate
+                    .controller
                     .on_run_event(now, stream.attempt, RunEvent::Piece { index, text });
             }
             stream.next = to;
             match (whole, live) {
                 (true, _) => {
                     agent
-                        .gate
+                        .controller
                         .on_run_event(now, stream.attempt, RunEvent::Ended);
                 }
                 (false, true) => self.streams.push(stream),
@@ -562,14 +571,14 @@
 
     fn lose_stream(&mut self, stream: Stream) {
         let now = self.now;
-        let (target, life, attempt) = (stream.target, stream.life, stream.attempt);
-        let Some(agent) = self.agent(target, life) else {
+        let (target, incarnation, attempt) = (stream.target, stream.incarnation, stream.attempt);
+        let Some(agent) = self.agent(target, incarnation) else {
             return self.streams.push(Stream {
                 cut: true,
                 ..stream
             });
         };
-        let Some(from) = agent.gate.on_run_event(now, attempt, RunEvent::Lost) else {
+        let Some(from) = agent.controller.on_run_event(now, attempt, RunEvent::Lost) else {
             return;
         };
         let known = self.engines[target]
@@ -579,14 +588,16 @@
         match known {
             true => self.streams.push(Stream {
                 target,
-                life,
+                incarnation,
                 attempt,
                 next: from,
                 cut: false,
             }),
             false => {
-                if let Some(agent) = self.agent(target, life) {
-                    agent.gate.on_run_event(now, attempt, RunEvent::Refused);
+                if let Some(agent) = self.agent(target, incarnation) {
+                    agent
+                        .controller
+                        .on_run_event(now, attempt, RunEvent::Refused);
                 }
             }
         }
@@ -597,102 +608,102 @@
         match message {
             Message::ToAgent {
                 target,
-                flight,
+                request,
                 number,
                 call,
             } => {
-                let life = match &call {
-                    Call::Start(ask) => ask.incarnation,
-                    Call::Pull(_, life, _) | Call::Seal(_, life) => *life,
+                let incarnation = match &call {
+                    Call::Start(run_request) => run_request.incarnation,
+                    Call::Pull(_, incarnation, _) | Call::Seal(_, incarnation) => *incarnation,
                     Call::Cancel(_) => self.newest(target),
                 };
-                // A call goes to the address of that life, or of the newest one.
+                // A call goes to the address of that incarnation, or of the newest one.
                 let address = match self.agents[target]
                     .iter()
-                    .any(|a| a.gate.incarnation() == life)
+                    .any(|a| a.controller.incarnation() == incarnation)
                 {
-                    true => life,
+                    true => incarnation,
                     false => self.newest(target),
                 };
                 let Some(agent) = self.agent(target, address) else {
                     return;
                 };
-                let word = match call {
-                    Call::Start(ask) => agent.gate.start(now, ask),
-                    Call::Pull(attempt, life, from) => agent.gate.pull(now, attempt, life, from),
-                    Call::Seal(attempt, life) => agent.gate.seal(now, attempt, life),
+                let status = match call {
+                    Call::Start(run_request) => agent.controller.start(now, run_request),
+                    Call::Pull(id, owner, from) => agent.controller.pull(now, id, owner, from),
+                    Call::Seal(id, owner) => agent.controller.seal(now, id, owner),
                     Call::Cancel(attempt) => {
-                        if agent.gate.cancel(now, attempt) {
+                        if agent.controller.cancel(now, attempt) {
                             self.cancel_run(target, address, attempt);
                         }
                         return;
                     }
                 };
-                self.bag.push(Message::ToFlight {
-                    flight,
+                self.in_flight.push(Message::ToRequest {
+                    request,
                     number,
-                    word,
+                    status,
                 });
             }
-            Message::ToFlight {
-                flight,
+            Message::ToRequest {
+                request,
                 number,
-                word,
+                status,
             } => {
-                let known = &self.flights[flight];
+                let known = &self.requests[request];
                 if known.waiting && known.number == number {
-                    self.event(flight, RequestEvent::Status(word));
+                    self.event(request, RequestEvent::Status(status));
                 }
             }
             Message::Order {
                 target,
-                life,
+                incarnation,
                 order,
                 sent,
                 late,
             } => {
-                if !self.engines[target].checks && sent + LATE_MS < now {
+                if !self.engines[target].checks && sent + MAX_CALL_DELAY_MS < now {
                     return;
                 }
                 self.engines[target].order(&order);
                 self.check();
-                if let Some(agent) = self.agent(target, life).filter(|_| !late)
+                if let Some(agent) = self.agent(target, incarnation).filter(|_| !late)
                     && agent.order.take().is_some()
                 {
-                    agent.gate.order_closed(now, &order);
+                    agent.controller.order_closed(now, &order);
                 }
             }
             Message::Run {
                 target,
-                life,
+                incarnation,
                 run,
                 sent,
                 late,
-            } => self.deliver_run(target, life, run, sent, late),
-            Message::AskReport {
+            } => self.deliver_run(target, incarnation, run, sent, late),
+            Message::ReportRequest {
                 target,
-                life,
-                asked,
+                incarnation,
+                requested_at,
             } => {
                 let report = self.engines[target].report();
-                self.bag.push(Message::Report {
+                self.in_flight.push(Message::Report {
                     target,
-                    life,
-                    asked,
+                    incarnation,
+                    requested_at,
                     report,
                 });
             }
             Message::Report {
                 target,
-                life,
-                asked,
+                incarnation,
+                requested_at,
                 report,
             } => {
-                if let Some(agent) = self.agent(target, life)
-                    && agent.report == Some(asked)
+                if let Some(agent) = self.agent(target, incarnation)
+                    && agent.report == Some(requested_at)
                 {
                     agent.report = None;
-                    agent.gate.on_report(&report, asked);
+                    agent.controller.on_report(&report, requested_at);
                 }
             }
         }
@@ -701,7 +712,7 @@
     fn deliver_run(
         &mut self,
         target: usize,
-        life: Incarnation,
+        incarnation: Incarnation,
         run: RunDispatch,
         sent: u64,
         late: bool,
@@ -709,13 +720,13 @@
         let now = self.now;
         let stream = Stream {
             target,
-            life,
+            incarnation,
             attempt: run.attempt,
             next: 0,
             cut: false,
         };
         let engine = &mut self.engines[target];
-        if !engine.checks && sent + LATE_MS < now {
+        if !engine.checks && sent + MAX_CALL_DELAY_MS < now {
             if !late {
                 self.lose_stream(stream);
             }
@@ -727,12 +738,15 @@
             .is_some_and(|info| info.ready);
         let stale = run.fence < engine.run_fence || run.boot != engine.boot;
         let fenced = engine.checks && stale;
-        // It knows a run again only while it goes on.
+        // The engine recognizes a repeated attempt only while it runs.
         let known = engine.runs.get(&run.attempt).is_some_and(|run| run.live);
         let accepted = ready && !fenced && !known;
         if accepted {
-            *self.ran.entry(run.attempt).or_default() += 1;
-            *self.prompts.entry(run.call.prompt.clone()).or_default() += 1;
+            *self.attempt_starts.entry(run.attempt).or_default() += 1;
+            *self
+                .prompt_starts
+                .entry(run.call.prompt.clone())
+                .or_default() += 1;
             let fresh = Run {
                 call: run.call.clone(),
                 pieces: 0,
@@ -740,13 +754,13 @@
             };
             engine.runs.insert(run.attempt, fresh);
             assert!(
-                !self.told_not_run.contains(&run.attempt),
-                "ran after its caller was told that it did not run"
+                !self.reported_not_run.contains(&run.attempt),
+                "an attempt ran after it was reported as not run"
             );
             self.check();
         }
-        let frozen = self.frozen[target].contains(&life);
-        let alive = self.agent(target, life).is_some();
+        let frozen = self.frozen[target].contains(&incarnation);
+        let alive = self.agent(target, incarnation).is_some();
         if late || !(frozen || alive) {
             return;
         }
@@ -756,56 +770,60 @@
                 ..stream
             }),
             false => {
-                if let Some(agent) = self.agent(target, life) {
-                    agent.gate.on_run_event(now, run.attempt, RunEvent::Refused);
+                if let Some(agent) = self.agent(target, incarnation) {
+                    agent
+                        .controller
+                        .on_run_event(now, run.attempt, RunEvent::Refused);
                 }
             }
         }
     }
 
-    fn cancel_run(&mut self, target: usize, life: Incarnation, attempt: AttemptId) {
+    fn cancel_run(&mut self, target: usize, incarnation: Incarnation, attempt: AttemptId) {
         let now = self.now;
         let Some(run) = self.engines[target].runs.get_mut(&attempt) else {
             return;
         };
         run.live = false;
         self.streams.retain(|stream| stream.attempt != attempt);
-        if let Some(agent) = self.agent(target, life) {
-            agent.gate.on_run_event(now, attempt, RunEvent::Cancelled);
+        if let Some(agent) = self.agent(target, incarnation) {
+            agent
+                .controller
+                .on_run_event(now, attempt, RunEvent::Cancelled);
         }
     }
 
-    /// Loses a message; the sender sees its connection close. A late one may yet arrive.
+    /// Loses a message; the sender sees its connection close. With `late` it still arrives later.
     fn lose(&mut self, at: usize, late: bool) {
         let now = self.now;
-        let mut message = self.bag.swap_remove(at);
+        let mut message = self.in_flight.swap_remove(at);
         match &mut message {
             Message::Order {
                 target,
-                life,
+                incarnation,
                 order,
-                late: ghost,
+                late: is_late,
                 ..
-            } if !*ghost => {
-                *ghost = true;
-                let (target, life, order) = (*target, *life, order.clone());
-                if let Some(agent) = self.agent(target, life)
+            } if !*is_late => {
+                *is_late = true;
+                let (target, incarnation, order) = (*target, *incarnation, order.clone());
+                if let Some(agent) = self.agent(target, incarnation)
                     && agent.order.take().is_some()
                 {
-                    agent.gate.order_closed(now, &order);
+                    agent.controller.order_closed(now, &order);
                 }
             }
             Message::Run {
                 target,
-                life,
+                incarnation,
                 run,
-                late: ghost,
+                late: is_late,
                 ..
-            } if !*ghost => {
-                *ghost = true;
+            } if !*is_late => {
+                *is_late = true;
                 let stream = Stream {
                     target: *target,
-                    life: *life,
+                    incarnation: *incarnation,
                     attempt: run.attempt,
                     next: 0,
                     cut: false,
@@ -815,12 +833,12 @@
             _ => {}
         }
         if late {
-            self.bag.push(message);
+            self.in_flight.push(message);
         }
     }
 
-    fn submit(&mut self, model: usize, key: Option<usize>, target: usize, old_life: bool) {
-        let number = self.flights.len();
+    fn submit(&mut self, model: usize, key: Option<usize>, target: usize, old_incarnation: bool) {
+        let number = self.requests.len();
         let prompt = match key {
             Some(key) => format!("key{key}"),
             None => format!("ask{number}"),
@@ -830,17 +848,17 @@
             max_timeouts: 2,
             at_most_once: key.is_some(),
         };
-        self.flights.push(Flying {
-            flight: RequestLifecycle::new(policy),
+        self.requests.push(ActiveRequest {
+            lifecycle: RequestLifecycle::new(policy),
             model,
             key,
             prompt,
             target,
-            old_life,
+            old_incarnation,
             number: 0,
-            asked: 0,
+            requested_at: 0,
             waiting: false,
-            trials: BTreeSet::new(),
+            attempts: BTreeSet::new(),
             pieces: Vec::new(),
             outcome: None,
             dropped: false,
@@ -849,55 +867,55 @@
     }
 
     fn event(&mut self, at: usize, event: RequestEvent) {
-        let flying = &mut self.flights[at];
-        if flying.dropped || flying.outcome.is_some() {
+        let request = &mut self.requests[at];
+        if request.dropped || request.outcome.is_some() {
             return;
         }
-        flying.waiting = false;
-        let pieces = flying.flight.on(event);
-        flying.pieces.extend(pieces);
+        request.waiting = false;
+        let pieces = request.lifecycle.on(event);
+        request.pieces.extend(pieces);
         self.drive(at);
     }
 
-    /// Performs steps until one waits for an agent.
+    /// Performs steps of a request until one waits for an agent or finishes it.
     fn drive(&mut self, at: usize) {
         loop {
-            let event = match self.flights[at].flight.step() {
+            let event = match self.requests[at].lifecycle.step() {
                 RequestStep::Choose { .. } => RequestEvent::Chosen(Some(self.choose(at))),
-                RequestStep::Claim(trial) => self.claim(at, &trial),
-                RequestStep::Settle(trial, end) => self.settle(at, &trial, end),
-                RequestStep::Start(trial) => return self.call_start(at, &trial),
-                RequestStep::Pull(trial, offset) => {
-                    let call = Call::Pull(trial.id, trial.incarnation, offset);
-                    return self.call(at, &trial, call);
+                RequestStep::Claim(attempt) => self.claim(at, &attempt),
+                RequestStep::Settle(attempt, end) => self.settle(at, &attempt, end),
+                RequestStep::Start(attempt) => return self.call_start(at, &attempt),
+                RequestStep::Pull(attempt, offset) => {
+                    let call = Call::Pull(attempt.id, attempt.incarnation, offset);
+                    return self.call(at, &attempt, call);
                 }
-                RequestStep::Seal(trial) => {
-                    let call = Call::Seal(trial.id, trial.incarnation);
-                    return self.call(at, &trial, call);
+                RequestStep::Seal(attempt) => {
+                    let call = Call::Seal(attempt.id, attempt.incarnation);
+                    return self.call(at, &attempt, call);
                 }
-                RequestStep::Cancel(trial) => {
-                    self.call(at, &trial, Call::Cancel(trial.id));
+                RequestStep::Cancel(attempt) => {
+                    self.call(at, &attempt, Call::Cancel(attempt.id));
                     RequestEvent::Cancelled
                 }
                 RequestStep::Finish(outcome) => return self.finish(at, outcome),
             };
-            let flying = &mut self.flights[at];
-            flying.waiting = false;
-            let pieces = flying.flight.on(event);
-            flying.pieces.extend(pieces);
+            let request = &mut self.requests[at];
+            request.waiting = false;
+            let pieces = request.lifecycle.on(event);
+            request.pieces.extend(pieces);
         }
     }
 
     fn choose(&mut self, at: usize) -> TargetAttempt {
         let number = self.next_attempt;
         self.next_attempt += 1;
-        let flying = &mut self.flights[at];
-        let target = flying.target;
-        flying.target = (target + 1) % TARGETS;
-        let lives = &self.lives[target];
-        let incarnation = match flying.old_life {
-            true => lives[0],
-            false => *lives.last().unwrap(),
+        let request = &mut self.requests[at];
+        let target = request.target;
+        request.target = (target + 1) % TARGETS;
+        let incarnations = &self.incarnations[target];
+        let incarnation = match request.old_incarnation {
+            true => incarnations[0],
+            false => *incarnations.last().unwrap(),
         };
         TargetAttempt {
             id: AttemptId {
@@ -912,24 +930,26 @@
     fn claim_key(&self, at: usize) -> ClaimKey {
         ClaimKey {
             partner: PartnerName::from("p"),
-            key: CallKey(self.flights[at].prompt.clone()),
+            key: CallKey(self.requests[at].prompt.clone()),
         }
     }
 
-    fn claim(&mut self, at: usize, trial: &TargetAttempt) -> RequestEvent {
-        let ask = ClaimRequest {
+    fn claim(&mut self, at: usize, attempt: &TargetAttempt) -> RequestEvent {
+        let claim_request = ClaimRequest {
             key: self.claim_key(at),
             digest: [0; 32],
-            attempt: trial.id,
-            target: trial.target.clone(),
-            incarnation: trial.incarnation,
+            attempt: attempt.id,
+            target: attempt.target.clone(),
+            incarnation: attempt.incarnation,
             key_created_ms: None,
         };
         self.position += 1;
         match self.lose_claim.take() {
             Some(false) => RequestEvent::NoReply,
             lost => {
-                let answer = self.claims.claim(Position(self.position), self.now, &ask);
+                let answer = self
+                    .claims
+                    .claim(Position(self.position), self.now, &claim_request);
                 match lost {
                     Some(_) => RequestEvent::NoReply,
                     None => RequestEvent::Claimed(answer),
@@ -938,18 +958,18 @@
         }
     }
 
-    fn settle(&mut self, at: usize, trial: &TargetAttempt, end: Settlement) -> RequestEvent {
+    fn settle(&mut self, at: usize, attempt: &TargetAttempt, end: Settlement) -> RequestEvent {
         let key = self.claim_key(at);
         let end = match end {
             Settlement::Done { .. } => Settlement::Done {
-                answer: Some(self.flights[at].pieces.concat()),
+                answer: Some(self.requests[at].pieces.concat()),
             },
             end => end,
         };
         match self.lose_claim.take() {
             Some(false) => RequestEvent::NoReply,
             lost => {
-                let settled = self.claims.settle(&key, trial.id, &end);
+                let settled = self.claims.settle(&key, attempt.id, &end);
                 match settled && lost.is_none() {
                     true => RequestEvent::Settled,
                     false => RequestEvent::NoReply,
@@ -958,99 +978,103 @@
         }
     }
 
-    fn call_start(&mut self, at: usize, trial: &TargetAttempt) {
-        let flying = &self.flights[at];
-        let ask = RunRequest {
-            attempt: trial.id,
-            incarnation: trial.incarnation,
+    fn call_start(&mut self, at: usize, attempt: &TargetAttempt) {
+        let request = &self.requests[at];
+        let run_request = RunRequest {
+            attempt: attempt.id,
+            incarnation: attempt.incarnation,
             row: RowId::from("row"),
             version: Position(1),
             urgency: Urgency::Interactive,
             weight: 1,
-            at_most_once: flying.key.is_some(),
+            at_most_once: request.key.is_some(),
             patience_ms: 400,
             call: EngineCall {
-                model: ModelName::from(MODELS[flying.model].0),
-                prompt: flying.prompt.clone(),
+                model: ModelName::from(MODELS[request.model].0),
+                prompt: request.prompt.clone(),
                 path: None,
                 max_tokens: PIECES,
-                given: flying.flight.delivered(),
-                kv_mib: KV,
+                given: request.lifecycle.delivered(),
+                kv_mib: KV_MIB,
             },
             content: ContentDigest([7; ContentDigest::LEN]),
         };
-        self.call(at, trial, Call::Start(ask));
+        self.call(at, attempt, Call::Start(run_request));
     }
 
-    fn call(&mut self, at: usize, trial: &TargetAttempt, call: Call) {
+    fn call(&mut self, at: usize, attempt: &TargetAttempt, call: Call) {
         let now = self.now;
-        let flying = &mut self.flights[at];
-        flying.number += 1;
-        flying.asked = now;
-        flying.waiting = true;
-        flying.trials.insert(trial.id);
+        let request = &mut self.requests[at];
+        request.number += 1;
+        request.requested_at = now;
+        request.waiting = true;
+        request.attempts.insert(attempt.id);
         let message = Message::ToAgent {
-            target: trial.target.as_str().parse().unwrap(),
-            flight: at,
-            number: flying.number,
+            target: attempt.target.as_str().parse().unwrap(),
+            request: at,
+            number: request.number,
             call,
         };
-        self.bag.push(message);
+        self.in_flight.push(message);
     }
 
     fn finish(&mut self, at: usize, outcome: RequestOutcome) {
-        let flying = &mut self.flights[at];
+        let request = &mut self.requests[at];
         let whole: String = (0..PIECES)
-            .map(|index| piece(&flying.prompt, index))
+            .map(|index| piece(&request.prompt, index))
             .collect();
         match &outcome {
             RequestOutcome::Done => {
                 assert_eq!(
-                    flying.pieces.concat(),
+                    request.pieces.concat(),
                     whole,
-                    "a whole answer is not its own"
+                    "a completed response is not that of its prompt"
                 );
             }
             RequestOutcome::Replayed(Some(answer)) => assert_eq!(*answer, whole),
             RequestOutcome::NotRun { .. } => {
                 assert!(
-                    flying.pieces.is_empty(),
-                    "not run, but a part was delivered"
+                    request.pieces.is_empty(),
+                    "reported as not run, but a part was delivered"
                 );
-                for trial in &flying.trials {
+                for attempt in &request.attempts {
                     assert!(
-                        !self.ran.contains_key(trial),
-                        "told not run, but it had run"
+                        !self.attempt_starts.contains_key(attempt),
+                        "reported as not run, but it had run"
                     );
-                    self.told_not_run.insert(*trial);
+                    self.reported_not_run.insert(*attempt);
                 }
             }
             RequestOutcome::Replayed(None) | RequestOutcome::Unknown(_) => {}
         }
-        flying.outcome = Some(outcome);
+        request.outcome = Some(outcome);
     }
 
     fn check(&self) {
         for engine in &self.engines {
-            assert!(engine.used() <= CAPACITY, "memory is overcommitted");
+            assert!(
+                engine.used() <= CAPACITY_MIB,
+                "engine memory is overcommitted"
+            );
         }
-        for (attempt, starts) in &self.ran {
+        for (attempt, starts) in &self.attempt_starts {
             assert!(*starts <= 1, "attempt {attempt} ran {starts} times");
         }
-        for (prompt, starts) in &self.prompts {
+        for (prompt, starts) in &self.prompt_starts {
             let once = prompt.starts_with("key");
             assert!(
                 !once || *starts <= 1,
-                "{prompt} may not be repeated and ran {starts} times"
+                "at-most-once {prompt} ran {starts} times"
             );
         }
     }
 
     fn crash_agent(&mut self, target: usize) {
-        let life = self.newest(target);
-        self.agents[target].retain(|agent| agent.gate.incarnation() != life);
-        self.streams.retain(|stream| stream.life != life);
-        self.frozen[target].remove(&life);
+        let incarnation = self.newest(target);
+        self.agents[target].retain(|agent| agent.controller.incarnation() != incarnation);
+        self.streams
+            .retain(|stream| stream.incarnation != incarnation);
+        self.frozen[target].remove(&incarnation);
         self.start_agent(target);
     }
 
@@ -1071,64 +1095,64 @@
     }
 }
 
-pub struct GateTest;
+pub struct AdmissionTest;
 
-impl StateMachineTest for GateTest {
-    type SystemUnderTest = GateWorld;
-    type Reference = GateScript;
+impl StateMachineTest for AdmissionTest {
+    type SystemUnderTest = AdmissionWorld;
+    type Reference = AdmissionScript;
 
-    fn init_test(checks: &bool) -> GateWorld {
-        let mut world = GateWorld::new(*checks);
-        world.calm(35);
+    fn init_test(checks: &bool) -> AdmissionWorld {
+        let mut world = AdmissionWorld::new(*checks);
+        world.run_fault_free(35);
         world
     }
 
-    fn apply(mut world: GateWorld, _: &bool, step: Step) -> GateWorld {
+    fn apply(mut world: AdmissionWorld, _: &bool, step: Step) -> AdmissionWorld {
         match step {
-            Step::Deliver { pick, double } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
-                // A connection does not double what goes to an engine.
-                let twice = double && !matches!(world.bag[at], Message::Run { .. });
+            Step::Deliver { pick, double } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
+                // Runs are not duplicated: a connection to an engine does not repeat them.
+                let twice = double && !matches!(world.in_flight[at], Message::Run { .. });
                 let message = match twice {
-                    true => world.bag[at].clone(),
-                    false => world.bag.swap_remove(at),
+                    true => world.in_flight[at].clone(),
+                    false => world.in_flight.swap_remove(at),
                 };
                 world.deliver(message);
             }
-            Step::Lose { pick, late } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
+            Step::Lose { pick, late } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
                 world.lose(at, late);
             }
             Step::Deliver { .. } | Step::Lose { .. } => {}
             Step::Wait { ms } => {
                 world.now += ms;
-                world.time_out();
+                world.expire_calls();
                 for target in 0..TARGETS {
                     world.pump(target);
                 }
             }
-            Step::Calm { rounds } => world.calm(rounds),
+            Step::FaultFree { rounds } => world.run_fault_free(rounds),
             Step::Submit {
                 model,
                 key,
                 target,
-                old_life,
-            } => world.submit(model, key, target, old_life),
-            Step::Timeout { pick } if !world.flights.is_empty() => {
-                let at = pick % world.flights.len();
-                if world.flights[at].waiting {
+                old_incarnation,
+            } => world.submit(model, key, target, old_incarnation),
+            Step::Timeout { pick } if !world.requests.is_empty() => {
+                let at = pick % world.requests.len();
+                if world.requests[at].waiting {
                     world.event(at, RequestEvent::NoReply);
                 }
             }
-            Step::Patience { pick } if !world.flights.is_empty() => {
-                let at = pick % world.flights.len();
+            Step::DeadlinePassed { pick } if !world.requests.is_empty() => {
+                let at = pick % world.requests.len();
                 world.event(at, RequestEvent::DeadlinePassed);
             }
-            Step::Timeout { .. } | Step::Patience { .. } => {}
+            Step::Timeout { .. } | Step::DeadlinePassed { .. } => {}
             Step::CrashEntry => {
-                for flying in &mut world.flights {
-                    flying.dropped = true;
-                    flying.waiting = false;
+                for request in &mut world.requests {
+                    request.dropped = true;
+                    request.waiting = false;
                 }
                 world.entry = Incarnation(world.entry.0 + 1);
                 world.next_attempt = 1;
@@ -1141,8 +1165,8 @@
             Step::CutStream { .. } => {}
             Step::CrashAgent { target } => world.crash_agent(target),
             Step::FreezeAgent { target } => {
-                let life = world.newest(target);
-                world.frozen[target].insert(life);
+                let incarnation = world.newest(target);
+                world.frozen[target].insert(incarnation);
                 world.start_agent(target);
             }
             Step::Thaw { target } => world.frozen[target].clear(),
@@ -1151,25 +1175,25 @@
             Step::OldPlan { target, pick } => {
                 let plans = &world.plans[target];
                 let mut plan = plans[pick % plans.len()].clone();
-                let (now, life) = (world.now, world.newest(target));
+                let (now, incarnation) = (world.now, world.newest(target));
                 let newest = plans.last().map(|plan| plan.position);
                 let old = newest > Some(plan.position);
-                plan.incarnation = life;
-                if let Some(agent) = world.agent(target, life)
-                    && agent.gate.plan_position() >= Position(1)
+                plan.incarnation = incarnation;
+                if let Some(agent) = world.agent(target, incarnation)
+                    && agent.controller.plan_position() >= Position(1)
                 {
-                    let taken = agent.gate.on_plan(now, plan.clone());
-                    let acts = agent.gate.plan_position();
+                    let taken = agent.controller.on_plan(now, plan.clone());
+                    let acts = agent.controller.plan_position();
                     assert!(
                         !(old && taken) || acts == plan.position,
-                        "went back to an old plan"
+                        "an agent returned to an older plan"
                     );
                 }
             }
-            Step::Leave { target } => {
-                let life = world.newest(target);
-                if let Some(agent) = world.agent(target, life) {
-                    agent.gate.drain();
+            Step::Drain { target } => {
+                let incarnation = world.newest(target);
+                if let Some(agent) = world.agent(target, incarnation) {
+                    agent.controller.drain();
                 }
             }
             Step::LoseClaim { recorded } => world.lose_claim = Some(recorded),
@@ -1178,22 +1202,22 @@
         world
     }
 
-    fn teardown(mut world: GateWorld, _: bool) {
-        // When all faults end, every flight must end, and new work must be done.
+    fn teardown(mut world: AdmissionWorld, _: bool) {
+        // Once all faults end, every request must finish and a new one must complete.
         world.lose_claim = None;
         for target in 0..TARGETS {
             world.frozen[target].clear();
             world.crash_agent(target);
             world.plan(target, 1);
         }
-        world.calm(80);
-        let first = world.flights.len();
+        world.run_fault_free(80);
+        let first = world.requests.len();
         world.submit(0, None, 0, false);
-        world.calm(60);
-        for flying in world.flights.iter().filter(|flying| !flying.dropped) {
-            assert!(flying.outcome.is_some(), "a request has no outcome");
+        world.run_fault_free(60);
+        for request in world.requests.iter().filter(|request| !request.dropped) {
+            assert!(request.outcome.is_some(), "a request never got an outcome");
         }
-        let last = &world.flights[first].outcome;
+        let last = &world.requests[first].outcome;
         assert_eq!(
             *last,
             Some(RequestOutcome::Done),
@@ -1206,5 +1230,5 @@
     #![proptest_config(super::config(4000))]
 
     #[test]
-    fn outcomes_memory_and_runs_are_true(sequential 1..100 => GateTest);
+    fn outcomes_memory_and_runs_stay_correct(sequential 1..100 => AdmissionTest);
 }
--- a/tests/fuzz/limits.rs
+++ b/tests/fuzz/limits.rs
@@ -1,5 +1,5 @@
-//! Row limits over many entries: the sum never exceeds the limit, whatever is
-//! lost, late or doubled, and whoever dies.
+//! Row limits over several entries: the sum of running requests never exceeds the limit under
+//! lost, late and duplicated messages and changes of the leader.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 const ENTRIES: usize = 3;
 const LIMIT: u32 = 11;
-const PATIENCE_MS: u64 = 200;
+const MAX_WAIT_MS: u64 = 200;
 const POLICY: LimitPolicy = LimitPolicy {
     entries: ENTRIES as u32,
     lease_ms: 100,
@@ -20,7 +20,7 @@
 pub enum Step {
     Acquire { entry: usize, count: usize },
     Release { entry: usize },
-    Ask { entry: usize },
+    Request { entry: usize },
     Deliver { pick: usize, double: bool },
     Lose { pick: usize },
     Wait { ms: u64 },
@@ -43,7 +43,7 @@
             4 => (entry.clone(), 1usize..8)
                 .prop_map(|(entry, count)| Step::Acquire { entry, count }),
             3 => entry.clone().prop_map(|entry| Step::Release { entry }),
-            4 => entry.prop_map(|entry| Step::Ask { entry }),
+            4 => entry.prop_map(|entry| Step::Request { entry }),
             6 => (any::<usize>(), any::<bool>())
                 .prop_map(|(pick, double)| Step::Deliver { pick, double }),
             1 => any::<usize>().prop_map(|pick| Step::Lose { pick }),
@@ -58,7 +58,7 @@
 
 #[derive(Clone)]
 enum Message {
-    Ask {
+    Request {
         entry: usize,
         number: u64,
         sent: u64,
@@ -76,10 +76,10 @@
     now: u64,
     holders: Vec<ShareHolder>,
     grantor: ShareGrantor,
-    /// When each running request's caller gives up at the latest.
+    /// Deadline of each running request of each entry.
     running: Vec<Vec<u64>>,
-    bag: Vec<Message>,
-    asked: Vec<u64>,
+    in_flight: Vec<Message>,
+    request_numbers: Vec<u64>,
 }
 
 fn row() -> RowId {
@@ -89,24 +89,24 @@
 impl LimitWorld {
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Ask {
+            Message::Request {
                 entry,
                 number,
                 sent,
                 claims,
             } => {
                 let mut grants = BTreeMap::new();
-                let life = Incarnation(entry as u64);
-                if !self.grantor.is_new(life, number) {
+                let incarnation = Incarnation(entry as u64);
+                if !self.grantor.is_new(incarnation, number) {
                     return;
                 }
                 for (row, claim) in claims {
-                    let share = self
-                        .grantor
-                        .grant(self.now, life, &row, LIMIT, PATIENCE_MS, claim);
+                    let share =
+                        self.grantor
+                            .grant(self.now, incarnation, &row, LIMIT, MAX_WAIT_MS, claim);
                     grants.insert(row, share);
                 }
-                self.bag.push(Message::Grant {
+                self.in_flight.push(Message::Grant {
                     entry,
                     number,
                     sent,
@@ -143,8 +143,8 @@
             holders: (0..ENTRIES).map(|_| ShareHolder::new(POLICY)).collect(),
             grantor: ShareGrantor::new(POLICY, 0),
             running: vec![Vec::new(); ENTRIES],
-            bag: Vec::new(),
-            asked: vec![0; ENTRIES],
+            in_flight: Vec::new(),
+            request_numbers: vec![0; ENTRIES],
         }
     }
 
@@ -153,7 +153,7 @@
             Step::Acquire { entry, count } => {
                 for _ in 0..count {
                     if world.holders[entry].acquire(&row(), LIMIT, world.now) {
-                        world.running[entry].push(world.now + PATIENCE_MS);
+                        world.running[entry].push(world.now + MAX_WAIT_MS);
                     }
                 }
             }
@@ -162,28 +162,28 @@
                     world.holders[entry].release(&row());
                 }
             }
-            Step::Ask { entry } => {
+            Step::Request { entry } => {
                 let (number, claims) =
                     world.holders[entry].next_request(world.now, |_| Some(LIMIT));
-                world.asked[entry] = number;
-                world.bag.push(Message::Ask {
+                world.request_numbers[entry] = number;
+                world.in_flight.push(Message::Request {
                     entry,
                     number,
                     sent: world.now,
                     claims,
                 });
             }
-            Step::Deliver { pick, double } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
+            Step::Deliver { pick, double } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
                 let message = match double {
-                    true => world.bag[at].clone(),
-                    false => world.bag.swap_remove(at),
+                    true => world.in_flight[at].clone(),
+                    false => world.in_flight.swap_remove(at),
                 };
                 world.deliver(message);
             }
-            Step::Lose { pick } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
-                world.bag.swap_remove(at);
+            Step::Lose { pick } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
+                world.in_flight.swap_remove(at);
             }
             Step::Deliver { .. } | Step::Lose { .. } => {}
             Step::Wait { ms } => world.now += ms,
@@ -200,5 +200,5 @@
     #![proptest_config(super::config(20000))]
 
     #[test]
-    fn no_limit_is_exceeded_in_sum(sequential 1..120 => LimitTest);
+    fn the_sum_of_running_requests_stays_within_the_limit(sequential 1..120 => LimitTest);
 }
--- a/tests/fuzz/log.rs
+++ b/tests/fuzz/log.rs
@@ -1,5 +1,5 @@
-//! The replicated log, table and claims under lost, late, doubled and reordered
-//! messages, crashes with unsynced tails, lost disks, silent cuts and clock drift.
+//! The replicated log, table and claims under lost, late, duplicated and reordered messages,
+//! crashes with unsynced records, lost disks, partitions and clock drift.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,17 +21,17 @@
     election_ms: 100,
     heartbeat_ms: 20,
 };
-/// Clock rates of the voters in thousandths: 5% apart from true time.
+/// Clock rates of the voters in thousandths: up to 5% off true time.
 const RATES: [u64; VOTERS] = [1000, 950, 1050];
 
-/// Messages follow each other at most so far within one round of calm.
-const CALM_HOPS: usize = 4;
-/// Most messages that wait for a voter that is cut off.
+/// Delivery passes in a fault-free round, which bound the length of a chain of messages.
+const DELIVERIES_PER_ROUND: usize = 4;
+/// Maximum number of messages that wait for voters that are cut off.
 const MAX_WAITING: usize = 100;
 
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Delivers a message; doubled ones stay.
+    /// Delivers a message; with `double` it also stays in flight.
     Deliver {
         pick: usize,
         double: bool,
@@ -40,20 +40,20 @@
     Lose {
         pick: usize,
     },
-    /// Time passes.
+    /// Advances time and ticks all voters.
     Wait {
         ms: u64,
     },
-    /// A good time: messages arrive in order, clocks tick.
-    Calm {
+    /// Runs rounds without new faults: clocks tick, and messages arrive in order.
+    FaultFree {
         rounds: usize,
     },
-    /// Cuts a voter off, or heals it; its messages wait meanwhile.
+    /// Cuts a voter off or reconnects it; its messages wait meanwhile.
     Cut {
         voter: usize,
         cut: bool,
     },
-    /// Crashes; with `unsynced`, before its last steps reach the disk.
+    /// Crashes a voter; with `unsynced`, its last records do not reach the disk.
     Crash {
         voter: usize,
         unsynced: bool,
@@ -61,24 +61,24 @@
     Restart {
         voter: usize,
     },
-    /// A follower misses a while; then the leader is cut off in silence, and
-    /// the one voter that knows of its lease may restart.
-    Trap {
+    /// Cuts off one follower for some rounds, then the leader instead. The other follower, the
+    /// only one that knows of the leader's lease, may restart.
+    StaleLeader {
         follower: usize,
-        missed: usize,
-        bounce: bool,
+        missed_rounds: usize,
+        restart_witness: bool,
         rounds: usize,
     },
-    /// Sends an edit again that was sent before.
+    /// Sends an earlier edit again.
     Resend {
         voter: usize,
         pick: usize,
     },
-    /// Crashes with its disk; it comes back with a blank one.
+    /// Crashes a voter and replaces its disk by a blank one.
     LoseDisk {
         voter: usize,
     },
-    /// Plans to stop: hands over.
+    /// Hands over leadership, as before a planned stop.
     HandOver {
         voter: usize,
     },
@@ -108,7 +108,7 @@
             .prop_map(|(pick, double)| Step::Deliver { pick, double }),
         2 => any::<usize>().prop_map(|pick| Step::Lose { pick }),
         3 => (1u64..150).prop_map(|ms| Step::Wait { ms }),
-        5 => (1usize..12).prop_map(|rounds| Step::Calm { rounds }),
+        5 => (1usize..12).prop_map(|rounds| Step::FaultFree { rounds }),
         1 => (voter.clone(), any::<bool>()).prop_map(|(voter, cut)| Step::Cut { voter, cut }),
         1 => (voter.clone(), any::<bool>())
             .prop_map(|(voter, unsynced)| Step::Crash { voter, unsynced }),
@@ -116,7 +116,7 @@
         1 => voter.clone().prop_map(|voter| Step::LoseDisk { voter }),
         1 => voter.clone().prop_map(|voter| Step::HandOver { voter }),
         2 => (0usize..2, 0usize..14, any::<bool>(), 1usize..14).prop_map(
-            |(follower, missed, bounce, rounds)| Step::Trap { follower, missed, bounce, rounds }
+            |(follower, missed_rounds, restart_witness, rounds)| Step::StaleLeader { follower, missed_rounds, restart_witness, rounds }
         ),
         3 => (voter.clone(), any::<usize>())
             .prop_map(|(voter, pick)| Step::Resend { voter, pick }),
@@ -130,7 +130,7 @@
     ]
 }
 
-/// The steps do not depend on the state: picks wrap around.
+/// Steps do not depend on the state: indexes such as `pick` wrap around.
 pub struct LogScript;
 
 impl ReferenceStateMachine for LogScript {
@@ -155,22 +155,22 @@
     cut: bool,
     clock_base: u64,
     started_at: u64,
-    /// Entries up to here were compared with the others'.
-    noted: Position,
+    /// Position up to which entries were compared with those of other voters.
+    compared: Position,
 }
 
-/// All voters, the messages between them, and what was promised to whom.
+/// All voters, the messages between them, and the acknowledged changes.
 pub struct LogWorld {
     voters: Vec<Voter>,
     hosts: BTreeMap<NodeId, usize>,
-    bag: Vec<(NodeId, NodeId, RaftMessage)>,
+    in_flight: Vec<(NodeId, NodeId, RaftMessage)>,
     now: u64,
     next_id: u64,
     attempts: u64,
-    /// The first delivered entry at each index; all others must be the same.
+    /// The first committed entry seen at each index; all voters must have the same.
     agreed: BTreeMap<Position, LogEntry>,
     leaders: BTreeMap<Term, NodeId>,
-    /// The highest position whose reply was given out.
+    /// The highest position whose reply was sent.
     acknowledged: Position,
     waiting: BTreeMap<(NodeId, LogMark), ()>,
     replies: BTreeMap<Position, Reply>,
@@ -216,12 +216,12 @@
             cut: false,
             clock_base: 1000 * (id.0 + 1),
             started_at: 0,
-            noted: Position(0),
+            compared: Position(0),
         });
         let mut world = Self {
             voters: voters.collect(),
             hosts: ids.iter().map(|id| (*id, id.0 as usize)).collect(),
-            bag: Vec::new(),
+            in_flight: Vec::new(),
             now: 0,
             next_id: 100,
             attempts: 0,
@@ -248,14 +248,14 @@
         if self.voters[voter].replica.is_some() {
             return;
         }
-        // A process's clock starts anew with it.
+        // The clock starts anew with each process.
         self.voters[voter].started_at = self.now;
         let clock = self.clock(voter);
         let node = &mut self.voters[voter];
         let seed = node.id.0 * 7919 + self.now;
         let replica = LogReplica::new(node.id, TIMING, node.disk.clone(), clock, seed, 12);
         node.replica = Some(replica);
-        node.noted = Position(0);
+        node.compared = Position(0);
     }
 
     fn enroll(&mut self) {
@@ -282,7 +282,7 @@
         self.flush(voter);
     }
 
-    /// Syncs, sends and applies, in this order.
+    /// Writes records to the disk, sends messages and records replies, in this order.
     fn flush(&mut self, voter: usize) {
         let clock = self.clock(voter);
         let node = &mut self.voters[voter];
@@ -295,20 +295,20 @@
         }
         let id = node.id;
         for (to, message) in output.messages {
-            self.bag.push((id, to, message));
+            self.in_flight.push((id, to, message));
         }
         for (mark, reply) in output.replies {
             let known = self.replies.entry(mark.index).or_insert(reply.clone());
-            assert_eq!(*known, reply, "two voters answered {mark:?} differently");
+            assert_eq!(*known, reply, "two voters replied differently to {mark:?}");
             if self.waiting.remove(&(id, mark)).is_some() {
                 self.acknowledged = self.acknowledged.max(mark.index);
             }
         }
-        self.note_agreed(voter);
+        self.record_agreed(voter);
     }
 
-    /// What a voter's disk holds up to its commit index is what all agree on.
-    fn note_agreed(&mut self, voter: usize) {
+    /// Checks that entries up to the commit index are the same on all disks.
+    fn record_agreed(&mut self, voter: usize) {
         let node = &self.voters[voter];
         let Some(replica) = &node.replica else {
             return;
@@ -323,7 +323,7 @@
             let known = self.agreed.entry(entry.mark.index).or_insert(entry.clone());
             assert_eq!(known, entry, "committed entries differ");
         }
-        self.voters[voter].noted = commit;
+        self.voters[voter].compared = commit;
     }
 
     fn crash(&mut self, voter: usize, unsynced: bool) {
@@ -336,8 +336,8 @@
     }
 
     fn lose_disk(&mut self, voter: usize) {
-        // Beyond one lost disk at a time, no log of three can keep its promise.
-        let whole = |node: &Voter| node.disk != DiskImage::default();
+        // A log of three voters tolerates only one lost disk at a time.
+        let has_disk = |node: &Voter| node.disk != DiskImage::default();
         let healed = self.voters.iter().all(|node| {
             let known = node
                 .disk
@@ -349,7 +349,7 @@
                     _ => None,
                 });
             let voters = known.unwrap_or(&node.disk.snapshot.voters);
-            whole(node) && voters.len() == VOTERS && voters.contains(&node.id)
+            has_disk(node) && voters.len() == VOTERS && voters.contains(&node.id)
         });
         if !healed || self.lost_disks >= 2 {
             return;
@@ -365,15 +365,15 @@
 
     fn deliver(&mut self, at: usize, double: bool) {
         let (from, to, message) = match double {
-            true => self.bag[at].clone(),
-            false => self.bag.remove(at),
+            true => self.in_flight[at].clone(),
+            false => self.in_flight.remove(at),
         };
         let find = |id: NodeId| self.voters.iter().position(|voter| voter.id == id);
         let (Some(sender), Some(receiver)) = (find(from), find(to)) else {
             return;
         };
         if self.voters[sender].cut || self.voters[receiver].cut {
-            self.bag.push((from, to, message));
+            self.in_flight.push((from, to, message));
             return;
         }
         let clock = self.clock(receiver);
@@ -383,25 +383,25 @@
         self.flush(receiver);
     }
 
-    /// Delivers each message once; those to and from cut voters wait.
+    /// Delivers each message once; those to and from voters that are cut off wait.
     fn deliver_all(&mut self) {
-        for (from, to, message) in std::mem::take(&mut self.bag) {
-            self.bag.push((from, to, message));
-            self.deliver(self.bag.len() - 1, false);
+        for (from, to, message) in std::mem::take(&mut self.in_flight) {
+            self.in_flight.push((from, to, message));
+            self.deliver(self.in_flight.len() - 1, false);
             self.check();
         }
-        let spare = self.bag.len().saturating_sub(MAX_WAITING);
-        self.bag.drain(..spare);
+        let spare = self.in_flight.len().saturating_sub(MAX_WAITING);
+        self.in_flight.drain(..spare);
     }
 
-    fn calm(&mut self, rounds: usize) {
+    fn run_fault_free(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.now += 15;
             self.enroll();
             for voter in 0..VOTERS {
                 self.tick(voter);
             }
-            for _ in 0..CALM_HOPS {
+            for _ in 0..DELIVERIES_PER_ROUND {
                 self.deliver_all();
             }
         }
@@ -476,7 +476,13 @@
         }
     }
 
-    fn trap(&mut self, follower: usize, missed: usize, bounce: bool, rounds: usize) {
+    fn stale_leader(
+        &mut self,
+        follower: usize,
+        missed_rounds: usize,
+        restart_witness: bool,
+        rounds: usize,
+    ) {
         let leads = |voter: &Voter| {
             let replica = voter.replica.as_ref();
             replica.is_some_and(|replica| replica.raft().is_leader())
@@ -487,18 +493,18 @@
         let followers: Vec<usize> = (0..VOTERS).filter(|voter| *voter != leader).collect();
         let (missing, witness) = (followers[follower], followers[1 - follower]);
         self.isolate(missing);
-        self.calm(missed);
+        self.run_fault_free(missed_rounds);
         self.isolate(leader);
-        if bounce {
+        if restart_witness {
             self.crash(witness, false);
             self.restart(witness);
         }
-        self.calm(rounds);
+        self.run_fault_free(rounds);
     }
 
     fn claim(&mut self, voter: usize, key: usize, body: u8) {
         self.attempts += 1;
-        let ask = ClaimRequest {
+        let request = ClaimRequest {
             key: claim_key(key),
             digest: [body; 32],
             attempt: AttemptId {
@@ -509,7 +515,7 @@
             incarnation: Incarnation(1),
             key_created_ms: None,
         };
-        self.propose(voter, Command::Claim(ask), true);
+        self.propose(voter, Command::Claim(request), true);
     }
 
     fn settle(&mut self, voter: usize, key: usize, done: bool) {
@@ -538,21 +544,21 @@
             if replica.raft().is_leader() {
                 let id = replica.raft().id();
                 let known = *self.leaders.entry(replica.term()).or_insert(id);
-                assert_eq!(known, id, "two leaders of one term");
+                assert_eq!(known, id, "two leaders in one term");
             }
             if let Some(state) = replica.newest(clock) {
                 deciding += 1;
                 assert!(
                     state.position >= self.acknowledged,
-                    "a deciding read misses an acknowledged change"
+                    "a linearizable read misses an acknowledged change"
                 );
             }
         }
         assert!(deciding <= 1, "two voters decide at the same moment");
     }
 
-    /// Replays what was agreed, once through a plain model and once through
-    /// the state machine, and compares all answers that were given.
+    /// Replays the agreed entries through a simple oracle and the state machine, and compares
+    /// them with all replies that were sent.
     fn replay(&self) {
         let mut oracle = PlainOracle::default();
         let mut state = SiteState::default();
@@ -567,10 +573,7 @@
             let reply = state.apply(*index, &stamped);
             oracle.check(*index, &stamped.command, &reply);
             if let Some(given) = self.replies.get(index) {
-                assert_eq!(
-                    *given, reply,
-                    "an answer differs from the replay at {index}"
-                );
+                assert_eq!(*given, reply, "a reply differs from the replay at {index}");
             }
         }
         oracle.check_rows(&state);
@@ -584,7 +587,7 @@
     }
 }
 
-/// Edits one after the other, as a reader of the brief would apply them.
+/// A simple model that applies edits and claims one after the other.
 #[derive(Default)]
 struct PlainOracle {
     open: bool,
@@ -598,11 +601,11 @@
         match (command, reply) {
             (Command::Site(_), _) => self.open = true,
             (Command::Edit(edit), Reply::Edit(_)) => self.check_edit(position, edit, reply),
-            (Command::Claim(ask), Reply::Claim(ClaimReply::Granted(_))) => {
-                let holder = self.running.insert(ask.key.clone(), ask.attempt);
+            (Command::Claim(request), Reply::Claim(ClaimReply::Granted(_))) => {
+                let holder = self.running.insert(request.key.clone(), request.attempt);
                 assert!(
-                    holder.is_none() || holder == Some(ask.attempt),
-                    "two hold one claim"
+                    holder.is_none() || holder == Some(request.attempt),
+                    "two attempts hold one claim"
                 );
             }
             (Command::Settle(key, attempt, Settlement::NotRun), Reply::Settled(true))
@@ -618,7 +621,7 @@
         let slot = (edit.partner.clone(), edit.id.clone());
         if let Some((first, answer)) = self.first.get(&slot) {
             match first == edit {
-                true => assert_eq!(answer, reply, "a resend got another answer"),
+                true => assert_eq!(answer, reply, "a resent edit got a different reply"),
                 false => assert_eq!(*reply, Reply::Edit(Err(EditRefusal::IdReused))),
             }
             return;
@@ -632,7 +635,7 @@
         assert_eq!(
             *reply == Reply::Edit(Ok(position)),
             fits,
-            "accepted against the rules, or refused: {edit:?} {reply:?}"
+            "wrongly accepted or refused: {edit:?} {reply:?}"
         );
         match (&edit.change, fits) {
             (RowChange::Put(fields), true) => {
@@ -658,29 +661,29 @@
     }
 }
 
-/// Found by measuring an idle site: each answer drew another append, and the
-/// control hosts took a whole core each.
+/// If each append reply triggered another append, an idle site would use a full core on each
+/// control host.
 #[test]
 fn an_idle_leader_sends_heartbeats_only() {
     let mut world = LogWorld::new();
-    world.calm(40);
+    world.run_fault_free(40);
     let leads = |voter: &Voter| {
         let replica = voter.replica.as_ref();
         replica.is_some_and(|replica| replica.raft().is_leader())
     };
     let leader = world.voters.iter().position(leads).unwrap();
-    world.bag.clear();
+    world.in_flight.clear();
     let mut sent = 0;
     for _ in 0..100 {
         world.now += 2;
         world.tick(leader);
-        for _ in 0..CALM_HOPS {
-            sent += world.bag.len();
+        for _ in 0..DELIVERIES_PER_ROUND {
+            sent += world.in_flight.len();
             world.deliver_all();
         }
     }
-    // 200 ms with a heartbeat every 20, to two followers, each answered.
-    assert!(sent <= 44, "{sent} messages in 200 ms of idleness");
+    // 200 ms with a heartbeat every 20 ms to two followers, each with a reply.
+    assert!(sent <= 44, "{sent} messages in 200 idle ms");
 }
 
 pub struct LogTest;
@@ -691,19 +694,19 @@
 
     fn init_test((): &()) -> LogWorld {
         let mut world = LogWorld::new();
-        world.calm(20);
+        world.run_fault_free(20);
         world
     }
 
     fn apply(mut world: LogWorld, (): &(), step: Step) -> LogWorld {
         match step {
-            Step::Deliver { pick, double } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
+            Step::Deliver { pick, double } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
                 world.deliver(at, double);
             }
-            Step::Lose { pick } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
-                world.bag.swap_remove(at);
+            Step::Lose { pick } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
+                world.in_flight.swap_remove(at);
             }
             Step::Deliver { .. } | Step::Lose { .. } => {}
             Step::Wait { ms } => {
@@ -712,7 +715,7 @@
                     world.tick(voter);
                 }
             }
-            Step::Calm { rounds } => world.calm(rounds),
+            Step::FaultFree { rounds } => world.run_fault_free(rounds),
             Step::Cut { voter, cut } => world.voters[voter].cut = cut,
             Step::Crash { voter, unsynced } => world.crash(voter, unsynced),
             Step::Restart { voter } => world.restart(voter),
@@ -731,12 +734,12 @@
                 partner,
                 guess,
             } => world.edit(voter, edit, row, partner, guess),
-            Step::Trap {
+            Step::StaleLeader {
                 follower,
-                missed,
-                bounce,
+                missed_rounds,
+                restart_witness,
                 rounds,
-            } => world.trap(follower, missed, bounce, rounds),
+            } => world.stale_leader(follower, missed_rounds, restart_witness, rounds),
             Step::Resend { voter, pick } => world.resend(voter, pick),
             Step::Claim { voter, key, body } => world.claim(voter, key, body),
             Step::Settle { voter, key, done } => world.settle(voter, key, done),
@@ -746,19 +749,19 @@
     }
 
     fn teardown(mut world: LogWorld, (): ()) {
-        // When all faults end, the site must get going again with all it promised.
+        // Once all faults end, the log must make progress and keep acknowledged changes.
         for voter in 0..VOTERS {
             world.voters[voter].cut = false;
             world.restart(voter);
         }
         let before = world.acknowledged;
         for _ in 0..12 {
-            world.calm(12);
+            world.run_fault_free(12);
             for voter in 0..VOTERS {
                 world.claim(voter, 0, 0);
             }
         }
-        world.calm(10);
+        world.run_fault_free(10);
         assert!(
             world.acknowledged > before,
             "no progress after all faults ended"
@@ -771,5 +774,5 @@
     #![proptest_config(super::config(2000))]
 
     #[test]
-    fn the_log_keeps_what_it_acknowledged(sequential 1..120 => LogTest);
+    fn the_log_keeps_acknowledged_changes(sequential 1..120 => LogTest);
 }
--- a/tests/fuzz/main.rs
+++ b/tests/fuzz/main.rs
@@ -1,6 +1,6 @@
-//! Stateful fuzzing of the core against simple oracles.
+//! Stateful property tests of the core against simple oracles.
 //!
-//! `DUNLINSPRING_CASES` and `DUNLINSPRING_SEED` run more cases, or others.
+//! `DUNLINSPRING_CASES` sets the number of cases and `DUNLINSPRING_SEED` the seed.
 
 mod founding;
 mod gate;
@@ -12,7 +12,7 @@
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// Runs `cases` with a fixed seed, unless the environment asks for others.
+/// Returns a configuration with `cases` and a fixed seed, unless the environment sets others.
 fn config(cases: u32) -> Config {
     let read = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     Config {
--- a/tests/fuzz/members.rs
+++ b/tests/fuzz/members.rs
@@ -1,9 +1,10 @@
-//! A log whose hosts come, go and lose their disks, where any host may enrol: one leader a
-//! term and one that decides, across all processes that ever were.
+//! Membership changes of the log: hosts come, go and lose their disks, and any host may
+//! enrol. Over all processes of all hosts there is at most one leader in a term and at most
+//! one process that decides at a time.
 //!
-//! A process is an identity and a life. A message reaches whichever process is on a host by
-//! then, as on the wire. Disks are lost without bound: then the log may rest, but no two
-//! lead.
+//! A process is a node id and an incarnation. A message reaches the process that runs on the
+//! host at delivery, as on the network. Any number of disks may be lost: the log may then
+//! stall, but never has two leaders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,31 +18,32 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
 const HOSTS: usize = 6;
-const FOUNDERS: usize = 3;
+const BOOTSTRAP_HOSTS: usize = 3;
 const TIMING: RaftTiming = RaftTiming {
     election_ms: 100,
     heartbeat_ms: 20,
 };
-/// Clock rates in thousandths: 5% apart from true time.
+/// Clock rates in thousandths: up to 5% off true time.
 const RATES: [u64; HOSTS] = [1000, 950, 1050, 1050, 950, 1000];
-/// Silence after which an even set of voters sheds one: as many election timeouts as in use.
+/// Silence of a voter after which an even set of voters removes it. The same multiple of the
+/// election timeout as in production.
 const SHED_MS: u64 = 600;
-/// Entries after which the log is compacted.
+/// Number of entries after which the log is compacted.
 const COMPACT_AFTER: usize = 12;
-/// Messages follow each other at most so far within one round of calm.
-const CALM_HOPS: usize = 4;
-/// Length of such a round, in milliseconds.
+/// Delivery passes in a fault-free round, which bound the length of a chain of messages.
+const DELIVERIES_PER_ROUND: usize = 4;
+/// Length of a fault-free round, in milliseconds.
 const ROUND_MS: u64 = 15;
-/// Most messages under way.
+/// Maximum number of messages in flight.
 const MAX_WAITING: usize = 250;
-/// Rounds until someone must have stood for election: twice the longest wait for one.
-const STAND_ROUNDS: usize = 30;
-/// Rounds of calm at the end: several elections, and a change of every voter.
-const LAST_ROUNDS: usize = 250;
+/// Rounds within which a voter must become a candidate: twice the longest election timeout.
+const CANDIDACY_ROUNDS: usize = 30;
+/// Fault-free rounds at the end: time for several elections and a change of every voter.
+const RECOVERY_ROUNDS: usize = 250;
 
 #[derive(Clone, Debug)]
 pub enum MemberStep {
-    /// Delivers a message; doubled ones stay.
+    /// Delivers a message; with `double` it also stays in flight.
     Deliver {
         pick: usize,
         double: bool,
@@ -49,23 +51,23 @@
     Lose {
         pick: usize,
     },
-    /// Time passes, and all look at their clocks.
+    /// Advances time and ticks all hosts.
     Wait {
         ms: u64,
     },
-    /// Time passes, and one host looks at its clock.
+    /// Advances time and ticks one host.
     Tick {
         host: usize,
         ms: u64,
     },
-    Calm {
+    FaultFree {
         rounds: usize,
     },
-    /// Hosts of the mask and the others do not reach each other.
+    /// Partitions the hosts in the mask from the rest.
     Cut {
         mask: u8,
     },
-    /// Stands still, or goes on.
+    /// Freezes a process or lets it go on.
     Freeze {
         host: usize,
         frozen: bool,
@@ -73,7 +75,8 @@
     Kill {
         host: usize,
     },
-    /// Loses power while it takes a message: some records are on the disk, none is told.
+    /// Loses power while it handles a message: `kept` records reach the disk, and none of its
+    /// messages and replies is sent.
     PowerLoss {
         host: usize,
         pick: usize,
@@ -83,7 +86,7 @@
     Restart {
         host: usize,
     },
-    /// Comes back with a blank disk.
+    /// Restarts with a blank disk and a new node id.
     Wipe {
         host: usize,
     },
@@ -93,26 +96,26 @@
     Propose {
         host: usize,
     },
-    /// Asks whoever it reaches to be made a voter.
+    /// Asks all hosts that it reaches to become a voter.
     Enroll {
         host: usize,
     },
-    /// The leader is alone for a while, and the others go on, some of them restarted.
+    /// Isolates the leader for some rounds; the other hosts go on, some of them restarted.
     CutLeader {
         restarts: u8,
         rounds: usize,
     },
-    /// The leader stands still for a while.
+    /// Freezes the leader for some rounds.
     FreezeLeader {
         rounds: usize,
     },
-    /// Votes are asked for while the leader is cut off, and arrive when it leads again and
-    /// has just been cut off once more.
+    /// Holds back vote requests sent while the leader is cut off, and delivers them after the
+    /// candidate was cut off for some rounds instead and the leader has just been cut off again.
     LateVotes {
         rounds: usize,
     },
-    /// The leader hands over and is killed later; with `cut`, it is cut off once its heir
-    /// knows, and hears nothing of the election.
+    /// The leader hands over and is killed later. With `cut`, it is cut off after one delivery
+    /// pass, so that its successor knows and the leader receives nothing of the election.
     StopLeader {
         cut: bool,
         rounds: usize,
@@ -128,7 +131,7 @@
         1 => picks.prop_map(|pick| MemberStep::Lose { pick }),
         2 => (1u64..150).prop_map(|ms| MemberStep::Wait { ms }),
         2 => (host.clone(), 1u64..150).prop_map(|(host, ms)| MemberStep::Tick { host, ms }),
-        7 => (1usize..14).prop_map(|rounds| MemberStep::Calm { rounds }),
+        7 => (1usize..14).prop_map(|rounds| MemberStep::FaultFree { rounds }),
         2 => (0u8..64).prop_map(|mask| MemberStep::Cut { mask }),
         1 => Just(MemberStep::Cut { mask: 0 }),
         1 => (host.clone(), any::<bool>())
@@ -151,7 +154,7 @@
     ]
 }
 
-/// Whether the last two hosts carry one name; then steps that do not depend on the state.
+/// The state is whether the last two hosts share a name; steps do not depend on it.
 pub struct MemberScript;
 
 impl ReferenceStateMachine for MemberScript {
@@ -166,48 +169,48 @@
         step().boxed()
     }
 
-    fn apply(twins: bool, _: &MemberStep) -> bool {
-        twins
+    fn apply(shared_name: bool, _: &MemberStep) -> bool {
+        shared_name
     }
 }
 
 struct Host {
     id: NodeId,
-    /// Counts the processes of this host.
-    life: u64,
+    /// Number of processes started on this host.
+    incarnation: u64,
     disk: DiskImage,
     replica: Option<LogReplica>,
     frozen: bool,
     started_at: u64,
 }
 
-struct Letter {
+struct Envelope {
     from: (usize, NodeId),
     to: NodeId,
     message: RaftMessage,
 }
 
 pub struct MemberWorld {
-    twins: bool,
+    shared_name: bool,
     hosts: Vec<Host>,
-    /// The host of each identity that ever was.
-    places: BTreeMap<NodeId, usize>,
-    bag: Vec<Letter>,
+    /// The host of every node id ever used.
+    host_of_node: BTreeMap<NodeId, usize>,
+    in_flight: Vec<Envelope>,
     cut: u8,
     now: u64,
     next_id: u64,
     agreed: BTreeMap<Position, LogEntry>,
-    /// Which process led a term.
+    /// The process that led each term.
     leaders: BTreeMap<Term, (NodeId, u64)>,
     waiting: BTreeSet<(NodeId, u64, LogMark)>,
-    /// The highest position whose reply was given out.
+    /// The highest position whose reply was sent.
     acknowledged: Position,
-    /// What was played, for the reader of a failure.
+    /// Number of lost disks, for the failure message.
     wiped: usize,
 }
 
-fn name(twins: bool, host: usize) -> HostName {
-    let number = match twins {
+fn name(shared_name: bool, host: usize) -> HostName {
+    let number = match shared_name {
         true => host.min(HOSTS - 2),
         false => host,
     };
@@ -215,13 +218,13 @@
 }
 
 impl MemberWorld {
-    fn new(twins: bool) -> Self {
-        let founders: BTreeSet<NodeId> = (0..FOUNDERS as u64).map(NodeId).collect();
-        let image = LogReplica::bootstrap_image(founders);
+    fn new(shared_name: bool) -> Self {
+        let bootstrap_hosts: BTreeSet<NodeId> = (0..BOOTSTRAP_HOSTS as u64).map(NodeId).collect();
+        let image = LogReplica::bootstrap_image(bootstrap_hosts);
         let host = |number: usize| Host {
             id: NodeId(number as u64),
-            life: 0,
-            disk: match number < FOUNDERS {
+            incarnation: 0,
+            disk: match number < BOOTSTRAP_HOSTS {
                 true => image.clone(),
                 false => DiskImage::default(),
             },
@@ -230,10 +233,10 @@
             started_at: 0,
         };
         let mut world = Self {
-            twins,
+            shared_name,
             hosts: (0..HOSTS).map(host).collect(),
-            places: (0..HOSTS).map(|host| (NodeId(host as u64), host)).collect(),
-            bag: Vec::new(),
+            host_of_node: (0..HOSTS).map(|host| (NodeId(host as u64), host)).collect(),
+            in_flight: Vec::new(),
             cut: 0,
             now: 0,
             next_id: 100,
@@ -249,7 +252,8 @@
         world
     }
 
-    /// A process's clock starts anew with it, and goes on while it stands still.
+    /// Returns the clock of the process on a host: it starts at 0 with the process and goes on
+    /// while the process is frozen.
     fn clock(&self, host: usize) -> u64 {
         (self.now - self.hosts[host].started_at) * RATES[host] / 1000
     }
@@ -263,13 +267,13 @@
             return;
         }
         self.hosts[host].started_at = self.now;
-        let place = &mut self.hosts[host];
-        place.life += 1;
-        place.frozen = false;
-        let seed = place.id.0 * 7919 + self.now;
-        let disk = place.disk.clone();
-        let replica = LogReplica::new(place.id, TIMING, disk, 0, seed, COMPACT_AFTER);
-        place.replica = Some(replica);
+        let machine = &mut self.hosts[host];
+        machine.incarnation += 1;
+        machine.frozen = false;
+        let seed = machine.id.0 * 7919 + self.now;
+        let disk = machine.disk.clone();
+        let replica = LogReplica::new(machine.id, TIMING, disk, 0, seed, COMPACT_AFTER);
+        machine.replica = Some(replica);
     }
 
     fn kill(&mut self, host: usize) {
@@ -281,21 +285,21 @@
         self.wiped += 1;
         let id = NodeId(self.next_id);
         self.next_id += 1;
-        self.places.insert(id, host);
+        self.host_of_node.insert(id, host);
         self.hosts[host].id = id;
         self.hosts[host].disk = DiskImage::default();
         self.restart(host);
     }
 
     fn running(&mut self, host: usize) -> Option<&mut LogReplica> {
-        let place = &mut self.hosts[host];
-        place.replica.as_mut().filter(|_| !place.frozen)
+        let machine = &mut self.hosts[host];
+        machine.replica.as_mut().filter(|_| !machine.frozen)
     }
 
     fn tick(&mut self, host: usize) {
         let clock = self.clock(host);
-        let (twins, places) = (self.twins, self.places.clone());
-        let host_of = |node| Some(name(twins, *places.get(&node)?));
+        let (shared_name, host_of_node) = (self.shared_name, self.host_of_node.clone());
+        let host_of = |node| Some(name(shared_name, *host_of_node.get(&node)?));
         if let Some(replica) = self.running(host) {
             replica.tick(clock);
             replica.adjust_voters(clock, SHED_MS, host_of);
@@ -308,62 +312,62 @@
         self.running(host).map(|replica| replica.finish(clock))
     }
 
-    /// Syncs, sends and applies, in this order.
+    /// Writes records to the disk, sends messages and records replies, in this order.
     fn flush(&mut self, host: usize) {
         let Some(output) = self.finish(host) else {
             return;
         };
-        let place = &mut self.hosts[host];
+        let machine = &mut self.hosts[host];
         for record in output.records {
-            place.disk.apply(record);
+            machine.disk.apply(record);
         }
-        let (id, life) = (place.id, place.life);
-        let letters = output.messages.into_iter().map(|(to, message)| Letter {
+        let (id, incarnation) = (machine.id, machine.incarnation);
+        let envelopes = output.messages.into_iter().map(|(to, message)| Envelope {
             from: (host, id),
             to,
             message,
         });
-        self.bag.extend(letters);
+        self.in_flight.extend(envelopes);
         for (mark, _) in output.replies {
-            if self.waiting.remove(&(id, life, mark)) {
+            if self.waiting.remove(&(id, incarnation, mark)) {
                 self.acknowledged = self.acknowledged.max(mark.index);
             }
         }
-        self.note_agreed(host);
+        self.record_agreed(host);
     }
 
-    /// What a voter's disk holds up to its commit index is what all agree on.
-    fn note_agreed(&mut self, host: usize) {
-        let place = &self.hosts[host];
-        let Some(replica) = &place.replica else {
+    /// Checks that entries up to the commit index are the same on all disks.
+    fn record_agreed(&mut self, host: usize) {
+        let machine = &self.hosts[host];
+        let Some(replica) = &machine.replica else {
             return;
         };
         let commit = replica.raft().commit();
-        let entries = place.disk.entries.iter();
+        let entries = machine.disk.entries.iter();
         for entry in entries.filter(|entry| entry.mark.index <= commit) {
             let known = self.agreed.entry(entry.mark.index).or_insert(entry.clone());
             assert_eq!(known, entry, "committed entries differ");
         }
     }
 
-    /// Whether the process on its way's end could take it now.
-    fn arrives(&self, letter: &Letter) -> bool {
-        let to = self.places[&letter.to];
-        self.reaches(letter.from.0, to) && !self.hosts[to].frozen
+    /// Returns whether the receiving process can take the message now.
+    fn arrives(&self, envelope: &Envelope) -> bool {
+        let to = self.host_of_node[&envelope.to];
+        self.reaches(envelope.from.0, to) && !self.hosts[to].frozen
     }
 
     fn deliver(&mut self, at: usize, double: bool) {
-        if !self.arrives(&self.bag[at]) {
+        if !self.arrives(&self.in_flight[at]) {
             return;
         }
-        let letter = &self.bag[at];
+        let envelope = &self.in_flight[at];
         let (from, to, message) = (
-            letter.from.1,
-            self.places[&letter.to],
-            letter.message.clone(),
+            envelope.from.1,
+            self.host_of_node[&envelope.to],
+            envelope.message.clone(),
         );
         if !double {
-            self.bag.remove(at);
+            self.in_flight.remove(at);
         }
         let clock = self.clock(to);
         if let Some(replica) = self.running(to) {
@@ -372,56 +376,58 @@
         self.flush(to);
     }
 
-    /// Takes a message, or the time; then the power goes with some records on the disk.
+    /// Handles a message, if there is one, and a tick; then loses power with the first `kept`
+    /// records on the disk.
     fn lose_power(&mut self, host: usize, pick: usize, kept: usize) {
-        let letters = (0..self.bag.len()).filter(|at| self.places[&self.bag[*at].to] == host);
-        let letters: Vec<usize> = letters.collect();
+        let envelopes = (0..self.in_flight.len())
+            .filter(|at| self.host_of_node[&self.in_flight[*at].to] == host);
+        let envelopes: Vec<usize> = envelopes.collect();
         let clock = self.clock(host);
-        if !letters.is_empty() {
-            let letter = self.bag.remove(letters[pick % letters.len()]);
+        if !envelopes.is_empty() {
+            let envelope = self.in_flight.remove(envelopes[pick % envelopes.len()]);
             if let Some(replica) = self.running(host) {
-                replica.receive(clock, letter.from.1, letter.message);
+                replica.receive(clock, envelope.from.1, envelope.message);
             }
         }
         if let Some(replica) = self.running(host) {
             replica.tick(clock);
         }
         if let Some(output) = self.finish(host) {
-            let place = &mut self.hosts[host];
+            let machine = &mut self.hosts[host];
             let kept = output.records.into_iter().take(kept);
-            kept.for_each(|record| place.disk.apply(record));
+            kept.for_each(|record| machine.disk.apply(record));
         }
         self.kill(host);
     }
 
-    /// Delivers each message once; those that cannot arrive wait.
+    /// Delivers each message once; those that cannot arrive stay in flight.
     fn deliver_all(&mut self) {
         let mut at = 0;
-        for _ in 0..self.bag.len() {
-            match self.arrives(&self.bag[at]) {
+        for _ in 0..self.in_flight.len() {
+            match self.arrives(&self.in_flight[at]) {
                 true => self.deliver(at, false),
                 false => at += 1,
             }
             self.check();
         }
-        let spare = self.bag.len().saturating_sub(MAX_WAITING);
-        self.bag.drain(..spare);
+        let spare = self.in_flight.len().saturating_sub(MAX_WAITING);
+        self.in_flight.drain(..spare);
     }
 
-    fn calm(&mut self, rounds: usize) {
+    fn run_fault_free(&mut self, rounds: usize) {
         for round in 0..rounds {
             self.now += ROUND_MS;
             if round % 3 == 0 {
                 (0..HOSTS).for_each(|host| self.enroll(host));
             }
             (0..HOSTS).for_each(|host| self.tick(host));
-            for _ in 0..CALM_HOPS {
+            for _ in 0..DELIVERIES_PER_ROUND {
                 self.deliver_all();
             }
         }
     }
 
-    /// A disk that does not vote asks all; only a leader acts on it.
+    /// Asks all reachable hosts to make a non-voter a voter; only a leader acts on it.
     fn enroll(&mut self, host: usize) {
         let id = self.hosts[host].id;
         let voters = self.running(host).map(|r| r.raft().voters().contains(&id));
@@ -432,26 +438,27 @@
             if !self.reaches(host, other) {
                 continue;
             }
-            let note = Command::VoterHost(id, name(self.twins, host));
+            let command = Command::VoterHost(id, name(self.shared_name, host));
             let at_ms = self.now;
             let Some(replica) = self.running(other).filter(|r| r.raft().is_leader()) else {
                 continue;
             };
             replica.raft_mut().add_learner(id);
             if !replica.state().voter_hosts.contains_key(&id) {
-                let _ = replica.propose(at_ms, note);
+                let _ = replica.propose(at_ms, command);
             }
             self.flush(other);
         }
     }
 
     fn propose(&mut self, host: usize) {
-        let (id, life, at_ms) = (self.hosts[host].id, self.hosts[host].life, self.now);
-        let command = Command::VoterHost(id, name(self.twins, host));
+        let (id, incarnation, at_ms) =
+            (self.hosts[host].id, self.hosts[host].incarnation, self.now);
+        let command = Command::VoterHost(id, name(self.shared_name, host));
         if let Some(replica) = self.running(host)
             && let Ok(mark) = replica.propose(at_ms, command)
         {
-            self.waiting.insert((id, life, mark));
+            self.waiting.insert((id, incarnation, mark));
         }
         self.flush(host);
     }
@@ -464,7 +471,7 @@
         self.flush(host);
     }
 
-    /// The host whose leader has the highest term.
+    /// Returns the host of the leader with the highest term.
     fn leader(&self) -> Option<usize> {
         let leads = |host: &usize| {
             let replica = self.hosts[*host].replica.as_ref();
@@ -483,13 +490,13 @@
             self.kill(host);
             self.restart(host);
         }
-        self.calm(rounds);
+        self.run_fault_free(rounds);
     }
 
     fn freeze_leader(&mut self, rounds: usize) {
         if let Some(leader) = self.leader() {
             self.hosts[leader].frozen = true;
-            self.calm(rounds);
+            self.run_fault_free(rounds);
             self.hosts[leader].frozen = false;
             self.check();
         }
@@ -499,26 +506,27 @@
         let Some(leader) = self.leader() else {
             return;
         };
-        let asks_vote = |letter: &mut Letter| matches!(letter.message, RaftMessage::Vote { .. });
+        let asks_vote =
+            |envelope: &mut Envelope| matches!(envelope.message, RaftMessage::Vote { .. });
         self.cut = 1 << leader;
         let mut held = Vec::new();
-        for _ in 0..STAND_ROUNDS {
+        for _ in 0..CANDIDACY_ROUNDS {
             self.now += ROUND_MS;
             (0..HOSTS).for_each(|host| self.tick(host));
             self.deliver_all();
-            held.extend(self.bag.extract_if(.., asks_vote));
+            held.extend(self.in_flight.extract_if(.., asks_vote));
             if !held.is_empty() {
                 break;
             }
         }
-        let Some(candidate) = held.first().map(|letter| letter.from.0) else {
+        let Some(candidate) = held.first().map(|envelope| envelope.from.0) else {
             return;
         };
         self.cut = 1 << candidate;
-        self.calm(rounds);
+        self.run_fault_free(rounds);
         self.cut = 1 << leader;
-        self.bag.extend(held);
-        for _ in 0..CALM_HOPS {
+        self.in_flight.extend(held);
+        for _ in 0..DELIVERIES_PER_ROUND {
             self.deliver_all();
         }
     }
@@ -531,7 +539,7 @@
                 self.deliver_all();
                 self.cut = 1 << leader;
             }
-            self.calm(rounds);
+            self.run_fault_free(rounds);
             self.kill(leader);
         }
     }
@@ -540,28 +548,31 @@
         let mut deciding = Vec::new();
         for host in 0..HOSTS {
             let clock = self.clock(host);
-            let place = &self.hosts[host];
-            let Some(replica) = &place.replica else {
+            let machine = &self.hosts[host];
+            let Some(replica) = &machine.replica else {
                 continue;
             };
-            let process = (place.id, place.life);
+            let process = (machine.id, machine.incarnation);
             if replica.raft().is_leader() {
                 let known = *self.leaders.entry(replica.term()).or_insert(process);
-                assert_eq!(known, process, "two processes led one term");
+                assert_eq!(known, process, "two processes led the same term");
             }
             if let Some(state) = replica.newest(clock) {
                 deciding.push((host, replica.term()));
                 assert!(
                     state.position >= self.acknowledged,
-                    "a deciding read misses an acknowledged change"
+                    "a linearizable read misses an acknowledged change"
                 );
             }
         }
-        assert!(deciding.len() <= 1, "two decide at once: {deciding:?}");
+        assert!(
+            deciding.len() <= 1,
+            "two processes decide at once: {deciding:?}"
+        );
     }
 
-    /// Whether a voter can still be elected: a majority of the voters that it knows of have
-    /// their disks, with logs that are no newer than its own.
+    /// Returns whether a voter can still be elected: a majority of its voters have their disks,
+    /// with logs that are no newer than its own.
     fn can_go_on(&self) -> bool {
         let electable = |host: &Host| {
             let voters = voters_on(&host.disk);
@@ -595,19 +606,19 @@
     type SystemUnderTest = MemberWorld;
     type Reference = MemberScript;
 
-    fn init_test(twins: &bool) -> MemberWorld {
-        MemberWorld::new(*twins)
+    fn init_test(shared_name: &bool) -> MemberWorld {
+        MemberWorld::new(*shared_name)
     }
 
     fn apply(mut world: MemberWorld, _: &bool, step: MemberStep) -> MemberWorld {
         match step {
-            MemberStep::Deliver { pick, double } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
+            MemberStep::Deliver { pick, double } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
                 world.deliver(at, double);
             }
-            MemberStep::Lose { pick } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
-                world.bag.swap_remove(at);
+            MemberStep::Lose { pick } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
+                world.in_flight.swap_remove(at);
             }
             MemberStep::Deliver { .. } | MemberStep::Lose { .. } => {}
             MemberStep::Wait { ms } => {
@@ -618,7 +629,7 @@
                 world.now += ms;
                 world.tick(host);
             }
-            MemberStep::Calm { rounds } => world.calm(rounds),
+            MemberStep::FaultFree { rounds } => world.run_fault_free(rounds),
             MemberStep::Cut { mask } => world.cut = mask,
             MemberStep::Freeze { host, frozen } => world.hosts[host].frozen = frozen,
             MemberStep::Kill { host } => world.kill(host),
@@ -648,13 +659,14 @@
             world.restart(host);
         }
         let before = world.acknowledged;
-        for _ in 0..LAST_ROUNDS / 10 {
-            world.calm(10);
+        for _ in 0..RECOVERY_ROUNDS / 10 {
+            world.run_fault_free(10);
             (0..HOSTS).for_each(|host| world.propose(host));
         }
-        world.calm(10);
+        world.run_fault_free(10);
         let wiped = world.wiped;
-        // A change of the voters that was still on its way counts those that are lost.
+        // A pending change of the voters may count voters whose disks are lost, and then no
+        // majority is left.
         assert!(
             world.acknowledged > before || !world.can_go_on(),
             "no progress after all faults ended; {wiped} disks were lost"
@@ -666,5 +678,5 @@
     #![proptest_config(super::config(600))]
 
     #[test]
-    fn one_leads_whoever_comes_and_goes(sequential 1..120 => MemberTest);
+    fn at_most_one_leader_while_hosts_come_and_go(sequential 1..120 => MemberTest);
 }
--- a/tests/fuzz/place.rs
+++ b/tests/fuzz/place.rs
@@ -1,5 +1,5 @@
-//! Placement: every model keeps or regains a home, no target is ever given more
-//! than fits, and a settled site stays still.
+//! Placement: every model keeps or regains a home, no target is assigned more than its
+//! memory, and a settled site makes no further moves.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,10 +16,10 @@
 const TARGETS: usize = 5;
 const BASES: usize = 7;
 const ADAPTERS: usize = 4;
-const SIZES: [u64; BASES] = [60, 45, 40, 40, 30, 25, 20];
+const SIZES_MIB: [u64; BASES] = [60, 45, 40, 40, 30, 25, 20];
 const ADAPTER_MIB: u64 = 5;
-const ROOM: u64 = 100;
-/// Rounds in which a site with room must get every model home.
+const CAPACITY_MIB: u64 = 100;
+/// Rounds within which a site with free capacity must have a home for every model.
 const REPAIR_ROUNDS: usize = 80;
 
 const POLICY: PlacementPolicy = PlacementPolicy {
@@ -30,9 +30,9 @@
 
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Decide, and let `answered` of the ordered moves come true.
+    /// Plans one round and completes the first `completed` ordered moves.
     Round {
-        answered: usize,
+        completed: usize,
     },
     Lose {
         target: usize,
@@ -69,7 +69,7 @@
         let target = 0..TARGETS;
         let model = 0..BASES + ADAPTERS;
         prop_oneof![
-            10 => (0usize..4).prop_map(|answered| Step::Round { answered }),
+            10 => (0usize..4).prop_map(|completed| Step::Round { completed }),
             1 => target.clone().prop_map(|target| Step::Lose { target }),
             2 => target.clone().prop_map(|target| Step::Return { target }),
             1 => target.prop_map(|target| Step::Leave { target }),
@@ -100,7 +100,7 @@
 
 fn site() -> SiteSpec {
     let mut models = BTreeMap::new();
-    for (number, size) in SIZES.iter().enumerate() {
+    for (number, size) in SIZES_MIB.iter().enumerate() {
         let spec = ModelSpec {
             kind: ModelKind::Base,
             weights_mib: *size,
@@ -119,7 +119,7 @@
     let halls = ["x", "y", "z"];
     let spec = |number: usize| TargetSpec {
         hall: HallName::from(halls[number % halls.len()]),
-        memory_mib: ROOM,
+        memory_mib: CAPACITY_MIB,
         kv_floor_mib: 0,
         accelerators: 1,
     };
@@ -150,13 +150,13 @@
         HostName(target(number).0)
     }
 
-    fn life(&self, number: usize) -> Option<Incarnation> {
+    fn incarnation(&self, number: usize) -> Option<Incarnation> {
         let member = self.state.members.get(&Self::host(number));
         member.map(|member| member.incarnation)
     }
 
     fn join(&mut self, number: usize) {
-        if self.life(number).is_none() {
+        if self.incarnation(number).is_none() {
             let hall = HallName::from("x");
             let address = String::new();
             let role = MemberRole::Agent;
@@ -181,7 +181,7 @@
         set.into_iter().cloned().collect()
     }
 
-    fn round(&mut self, answered: usize) -> usize {
+    fn round(&mut self, completed: usize) -> usize {
         self.demand.sample(&self.levels);
         let before = self.ready_homes();
         let moves = moves::plan(&self.state, &POLICY, &self.demand, self.state.clock_ms);
@@ -195,13 +195,13 @@
             let has = after.get(&model).copied().unwrap_or(0);
             assert!(had == 0 || has > 0, "a move took {model}'s last ready home");
         }
-        self.check_room();
-        self.answer(answered);
+        self.check_capacity();
+        self.complete_moves(completed);
         count
     }
 
-    /// Agents report that some of the ordered moves are done.
-    fn answer(&mut self, answered: usize) {
+    /// Reports the first `completed` ordered moves as done.
+    fn complete_moves(&mut self, completed: usize) {
         let mut open = Vec::new();
         for (target, homes) in &self.state.homes {
             for (model, home) in homes {
@@ -216,26 +216,26 @@
                 }
             }
         }
-        for (target, model, report) in open.into_iter().take(answered) {
-            let keeper = self
-                .state
-                .agent_of(&target)
-                .map(|keeper| keeper.incarnation);
-            if let Some(life) = keeper {
-                self.run(Command::Home(target, life, model, report));
+        for (target, model, report) in open.into_iter().take(completed) {
+            let agent = self.state.agent_of(&target).map(|agent| agent.incarnation);
+            if let Some(incarnation) = agent {
+                self.run(Command::Home(target, incarnation, model, report));
             }
         }
     }
 
-    fn check_room(&self) {
+    fn check_capacity(&self) {
         for (target, homes) in &self.state.homes {
             let models = &self.state.site.models;
             let taken: u64 = homes.keys().map(|model| models[model].weights_mib).sum();
-            assert!(taken <= ROOM, "{target} is given {taken} of {ROOM} MiB");
+            assert!(
+                taken <= CAPACITY_MIB,
+                "{target} is assigned {taken} of {CAPACITY_MIB} MiB"
+            );
             for model in homes.keys() {
                 if let ModelKind::Adapter(base) = &models[model].kind {
                     let with = homes.contains_key(base);
-                    assert!(with, "{model} is on {target} without its base");
+                    assert!(with, "{model} is on {target} without its base model");
                 }
             }
         }
@@ -295,18 +295,18 @@
 
     fn apply(mut world: PlaceWorld, (): &(), step: Step) -> PlaceWorld {
         match step {
-            Step::Round { answered } => {
-                world.round(answered);
+            Step::Round { completed } => {
+                world.round(completed);
             }
             Step::Lose { target } => {
-                if let Some(life) = world.life(target) {
-                    world.run(Command::Lost(PlaceWorld::host(target), life));
+                if let Some(incarnation) = world.incarnation(target) {
+                    world.run(Command::Lost(PlaceWorld::host(target), incarnation));
                 }
             }
             Step::Return { target } => world.join(target),
             Step::Leave { target } => {
-                if let Some(life) = world.life(target) {
-                    world.run(Command::Leave(PlaceWorld::host(target), life));
+                if let Some(incarnation) = world.incarnation(target) {
+                    world.run(Command::Leave(PlaceWorld::host(target), incarnation));
                 }
             }
             Step::Put { model } => world.edit(model, true),
@@ -315,17 +315,17 @@
                 world.levels.insert(name(model), f64::from(level));
             }
         }
-        world.check_room();
+        world.check_capacity();
         world
     }
 
     fn teardown(mut world: PlaceWorld, (): ()) {
-        // One target stays lost: the table was only accepted with room for that.
+        // One target stays lost: tables are only accepted if the rest has capacity for them.
         for number in 0..TARGETS {
-            if let Some(life) = world.life(number) {
+            if let Some(incarnation) = world.incarnation(number) {
                 let leaving = world.state.members[&PlaceWorld::host(number)].leaving;
                 if leaving {
-                    world.run(Command::Lost(PlaceWorld::host(number), life));
+                    world.run(Command::Lost(PlaceWorld::host(number), incarnation));
                 }
             }
         }
@@ -344,7 +344,7 @@
             world.round(3);
         }
         let late: usize = (0..REPAIR_ROUNDS).map(|_| world.round(3)).sum();
-        assert_eq!(late, 0, "a settled site goes on moving");
+        assert_eq!(late, 0, "a settled site still makes moves");
     }
 }
 
--- a/tests/fuzz/view.rs
+++ b/tests/fuzz/view.rs
@@ -1,5 +1,5 @@
-//! Members follow the log: late, doubled, reordered and lost pages from voters
-//! that lag, restarts, and gaps longer than the journal.
+//! Views of members that follow the log, under late, duplicated, reordered and lost pages from
+//! lagging voters, restarts, and gaps longer than the journal.
 
 use std::collections::BTreeMap;
 
@@ -15,16 +15,16 @@
 
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Commits joins and leaves of hosts.
+    /// Commits joins and losses of a host.
     Commit {
         host: usize,
         times: usize,
     },
-    /// More changes than the journal holds.
+    /// Commits more changes than the journal holds.
     Flood,
-    /// Remembers the state as a lagging voter still has it.
+    /// Saves the current state as that of a lagging voter.
     Lag,
-    Ask {
+    Request {
         member: usize,
         lagging: bool,
     },
@@ -57,7 +57,7 @@
             1 => Just(Step::Flood),
             5 => Just(Step::Lag),
             30 => (member.clone(), any::<bool>())
-                .prop_map(|(member, lagging)| Step::Ask { member, lagging }),
+                .prop_map(|(member, lagging)| Step::Request { member, lagging }),
             40 => (any::<usize>(), any::<bool>())
                 .prop_map(|(pick, double)| Step::Deliver { pick, double }),
             5 => any::<usize>().prop_map(|pick| Step::Lose { pick }),
@@ -72,10 +72,10 @@
 pub struct ViewWorld {
     state: SiteState,
     lagging: SiteState,
-    /// The members known at each position, by the plainest record.
-    truth: BTreeMap<Position, BTreeMap<HostName, Incarnation>>,
+    /// The members at each position, recorded at the commit.
+    expected: BTreeMap<Position, BTreeMap<HostName, Incarnation>>,
     views: Vec<SiteView>,
-    bag: Vec<(usize, SyncPage)>,
+    in_flight: Vec<(usize, SyncPage)>,
 }
 
 impl ViewWorld {
@@ -90,7 +90,7 @@
         self.state.apply(position, &Stamped { at_ms, command });
         let members = self.state.members.iter();
         let members = members.map(|(host, member)| (host.clone(), member.incarnation));
-        self.truth.insert(position, members.collect());
+        self.expected.insert(position, members.collect());
     }
 
     fn check(&self) {
@@ -99,18 +99,22 @@
             let seen: BTreeMap<HostName, Incarnation> = members
                 .map(|(host, member)| (host.clone(), member.incarnation))
                 .collect();
-            let truth = self.truth.get(&view.position).cloned().unwrap_or_default();
+            let expected = self
+                .expected
+                .get(&view.position)
+                .cloned()
+                .unwrap_or_default();
             assert_eq!(
-                seen, truth,
-                "a member's copy at {} is not the log's",
+                seen, expected,
+                "a member's view at {} differs from the log",
                 view.position
             );
         }
     }
 }
 
-/// Found by the demo: positions that claims moved made members take every
-/// control host for one that kept changes back, and entries stale.
+/// If claims moved the position that members follow, members would take every control host
+/// for one that withholds changes, and entries would become stale.
 #[test]
 fn claims_do_not_move_the_position_that_members_follow() {
     let mut state = SiteState::default();
@@ -152,9 +156,9 @@
         ViewWorld {
             state: SiteState::default(),
             lagging: SiteState::default(),
-            truth: BTreeMap::new(),
+            expected: BTreeMap::new(),
             views: vec![SiteView::default(); MEMBERS],
-            bag: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
@@ -165,25 +169,25 @@
             Step::Commit { host, times } => (0..times).for_each(|_| world.commit(host)),
             Step::Flood => (0..MAX_JOURNAL_LEN + 10).for_each(|at| world.commit(at % HOSTS)),
             Step::Lag => world.lagging = world.state.clone(),
-            Step::Ask { member, lagging } => {
+            Step::Request { member, lagging } => {
                 let state = match lagging {
                     true => &world.lagging,
                     false => &world.state,
                 };
                 let page = page_after(state, world.views[member].position);
-                world.bag.push((member, page));
+                world.in_flight.push((member, page));
             }
-            Step::Deliver { pick, double } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
+            Step::Deliver { pick, double } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
                 let (member, page) = match double {
-                    true => world.bag[at].clone(),
-                    false => world.bag.swap_remove(at),
+                    true => world.in_flight[at].clone(),
+                    false => world.in_flight.swap_remove(at),
                 };
                 world.views[member].follow(&page);
             }
-            Step::Lose { pick } if !world.bag.is_empty() => {
-                let at = pick % world.bag.len();
-                world.bag.swap_remove(at);
+            Step::Lose { pick } if !world.in_flight.is_empty() => {
+                let at = pick % world.in_flight.len();
+                world.in_flight.swap_remove(at);
             }
             Step::Deliver { .. } | Step::Lose { .. } => {}
             Step::Restart { member } => {
@@ -193,7 +197,10 @@
         }
         for (member, view) in world.views.iter().enumerate() {
             let back = view.position < before[member];
-            assert!(!back || restarted == Some(member), "a position went back");
+            assert!(
+                !back || restarted == Some(member),
+                "a member's position went backwards"
+            );
         }
         world.check();
         world
@@ -205,7 +212,7 @@
             view.follow(&page);
             assert_eq!(
                 view.position, world.state.position,
-                "one page is not enough"
+                "one page did not bring the view up to date"
             );
         }
         world.check();
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -21,8 +21,8 @@
     fi
     local out
     local cases=20000
-    [ "$test" = the_log_keeps_what_it_acknowledged ] && cases=20000
-    [ "$test" = no_limit_is_exceeded_in_sum ] && cases=100000
+    [ "$test" = the_log_keeps_acknowledged_changes ] && cases=20000
+    [ "$test" = the_sum_of_running_requests_stays_within_the_limit ] && cases=100000
     out=$(cd "$scratch" && DUNLINSPRING_CASES=$cases timeout 500 cargo test --offline --test "$target" -- "$test" 2>&1)
     local code=$?
     local reason
@@ -35,7 +35,7 @@
 }
 
 only=("$@")
-log=the_log_keeps_what_it_acknowledged
+log=the_log_keeps_acknowledged_changes
 mutant lease-too-long src/consensus/raft.rs 's/LEASE_PER_MILLE: u64 = 850/LEASE_PER_MILLE: u64 = 1700/' fuzz $log
 mutant no-silence-after-restart src/consensus/raft.rs 's/no_vote_until_ms: now_ms \+ timing.election_ms/no_vote_until_ms: 0/' fuzz $log
 mutant votes-while-leader-heard src/consensus/raft.rs 's/now_ms < leader_valid_ms \|\| now_ms < self\.no_vote_until_ms \|\| leading/now_ms < self.no_vote_until_ms/' fuzz $log
@@ -49,7 +49,7 @@
 mutant version-not-checked src/table/rows.rs 's/_ if version != edit\.expected => \{/_ if false \&\& version != edit.expected => {/' fuzz $log
 mutant claim-taken-twice src/consensus/claims.rs 's/\(Some\(record\), _\) if record\.settled != Some\(Settlement::NotRun\) =>/(Some(record), _) if false \&\& record.settled != Some(Settlement::NotRun) =>/' fuzz $log
 mutant lost-disk-votes-again tests/fuzz/log.rs 's/self\.voters\[voter\]\.id = id;\n        self\.voters\[voter\]\.disk = DiskImage::default\(\);/let founders = (0..VOTERS as u64).map(NodeId).collect();\n        self.voters[voter].disk = LogReplica::bootstrap_image(founders);/' fuzz $log
-gate=outcomes_memory_and_runs_are_true
+gate=outcomes_memory_and_runs_stay_correct
 mutant memory-freed-at-order src/admission/ledger.rs 's/used\.phase = ModelPhase::Unloading;\n            used\.stamp = stamp;/used.phase = ModelPhase::Unloading;\n            used.mib = 0;\n            used.stamp = stamp;/' fuzz $gate
 mutant unanswered-load-not-counted src/admission/ledger.rs 's/None => !settled,/None => false,/' fuzz $gate
 mutant account-open-at-once src/admission/ledger.rs 's/OrderCheck::Fenced => report\.fence\.life == life,/OrderCheck::Fenced => true,/' fuzz $gate
@@ -66,7 +66,7 @@
 mutant refused-resume-is-not-run src/admission/controller.rs 's/RunEvent::Refused if !attempt\.resumed =>/RunEvent::Refused if true || !attempt.resumed =>/' fuzz $gate
 mutant pieces-out-of-order src/admission/controller.rs 's/if index as usize == attempt\.pieces\.len\(\) \{/if index as usize + 1 >= attempt.pieces.len() {/' fuzz $gate
 mutant boot-not-checked tests/fuzz/gate.rs 's/ \|\| order\.boot != self\.boot//; s/ \|\| run\.boot != engine\.boot//' fuzz $gate
-limit=no_limit_is_exceeded_in_sum
+limit=the_sum_of_running_requests_stays_within_the_limit
 mutant old-ask-granted src/table/limits.rs 's/let new = request_number > \*newest;/let new = true || request_number > *newest;/' fuzz $limit
 mutant new-leader-not-quiet src/table/limits.rs 's/let quiet_until_ms = self\.since_ms/let quiet_until_ms = 0 * self.since_ms/; s/ \+ self\.policy\.lease_ms \+ patience_ms;/;/' fuzz $limit
 mutant lease-without-patience src/table/limits.rs 's/expires_ms: now_ms \+ self\.policy\.lease_ms \+ patience_ms,/expires_ms: now_ms + self.policy.lease_ms,/' fuzz $limit
@@ -117,9 +117,9 @@
 mutant leaving-not-kept src/routing/backoff.rs 's/peer if peer\.is_draining\(incarnation\) => /peer if false \&\& peer.is_draining(incarnation) => /' forwarding draining_announced_in_a_response
 mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return AttemptOutcome::NotSent;\n            \}/Err(_) => None,/' forwarding a_request_with_a_slow_connection
 mutant refusals-not-kept src/entry/flight_steps.rs 's/state\.refusals\.record\([^;]*;//' overload a_home_that_refused_a_row
-limits=no_span_brings_more_than_a_replica_named
+limits=no_window_exceeds_the_advertised_limit
 mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(named_us\)/cold_us/' replica_limits $limits
-mutant permit-outside-of-the-known-term src/placement/replica_rates.rs 's/if request\.is_limited && !self\.limits/if false \&\& !self.limits/' replica_limits a_new_leader_gives_no_permit
-mutant limit-ended-by-any-answer src/placement/named_limits.rs 's/ && granted_ms > record\.observed_ms//' replica_limits an_older_answer_that_comes_late
+mutant permit-outside-of-the-known-term src/placement/replica_rates.rs 's/if request\.is_limited && !self\.limits/if false \&\& !self.limits/' replica_limits a_new_leader_grants_no_permit
+mutant limit-ended-by-any-answer src/placement/named_limits.rs 's/ && granted_ms > record\.observed_ms//' replica_limits a_late_older_response
 mutant bucket-full-at-a-new-limit src/placement/rate_limit.rs 's/bucket\.due_us = bucket\.due_us\.max\(next_us\);/let _ = next_us;/' replica_limits $limits
-mutant limit-heard-by-one-entry src/placement/named_limits.rs 's/let changes = self\.changes\.range\(from \+ 1\.\.\);/let changes = self.changes.range(u64::MAX..);/' replica_limits after_an_answer_without
+mutant limit-heard-by-one-entry src/placement/named_limits.rs 's/let changes = self\.changes\.range\(from \+ 1\.\.\);/let changes = self.changes.range(u64::MAX..);/' replica_limits after_a_response_without
--- a/tests/replica_limits/main.rs
+++ b/tests/replica_limits/main.rs
@@ -1,5 +1,5 @@
-//! Limits that replicas name, over all entries together: what arrives is counted against what
-//! they named, while leaders are lost, and entries start again, stand still and are cut off.
+//! Advertised rate limits over all entries together: arrivals are counted against the limit
+//! while leaders are lost and entries restart, freeze and are cut off.
 
 #[path = "../support_spans/mod.rs"]
 mod support_spans;
@@ -17,29 +17,30 @@
 use support_spans::most_within;
 use world::{Phase, Step, World, replica};
 
-/// The span in which arrivals are counted, in milliseconds.
-const SPAN_MS: u64 = 4_000;
-/// Time from the first answer that names a limit on, in milliseconds; its users allow 3 s.
-const FIRST_MS: u64 = 1_500;
-/// Time from when an entry knows of it on, in milliseconds.
-const KNOWN_MS: u64 = 500;
-/// Sizes of the deployments that are drawn.
+/// Window in which arrivals are counted, in milliseconds.
+const WINDOW_MS: u64 = 4_000;
+/// Time after the replica starts to advertise a limit in which arrivals are not counted, in ms.
+/// The users who run the replicas allow 3 s.
+const LIMIT_SETTLING_MS: u64 = 1_500;
+/// Time after an entry learns of a limit in which its requests are not counted, in milliseconds.
+const ENTRY_SETTLING_MS: u64 = 500;
+/// Numbers of entries in the tested deployments.
 const SIZES: [usize; 4] = [1, 5, 60, 360];
 
-/// What may arrive in a span, as the replicas' users state it.
+/// Returns the most arrivals in a window, as required by the users who run the replicas.
 fn allowed(per_s: f64) -> usize {
-    (1.5 * per_s * SPAN_MS as f64 / 1_000.0) as usize + 5
+    (1.5 * per_s * WINDOW_MS as f64 / 1_000.0) as usize + 5
 }
 
-/// Most arrivals in a span of a phase, from entries that knew.
-fn most_in_a_span(world: &World, phase: &Phase) -> usize {
-    let from_ms = phase.from_ms + FIRST_MS;
+/// Returns the most arrivals in a window of a phase, from entries that knew the limit.
+fn max_in_window(world: &World, phase: &Phase) -> usize {
+    let from_ms = phase.from_ms + LIMIT_SETTLING_MS;
     let counted = world.arrivals.iter().filter(|arrival| {
         let known_ms = arrival.known_ms;
-        let knew = known_ms.is_some_and(|ms| ms + KNOWN_MS <= arrival.at_ms);
+        let knew = known_ms.is_some_and(|ms| ms + ENTRY_SETTLING_MS <= arrival.at_ms);
         knew && (from_ms..phase.until_ms).contains(&arrival.at_ms)
     });
-    most_within(counted.map(|arrival| arrival.at_ms), SPAN_MS)
+    most_within(counted.map(|arrival| arrival.at_ms), WINDOW_MS)
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -47,10 +48,10 @@
         12 => (1u64..400).prop_map(Step::Wait),
         3 => (400u64..3_000).prop_map(Step::Wait),
         10 => (any::<usize>(), 1u32..20).prop_map(|(entry, count)| Step::Demand(entry, count)),
-        6 => (1usize..400).prop_map(Step::Crowd),
-        2 => (200u32..20_000).prop_map(Step::Name),
-        1 => Just(Step::Name(0)),
-        1 => Just(Step::Recover),
+        6 => (1usize..400).prop_map(Step::DemandAll),
+        2 => (200u32..20_000).prop_map(Step::Advertise),
+        1 => Just(Step::Advertise(0)),
+        1 => Just(Step::Withdraw),
         1 => (1u64..2_000).prop_map(Step::Slow),
         1 => Just(Step::LoseLeader),
         1 => any::<usize>().prop_map(Step::Restart),
@@ -73,47 +74,47 @@
     })]
 
     #[test]
-    fn no_span_brings_more_than_a_replica_named(
+    fn no_window_exceeds_the_advertised_limit(
         size in prop::sample::select(&SIZES[..]),
         seed in any::<u64>(),
         first in 200u32..20_000,
         steps in prop::collection::vec(step(), 50..150),
     ) {
         let mut world = World::new(size, seed);
-        world.step(Step::Name(first));
+        world.step(Step::Advertise(first));
         for step in steps {
             world.step(step);
         }
         for phase in &world.phases {
-            let most = most_in_a_span(&world, phase);
+            let most = max_in_window(&world, phase);
             let allowed = allowed(phase.per_s);
-            prop_assert!(most <= allowed, "{} in a span, {} allowed, {:?}", most, allowed, phase);
+            prop_assert!(most <= allowed, "{} in a window, {} allowed, {:?}", most, allowed, phase);
         }
     }
 }
 
-/// Demand at all entries for so long.
-fn press(world: &mut World, size: usize, for_ms: u64) {
+/// Sends requests at the first `size` entries every 20 ms for a time.
+fn send_load(world: &mut World, size: usize, for_ms: u64) {
     for _ in 0..for_ms / 20 {
-        world.step(Step::Crowd(size));
+        world.step(Step::DemandAll(size));
         world.step(Step::Wait(20));
     }
 }
 
 #[test]
-fn while_there_is_demand_most_of_the_limit_is_used() {
+fn most_of_the_limit_is_used_under_load() {
     for size in SIZES {
         for thousandths in [200, 1_000, 5_000, 20_000] {
             let mut world = World::new(size, 1);
-            world.step(Step::Name(thousandths));
-            press(&mut world, size, 5_000);
-            let (before, asked) = (world.arrivals.len(), world.asked);
-            press(&mut world, size, 60_000);
+            world.step(Step::Advertise(thousandths));
+            send_load(&mut world, size, 5_000);
+            let (before, permit_requests) = (world.arrivals.len(), world.permit_requests);
+            send_load(&mut world, size, 60_000);
             let got = world.arrivals.len() - before;
             let limit = f64::from(thousandths) / 1_000.0 * 60.0;
             println!(
                 "{size} entries, {limit} allowed in 60 s: {got} came, {} asked",
-                world.asked - asked
+                world.permit_requests - permit_requests
             );
             assert!(
                 got as f64 >= limit * 0.8,
@@ -124,35 +125,35 @@
 }
 
 #[test]
-fn permits_asked_do_not_grow_with_the_entries_times_the_rate() {
+fn permit_requests_do_not_grow_with_entries_times_rate() {
     let mut world = World::new(360, 1);
-    world.step(Step::Name(1_000));
-    press(&mut world, 360, 20_000);
-    let before = world.asked;
-    press(&mut world, 360, 60_000);
-    // One each for the requests that go, and each entry looks again every 10 s.
+    world.step(Step::Advertise(1_000));
+    send_load(&mut world, 360, 20_000);
+    let before = world.permit_requests;
+    send_load(&mut world, 360, 60_000);
+    // One for each request sent, and one from each entry every 10 s.
     let most = 60 + 360 * 6;
     assert!(
-        world.asked - before <= most + most / 10,
+        world.permit_requests - before <= most + most / 10,
         "{}",
-        world.asked - before
+        world.permit_requests - before
     );
 }
 
 #[test]
-fn after_an_answer_without_a_limit_all_entries_send_freely_within_a_second() {
+fn after_a_response_without_a_limit_all_entries_are_unlimited_within_a_second() {
     for size in SIZES {
         for seed in 0..20 {
             let mut world = World::new(size, seed);
-            world.step(Step::Name(2_000));
-            press(&mut world, size, 6_000);
+            world.step(Step::Advertise(2_000));
+            send_load(&mut world, size, 6_000);
             assert_eq!(world.limited(), size);
-            world.step(Step::Recover);
+            world.step(Step::Withdraw);
             while world.limited() > 0 {
-                press(&mut world, size.min(2), 20);
-                let free_ms = world.free_ms.unwrap_or(world.now_ms());
+                send_load(&mut world, size.min(2), 20);
+                let first_unlimited_ms = world.first_unlimited_ms.unwrap_or(world.now_ms());
                 assert!(
-                    world.now_ms() < free_ms + 1_000,
+                    world.now_ms() < first_unlimited_ms + 1_000,
                     "{} entries still",
                     world.limited()
                 );
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_limit_is_read_as_the_lowest_number_there_is() {
+fn the_lowest_valid_limit_in_a_head_counts() {
     let gap_us =
         |values: &[&str]| AdvertisedRate::parse(values.iter().copied()).map(|rate| rate.gap_us);
     assert_eq!(gap_us(&["2"]), Some(500_000));
@@ -180,15 +181,16 @@
     assert_eq!(gap_us(&[]), None);
 }
 
-/// A leader that was not told of a limit would let requests go as to any other replica.
+/// A new leader that has not learned of a limit would let requests through as to any unlimited
+/// replica.
 #[test]
-fn a_new_leader_gives_no_permit_to_an_entry_that_knows_of_a_limit_by_the_one_before() {
+fn a_new_leader_grants_no_permit_to_entries_that_know_a_limit_of_the_previous_term() {
     for seed in 0..20 {
         let mut world = World::new(60, seed);
-        world.step(Step::Name(200));
-        press(&mut world, 1, 6_000);
+        world.step(Step::Advertise(200));
+        send_load(&mut world, 1, 6_000);
         assert_eq!(world.limited(), 60);
-        // Entry 0 alone has heard an answer that names the limit.
+        // Only entry 0 has received a response that advertises the limit.
         world.step(Step::Restart(0));
         world.step(Step::LoseLeader);
         let before = world.arrivals.len();
@@ -210,7 +212,7 @@
     }
 }
 
-fn notice(per_s: &str, age_ms: u64, permit: Option<PermitStamp>) -> LimitObservation {
+fn observation(per_s: &str, age_ms: u64, permit: Option<PermitStamp>) -> LimitObservation {
     LimitObservation {
         replica: replica(),
         rate: AdvertisedRate::parse([per_s].into_iter()).unwrap(),
@@ -227,10 +229,10 @@
 }
 
 #[test]
-fn an_older_answer_that_comes_late_neither_ends_nor_begins_a_limit() {
+fn a_late_older_response_neither_ends_nor_starts_a_limit() {
     let mut limits = AdvertisedLimits::new(TERM, 0);
-    assert!(limits.observe(5_000, &notice("2", 0, None)));
-    // Its request left before the limit was heard of.
+    assert!(limits.observe(5_000, &observation("2", 0, None)));
+    // Its request left before the limit was observed.
     assert!(!limits.observe_end(6_000, &end(stamp(5_000))));
     let other_leader = PermitStamp {
         term: Term(2),
@@ -239,33 +241,33 @@
     assert!(!limits.observe_end(6_000, &end(other_leader)));
     assert!(limits.rate(&replica()).is_some());
     assert!(limits.observe_end(7_000, &end(stamp(6_000))));
-    // It came before the request left that showed the end.
-    assert!(!limits.observe(7_500, &notice("2", 1_500, None)));
+    // Received before the request left whose response showed the end.
+    assert!(!limits.observe(7_500, &observation("2", 1_500, None)));
     assert!(limits.rate(&replica()).is_none());
-    assert!(limits.observe(7_500, &notice("2", 1_499, None)));
+    assert!(limits.observe(7_500, &observation("2", 1_499, None)));
 }
 
 #[test]
-fn a_lower_number_counts_at_once_and_a_higher_one_by_a_newer_request() {
+fn a_lower_limit_counts_at_once_and_a_higher_one_by_a_newer_request() {
     let mut limits = AdvertisedLimits::new(TERM, 0);
     let gap_us = |limits: &AdvertisedLimits| limits.rate(&replica()).unwrap().gap_us;
-    limits.observe(5_000, &notice("2", 0, None));
-    limits.observe(5_500, &notice("1", 0, Some(stamp(100))));
+    limits.observe(5_000, &observation("2", 0, None));
+    limits.observe(5_500, &observation("1", 0, Some(stamp(100))));
     assert_eq!(gap_us(&limits), 1_000_000);
-    limits.observe(6_000, &notice("4", 0, Some(stamp(5_500))));
+    limits.observe(6_000, &observation("4", 0, Some(stamp(5_500))));
     assert_eq!(gap_us(&limits), 1_000_000);
-    limits.observe(6_500, &notice("4", 0, Some(stamp(5_501))));
+    limits.observe(6_500, &observation("4", 0, Some(stamp(5_501))));
     assert_eq!(gap_us(&limits), 250_000);
 }
 
 #[test]
-fn no_limit_outlives_a_life_and_none_goes_with_a_record() {
+fn a_limit_ends_with_its_incarnation_but_not_with_its_record() {
     let later = ReplicaIncarnation {
         started_ms: 8,
         ..replica()
     };
     let mut limits = AdvertisedLimits::new(TERM, 0);
-    limits.observe(5_000, &notice("2", 0, None));
+    limits.observe(5_000, &observation("2", 0, None));
     assert!(limits.rate(&later).is_none());
     limits.prune(500_000, |_| IncarnationState::Unknown);
     assert!(limits.rate(&replica()).is_some());
@@ -274,7 +276,7 @@
     assert!(limits.rate(&replica()).is_some());
     limits.prune(1_000_001, |_| IncarnationState::Replaced);
     assert!(limits.rate(&replica()).is_none());
-    // An entry that had it is told all that is left.
+    // An entry that knew the limit gets a full page of the remaining ones.
     let had = LimitCursor {
         term: TERM,
         revision: 0,
@@ -283,26 +285,26 @@
     assert!(page.full && page.limits.is_empty());
 
     let mut peers = LimitedPeers::default();
-    peers.record_limit(1_000, &replica(), notice("2", 0, None).rate, None);
+    peers.record_limit(1_000, &replica(), observation("2", 0, None).rate, None);
     assert!(peers.is_limited(&replica()) && !peers.is_limited(&later));
-    peers.prune(|life| life.started_ms < 8);
+    peers.prune(|incarnation| incarnation.started_ms < 8);
     assert!(!peers.is_limited(&replica()));
 }
 
 #[test]
-fn an_entry_that_was_cut_off_while_a_limit_ended_gives_it_up() {
+fn an_entry_cut_off_while_a_limit_ended_drops_it() {
     let mut limits = AdvertisedLimits::new(TERM, 0);
     let mut peers = LimitedPeers::default();
-    peers.record_limit(5_000, &replica(), notice("2", 0, None).rate, None);
-    let told = peers.report(5_000);
+    peers.record_limit(5_000, &replica(), observation("2", 0, None).rate, None);
+    let reported = peers.report(5_000);
     let page = {
-        limits.observe(5_010, &told.observed[0]);
-        limits.report(5_010, &told)
+        limits.observe(5_010, &reported.observed[0]);
+        limits.report(5_010, &reported)
     };
-    peers.acknowledge(5_000, &told);
+    peers.acknowledge(5_000, &reported);
     peers.apply_page(5_020, &page);
-    // Heard once more, but not told.
-    peers.record_limit(5_500, &replica(), notice("2", 0, None).rate, None);
+    // Observed once more, but not reported.
+    peers.record_limit(5_500, &replica(), observation("2", 0, None).rate, None);
     limits.observe_end(9_000, &end(stamp(8_000)));
     let missed = limits.page(9_500, peers.cursor());
     peers.apply_page(9_500, &missed);
@@ -316,29 +318,29 @@
 }
 
 #[test]
-fn a_replica_that_names_a_higher_limit_gets_it_soon() {
+fn a_raised_limit_takes_effect_soon() {
     for size in SIZES {
         let mut world = World::new(size, 1);
-        world.step(Step::Name(0));
-        press(&mut world, size, 25_000);
-        world.step(Step::Name(20_000));
-        // The next request that goes there brings it.
-        press(&mut world, size, 12_000);
+        world.step(Step::Advertise(0));
+        send_load(&mut world, size, 25_000);
+        world.step(Step::Advertise(20_000));
+        // The response to the next request advertises the new limit.
+        send_load(&mut world, size, 12_000);
         let before = world.arrivals.len();
-        press(&mut world, size, 5_000);
+        send_load(&mut world, size, 5_000);
         let got = world.arrivals.len() - before;
         assert!(got >= 80, "{size} entries: {got} of 100");
     }
 }
 
 #[test]
-fn an_older_page_that_comes_after_a_newer_one_ends_no_limit() {
+fn an_older_page_after_a_newer_one_ends_no_limit() {
     let mut limits = AdvertisedLimits::new(TERM, 0);
     let mut peers = LimitedPeers::default();
-    limits.observe(5_000, &notice("2", 0, None));
+    limits.observe(5_000, &observation("2", 0, None));
     limits.observe_end(6_000, &end(stamp(5_500)));
     let older = limits.page(6_000, peers.cursor());
-    limits.observe(6_100, &notice("2", 0, None));
+    limits.observe(6_100, &observation("2", 0, None));
     let newer = limits.page(6_100, peers.cursor());
     peers.apply_page(6_200, &newer);
     peers.apply_page(6_210, &older);
--- a/tests/replica_limits/world.rs
+++ b/tests/replica_limits/world.rs
@@ -1,4 +1,4 @@
-//! Entries, leaders and one replica that names limits, in simulated time.
+//! Simulation of entries, leaders and one replica that advertises rate limits.
 
 use std::collections::BTreeMap;
 
@@ -14,54 +14,54 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Time between two regular reports of an entry, in milliseconds.
+/// Interval between periodic reports of an entry, in milliseconds.
 const REPORT_MS: u64 = 500;
-/// Longest time of one message, in milliseconds.
-const WAY_MS: u64 = 60;
-/// Stands for an answer that nobody gave.
-const SILENT: PermitRefusal = PermitRefusal {
+/// Longest transit time of a message, in milliseconds.
+const MAX_TRANSIT_MS: u64 = 60;
+/// Refusal that an entry assumes if it cannot reach a leader.
+const NO_REPLY: PermitRefusal = PermitRefusal {
     wait_ms: 300,
     rate: None,
 };
-/// Time in which a report of an entry is answered, in milliseconds.
-const TELL_MS: u64 = 250;
-/// Time until a new leader is there, in milliseconds.
+/// Timeout for the reply to a report of an entry, in milliseconds.
+const REPORT_REPLY_MS: u64 = 250;
+/// Time until a new leader is elected, in milliseconds.
 const ELECTION_MS: std::ops::Range<u64> = 200..2_500;
 
-/// Something that happens from outside.
+/// An external event.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// So many milliseconds go by.
+    /// Advances time by milliseconds.
     Wait(u64),
-    /// Requests come to an entry.
+    /// A number of requests arrive at an entry.
     Demand(usize, u32),
-    /// A request comes to each of so many entries.
-    Crowd(usize),
-    /// The replica names a limit, in thousandths of a request a second.
-    Name(u32),
-    /// It names none any more.
-    Recover,
-    /// Its answers take so long, in milliseconds.
+    /// One request arrives at each of the first entries, up to this number.
+    DemandAll(usize),
+    /// The replica advertises a limit, in thousandths of a request a second.
+    Advertise(u32),
+    /// The replica advertises no limit any more.
+    Withdraw,
+    /// Sets the time that the replica takes to respond, in milliseconds.
     Slow(u64),
-    /// The leader is lost; another one follows.
+    /// The leader is lost, and another one is elected later.
     LoseLeader,
-    /// An entry starts again.
+    /// An entry restarts.
     Restart(usize),
-    /// An entry stands still for so many milliseconds.
+    /// An entry freezes for a number of milliseconds.
     Freeze(usize, u64),
-    /// An entry does not reach control hosts for so many milliseconds.
+    /// An entry cannot reach control hosts for a number of milliseconds.
     Cut(usize, u64),
 }
 
-/// A request that arrived.
+/// A request that arrived at the replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub at_ms: u64,
-    /// When the entry that sent it had first known of the limit in force.
+    /// Time at which the sending entry learned of the limit in force.
     pub known_ms: Option<u64>,
 }
 
-/// A time in which the replica named one limit.
+/// A period in which the replica advertised one limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Phase {
     pub from_ms: u64,
@@ -71,46 +71,47 @@
 
 #[derive(Default)]
 struct Entry {
-    life: u64,
+    incarnation: u64,
     peers: LimitedPeers,
     known_ms: Option<u64>,
-    pace: PermitThrottle<ReplicaIncarnation>,
+    throttle: PermitThrottle<ReplicaIncarnation>,
     frozen_until_ms: u64,
     cut_until_ms: u64,
-    /// Until when an answer to its last report may come, in milliseconds.
-    telling_until_ms: u64,
+    /// Time until which the reply to the last report may arrive, in milliseconds.
+    report_pending_until_ms: u64,
 }
 
-/// What an entry knows of a request that it sent.
+/// The sender of a request and its permit.
 #[derive(Clone, Copy, Debug)]
 struct Sender {
     entry: usize,
-    life: u64,
+    incarnation: u64,
     permit: Option<PermitStamp>,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
-    AskArrives(usize, u64, PermitRequest, u64),
+    PermitRequestArrives(usize, u64, PermitRequest, u64),
     ReplyArrives(usize, u64, PermitReply, u64),
     RequestArrives(Sender, Option<u64>),
     HeadLeaves(Sender),
     HeadArrives(Sender, Option<AdvertisedRate>),
-    Regular(usize, u64),
+    ReportTimer(usize, u64),
     CursorArrives(usize, u64, LimitCursor),
     LimitsArrive(usize, u64, LimitReport, u64),
     PageArrives(usize, u64, LimitPage, Option<(LimitReport, u64)>),
-    Lead(Term),
+    LeaderElected(Term),
 }
 
 impl Event {
-    /// The entry that takes it, in which life; none where it is the replica's or a leader's.
-    fn taker(&self) -> Option<(usize, u64)> {
+    /// Returns the entry and its incarnation that receive the event, or `None` if it goes to
+    /// the replica or a leader.
+    fn recipient(&self) -> Option<(usize, u64)> {
         match self {
-            Self::ReplyArrives(entry, life, ..)
-            | Self::Regular(entry, life)
-            | Self::PageArrives(entry, life, ..) => Some((*entry, *life)),
-            Self::HeadArrives(sender, _) => Some((sender.entry, sender.life)),
+            Self::ReplyArrives(entry, incarnation, ..)
+            | Self::ReportTimer(entry, incarnation)
+            | Self::PageArrives(entry, incarnation, ..) => Some((*entry, *incarnation)),
+            Self::HeadArrives(sender, _) => Some((sender.entry, sender.incarnation)),
             _ => None,
         }
     }
@@ -128,10 +129,10 @@
     queued: u64,
     pub arrivals: Vec<Arrival>,
     pub phases: Vec<Phase>,
-    /// Permits asked of leaders.
-    pub asked: u64,
-    /// When the first answer after the end of a limit came that names none.
-    pub free_ms: Option<u64>,
+    /// Number of permit requests that reached a leader.
+    pub permit_requests: u64,
+    /// Time of the first response without a limit after a limit ended.
+    pub first_unlimited_ms: Option<u64>,
 }
 
 pub fn replica() -> ReplicaIncarnation {
@@ -155,12 +156,12 @@
             queued: 0,
             arrivals: Vec::new(),
             phases: Vec::new(),
-            asked: 0,
-            free_ms: None,
+            permit_requests: 0,
+            first_unlimited_ms: None,
         };
         for entry in 0..entries {
             let first_ms = world.random.random_range(0..REPORT_MS);
-            world.later(first_ms, Event::Regular(entry, 0));
+            world.schedule(first_ms, Event::ReportTimer(entry, 0));
         }
         world
     }
@@ -169,7 +170,7 @@
         self.now_ms
     }
 
-    /// Entries that take the replica for limited.
+    /// Returns the number of entries that treat the replica as limited.
     pub fn limited(&self) -> usize {
         let entries = self.entries.iter();
         entries
@@ -177,14 +178,14 @@
             .count()
     }
 
-    fn later(&mut self, after_ms: u64, event: Event) {
+    fn schedule(&mut self, after_ms: u64, event: Event) {
         self.queued += 1;
         self.queue
             .insert((self.now_ms + after_ms, self.queued), event);
     }
 
-    fn way(&mut self) -> u64 {
-        self.random.random_range(1..=WAY_MS)
+    fn transit(&mut self) -> u64 {
+        self.random.random_range(1..=MAX_TRANSIT_MS)
     }
 
     fn number(&self, drawn: usize) -> usize {
@@ -199,29 +200,29 @@
                     self.demand(self.number(entry));
                 }
             }
-            Step::Crowd(count) => {
+            Step::DemandAll(count) => {
                 for entry in 0..count.min(self.entries.len()) {
                     self.demand(entry);
                 }
             }
-            Step::Name(thousandths) => self.name(Some(f64::from(thousandths) / 1_000.0)),
-            Step::Recover => self.name(None),
+            Step::Advertise(thousandths) => self.advertise(Some(f64::from(thousandths) / 1_000.0)),
+            Step::Withdraw => self.advertise(None),
             Step::Slow(service_ms) => self.service_ms = service_ms,
             Step::LoseLeader => {
                 self.leader = None;
                 self.term += 1;
                 let away_ms = self.random.random_range(ELECTION_MS);
-                self.later(away_ms, Event::Lead(Term(self.term)));
+                self.schedule(away_ms, Event::LeaderElected(Term(self.term)));
             }
             Step::Restart(entry) => {
                 let number = self.number(entry);
-                let life = self.entries[number].life + 1;
+                let incarnation = self.entries[number].incarnation + 1;
                 self.entries[number] = Entry {
-                    life,
+                    incarnation,
                     ..Entry::default()
                 };
-                self.tell(number);
-                self.later(REPORT_MS, Event::Regular(number, life));
+                self.send_report(number);
+                self.schedule(REPORT_MS, Event::ReportTimer(number, incarnation));
             }
             Step::Freeze(entry, for_ms) => {
                 let number = self.number(entry);
@@ -234,7 +235,7 @@
         }
     }
 
-    fn name(&mut self, rate: Option<f64>) {
+    fn advertise(&mut self, rate: Option<f64>) {
         if let Some(last) = self.phases.last_mut() {
             last.until_ms = last.until_ms.min(self.now_ms);
         }
@@ -244,7 +245,7 @@
             }
         }
         self.rate = rate;
-        self.free_ms = None;
+        self.first_unlimited_ms = None;
         if let Some(per_s) = rate {
             self.phases.push(Phase {
                 from_ms: self.now_ms,
@@ -269,82 +270,92 @@
     }
 
     fn handle(&mut self, event: Event) {
-        if let Some((number, life)) = event.taker() {
+        if let Some((number, incarnation)) = event.recipient() {
             let entry = &self.entries[number];
-            if entry.life != life {
+            if entry.incarnation != incarnation {
                 return;
             }
             if self.now_ms < entry.frozen_until_ms {
-                let left_ms = entry.frozen_until_ms - self.now_ms;
-                return self.later(left_ms, event);
+                let remaining_ms = entry.frozen_until_ms - self.now_ms;
+                return self.schedule(remaining_ms, event);
             }
         }
         let now_ms = self.now_ms;
         match event {
-            Event::AskArrives(entry, life, request, asked_ms) => {
+            Event::PermitRequestArrives(entry, incarnation, request, requested_ms) => {
                 let Some(leader) = &mut self.leader else {
                     return;
                 };
-                self.asked += 1;
+                self.permit_requests += 1;
                 let reply = leader.permit(now_ms, &request, None);
-                let way_ms = self.way();
-                self.later(way_ms, Event::ReplyArrives(entry, life, reply, asked_ms));
+                let transit_ms = self.transit();
+                self.schedule(
+                    transit_ms,
+                    Event::ReplyArrives(entry, incarnation, reply, requested_ms),
+                );
             }
-            Event::ReplyArrives(entry, _, reply, asked_ms) => {
-                self.take_reply(entry, reply, asked_ms)
+            Event::ReplyArrives(entry, _, reply, requested_ms) => {
+                self.handle_reply(entry, reply, requested_ms)
             }
             Event::RequestArrives(sender, known_ms) => {
                 self.arrivals.push(Arrival {
                     at_ms: now_ms,
                     known_ms,
                 });
-                self.later(self.service_ms, Event::HeadLeaves(sender));
+                self.schedule(self.service_ms, Event::HeadLeaves(sender));
             }
             Event::HeadLeaves(sender) => {
                 let rate = self.rate.map(|rate| rate.to_string());
                 let rate = AdvertisedRate::parse(rate.as_deref().into_iter());
-                let way_ms = self.way();
-                self.later(way_ms, Event::HeadArrives(sender, rate));
+                let transit_ms = self.transit();
+                self.schedule(transit_ms, Event::HeadArrives(sender, rate));
             }
-            Event::HeadArrives(sender, rate) => self.take_head(sender, rate),
-            Event::Regular(entry, life) => {
+            Event::HeadArrives(sender, rate) => self.handle_head(sender, rate),
+            Event::ReportTimer(entry, incarnation) => {
                 let cursor = self.entries[entry].peers.cursor();
-                self.call_leader(entry, Event::CursorArrives(entry, life, cursor));
-                self.tell(entry);
-                self.later(REPORT_MS, Event::Regular(entry, life));
+                self.call_leader(entry, Event::CursorArrives(entry, incarnation, cursor));
+                self.send_report(entry);
+                self.schedule(REPORT_MS, Event::ReportTimer(entry, incarnation));
             }
-            Event::CursorArrives(entry, life, cursor) => {
+            Event::CursorArrives(entry, incarnation, cursor) => {
                 let Some(leader) = &self.leader else {
                     return;
                 };
                 let page = leader.page(now_ms, cursor);
-                let way_ms = self.way();
-                self.later(way_ms, Event::PageArrives(entry, life, page, None));
+                let transit_ms = self.transit();
+                self.schedule(
+                    transit_ms,
+                    Event::PageArrives(entry, incarnation, page, None),
+                );
             }
-            Event::LimitsArrive(entry, life, report, asked_ms) => {
+            Event::LimitsArrive(entry, incarnation, report, requested_ms) => {
                 let Some(leader) = &mut self.leader else {
                     return;
                 };
                 let page = leader.report(now_ms, &report);
-                let way_ms = self.way();
-                let told = Some((report, asked_ms));
-                self.later(way_ms, Event::PageArrives(entry, life, page, told));
+                let transit_ms = self.transit();
+                let sent = Some((report, requested_ms));
+                self.schedule(
+                    transit_ms,
+                    Event::PageArrives(entry, incarnation, page, sent),
+                );
             }
-            Event::PageArrives(entry, _, page, told) => self.take_page(entry, &page, told),
-            Event::Lead(term) if term == Term(self.term) => {
+            Event::PageArrives(entry, _, page, sent) => self.handle_page(entry, &page, sent),
+            Event::LeaderElected(term) if term == Term(self.term) => {
                 self.leader = Some(ReplicaRateLimits::new(term, now_ms));
             }
-            Event::Lead(_) => {}
+            Event::LeaderElected(_) => {}
         }
-        self.note_known();
+        self.record_known();
     }
 
-    /// A message to the leader; it is lost where the entry is cut off.
+    /// Sends a message to the leader. Returns `false` if the entry is cut off or there is no
+    /// leader, so that it is lost.
     fn call_leader(&mut self, entry: usize, event: Event) -> bool {
         let reached = self.now_ms >= self.entries[entry].cut_until_ms && self.leader.is_some();
         if reached {
-            let way_ms = self.way();
-            self.later(way_ms, event);
+            let transit_ms = self.transit();
+            self.schedule(transit_ms, event);
         }
         reached
     }
@@ -352,14 +363,14 @@
     fn demand(&mut self, number: usize) {
         let now_ms = self.now_ms;
         let entry = &self.entries[number];
-        let life = entry.life;
+        let incarnation = entry.incarnation;
         if now_ms < entry.frozen_until_ms {
             return;
         }
         if !entry.peers.is_limited(&replica()) {
             return self.send(number, None);
         }
-        if entry.pace.wait_ms(now_ms, &replica()).is_some() {
+        if entry.throttle.wait_ms(now_ms, &replica()).is_some() {
             return;
         }
         let request = PermitRequest {
@@ -370,29 +381,32 @@
             cursor: entry.peers.cursor(),
             observed: entry.peers.latest_limit(now_ms, &replica()),
         };
-        let asked = self.call_leader(number, Event::AskArrives(number, life, request, now_ms));
-        let pace = &mut self.entries[number].pace;
-        match asked {
-            true => pace.record_request(now_ms, &replica()),
-            false => pace.record_refusal(now_ms, now_ms, &replica(), SILENT),
+        let reached = self.call_leader(
+            number,
+            Event::PermitRequestArrives(number, incarnation, request, now_ms),
+        );
+        let throttle = &mut self.entries[number].throttle;
+        match reached {
+            true => throttle.record_request(now_ms, &replica()),
+            false => throttle.record_refusal(now_ms, now_ms, &replica(), NO_REPLY),
         }
     }
 
-    fn take_reply(&mut self, number: usize, reply: PermitReply, asked_ms: u64) {
+    fn handle_reply(&mut self, number: usize, reply: PermitReply, requested_ms: u64) {
         let now_ms = self.now_ms;
         let entry = &mut self.entries[number];
-        entry.peers.acknowledge_limit(asked_ms, &replica());
+        entry.peers.acknowledge_limit(requested_ms, &replica());
         match reply {
-            // A connection opens meanwhile, for up to the rest of the permit's time.
-            PermitReply::Granted(stamp) if now_ms < asked_ms + PERMIT_VALIDITY_MS => {
-                entry.pace.record_grant(asked_ms, &replica());
+            // Opening a connection to a replica may take the rest of the permit's validity.
+            PermitReply::Granted(stamp) if now_ms < requested_ms + PERMIT_VALIDITY_MS => {
+                entry.throttle.record_grant(requested_ms, &replica());
                 self.send(number, Some(stamp));
             }
             PermitReply::Granted(_) => {}
             PermitReply::Refused(refusal) => {
                 entry
-                    .pace
-                    .record_refusal(now_ms, asked_ms, &replica(), refusal);
+                    .throttle
+                    .record_refusal(now_ms, requested_ms, &replica(), refusal);
             }
         }
     }
@@ -401,15 +415,15 @@
         let entry = &self.entries[number];
         let sender = Sender {
             entry: number,
-            life: entry.life,
+            incarnation: entry.incarnation,
             permit,
         };
         let known_ms = entry.known_ms;
-        let way_ms = self.way();
-        self.later(way_ms, Event::RequestArrives(sender, known_ms));
+        let transit_ms = self.transit();
+        self.schedule(transit_ms, Event::RequestArrives(sender, known_ms));
     }
 
-    fn take_head(&mut self, sender: Sender, rate: Option<AdvertisedRate>) {
+    fn handle_head(&mut self, sender: Sender, rate: Option<AdvertisedRate>) {
         let now_ms = self.now_ms;
         let names_none = self.rate.is_none();
         let peers = &mut self.entries[sender.entry].peers;
@@ -420,51 +434,54 @@
             (None, Some(permit)) => {
                 peers.record_no_limit(&replica(), permit);
                 if names_none {
-                    self.free_ms.get_or_insert(now_ms);
+                    self.first_unlimited_ms.get_or_insert(now_ms);
                 }
             }
             (None, None) => {}
         }
-        self.tell(sender.entry);
+        self.send_report(sender.entry);
     }
 
-    fn tell(&mut self, number: usize) {
+    fn send_report(&mut self, number: usize) {
         let now_ms = self.now_ms;
         let entry = &mut self.entries[number];
         let restarted = entry.peers.cursor() == LimitCursor::default();
-        let telling = now_ms < entry.telling_until_ms;
-        if telling || !(entry.peers.is_report_due() || restarted) {
+        let pending = now_ms < entry.report_pending_until_ms;
+        if pending || !(entry.peers.is_report_due() || restarted) {
             return;
         }
-        let life = entry.life;
+        let incarnation = entry.incarnation;
         let report = entry.peers.report(now_ms);
-        let told = self.call_leader(number, Event::LimitsArrive(number, life, report, now_ms));
+        let sent = self.call_leader(
+            number,
+            Event::LimitsArrive(number, incarnation, report, now_ms),
+        );
         let entry = &mut self.entries[number];
-        match told {
-            true => entry.telling_until_ms = now_ms + TELL_MS,
+        match sent {
+            true => entry.report_pending_until_ms = now_ms + REPORT_REPLY_MS,
             false => entry.peers.record_failed_report(),
         }
     }
 
-    fn take_page(&mut self, number: usize, page: &LimitPage, told: Option<(LimitReport, u64)>) {
+    fn handle_page(&mut self, number: usize, page: &LimitPage, sent: Option<(LimitReport, u64)>) {
         let now_ms = self.now_ms;
         let entry = &mut self.entries[number];
-        if let Some((report, asked_ms)) = told {
-            entry.telling_until_ms = now_ms;
-            entry.peers.acknowledge(asked_ms, &report);
+        if let Some((report, requested_ms)) = sent {
+            entry.report_pending_until_ms = now_ms;
+            entry.peers.acknowledge(requested_ms, &report);
         }
         for state in &page.limits {
             if entry.peers.changes_rate(state) {
-                entry.pace.update_rate(&state.replica, state.rate);
+                entry.throttle.update_rate(&state.replica, state.rate);
             }
         }
         entry.peers.apply_page(now_ms, page);
         if entry.peers.is_report_due() {
-            self.tell(number);
+            self.send_report(number);
         }
     }
 
-    fn note_known(&mut self) {
+    fn record_known(&mut self) {
         let named = self.rate.is_some();
         for entry in self.entries.iter_mut().filter(|_| named) {
             let knows = entry.peers.is_limited(&replica());
