--- a/tests/forwarding/crashes.rs
+++ b/tests/forwarding/crashes.rs
@@ -122,7 +122,7 @@
     let replica = site.add_crashing("r1").await;
     for repeat in 1..=2 {
         let id = format!("repeat-{repeat}");
-        let asked = site.send_at(0, "/stream/x", &id, LONG_RUNNING);
+        let response = site.send_at(0, "/stream/x", &id, LONG_RUNNING);
         let kills = async {
             wait_for("the run", async || {
                 (replica.run_count(LONG_RUNNING) == repeat).then_some(())
@@ -130,11 +130,11 @@
             .await;
             replica.kill();
         };
-        let (answer, ()) = futures::join!(asked, kills);
+        let (answer, ()) = futures::join!(response, kills);
         assert_eq!(answer.status, 502);
         site.wait_for_restarts().await;
     }
-    let asked = site.send_at(0, "/stream/x", "last", LONG_RUNNING);
+    let response = site.send_at(0, "/stream/x", "last", LONG_RUNNING);
     let releases = async {
         wait_for("the run", async || {
             (replica.run_count(LONG_RUNNING) == 3).then_some(())
@@ -142,7 +142,7 @@
         .await;
         replica.release();
     };
-    let (answer, ()) = futures::join!(asked, releases);
+    let (answer, ()) = futures::join!(response, releases);
     assert_eq!(answer.status, 200);
 }
 
--- a/tests/forwarding/support/crashing.rs
+++ b/tests/forwarding/support/crashing.rs
@@ -20,7 +20,7 @@
 
 /// Request body that crashes the replica that runs it.
 pub const CRASHING: &str = "deadly";
-/// Request body that runs until its replica crashes or is told to release it.
+/// Request body that runs until its replica crashes or releases it.
 pub const LONG_RUNNING: &str = "lasting";
 /// Time between a crash and the restart.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -84,24 +84,24 @@
 mutant entry-never-stale src/entry/shell.rs 's/confirmed \+ self\.settings\.stale_ms < clock::monotonic_ms\(\)/false \&\& confirmed + self.settings.stale_ms < clock::monotonic_ms()/' failures an_entry_that_is_cut_off
 mutant leaving-target-takes-work 'src/admission/controller.rs src/routing/view.rs' 's/_ if self\.draining => Some\(RefuseCause::Leaving\),/_ if false \&\& self.draining => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_leaving_target_gets_no_new_work
 mutant silence-of-a-freeze-is-loss src/placement/target_controller.rs 's/self\.decided_ms \+ self\.policy\.loss_ms \/ 2 < now_ms/false \&\& self.decided_ms < now_ms/' duties a_leader_that_was_frozen
-mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.outstanding\(\) as f64\)\.max\(0\.0\)/depth/' quota what_entries_hold_is_a_part_of_the_bucket
-mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.expires_ms \{/if now_ms == u64::MAX {/' quota what_is_held_lapses_and_what_did_not_run_is_given_back
-mutant doubled-ask-draws-twice src/table/quota.rs 's/let known = ask\.number <= newest\.0;/let known = false;/' quota a_doubled_ask_draws_once_and_a_late_answer_is_dropped
+mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.outstanding\(\) as f64\)\.max\(0\.0\)/depth/' quota units_held_by_entries_count_in_the_bucket
+mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.expires_ms \{/if now_ms == u64::MAX {/' quota held_units_expire_and_units_of_requests_not_run_are_refunded
+mutant doubled-ask-draws-twice src/table/quota.rs 's/let known = ask\.number <= newest\.0;/let known = false;/' quota a_duplicated_request_draws_once_and_a_late_reply_is_dropped
 mutant proof-without-age src/routing/freshness.rs 's/requested_ms\.saturating_sub\(proof\.age_ms\)/requested_ms/' accounts a_proof_counts_for_whoever_holds_its_version
 mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding no_key_is_accepted_for_long_without_newer_state
 mutant key-passed-on src/forward/request/wire_heads.rs 's/drop\.extend\(\[names\.key, names\.account\]\);//' forwarding an_api_key_is_not_forwarded_but_its_account_is
-mutant order-without-its-leader src/control/order_dispatcher.rs 's/\.ok_or\(CallError::NotLeader\)\?;/.unwrap_or(SendPermit { until_ms: u64::MAX });/' orderer an_order_leaves_only_while_its_leader_decides
-mutant renewal-waits-for-the-voter src/control/order_dispatcher.rs 's/tokio::time::timeout\(left, self\.request\(\)\)\.await/Ok::<_, ()>(self.request().await)/' orderer an_order_ends_with_its_permit_also_while_the_voter_is_held_up
-mutant order-closed-in-good-order src/forward/upstream.rs 's/\.and_then\(\|\(\)\| socket\.set_linger\(Some\(Duration::ZERO\)\)\)//' orderer an_order_that_is_given_up_leaves_nothing_on_its_way
+mutant order-without-its-leader src/control/order_dispatcher.rs 's/\.ok_or\(CallError::NotLeader\)\?;/.unwrap_or(SendPermit { until_ms: u64::MAX });/' orderer an_order_is_sent_only_while_its_leader_holds_the_lease
+mutant renewal-waits-for-the-voter src/control/order_dispatcher.rs 's/tokio::time::timeout\(left, self\.request\(\)\)\.await/Ok::<_, ()>(self.request().await)/' orderer an_order_ends_with_its_permit_while_the_voter_is_blocked
+mutant order-closed-in-good-order src/forward/upstream.rs 's/\.and_then\(\|\(\)\| socket\.set_linger\(Some\(Duration::ZERO\)\)\)//' orderer an_order_that_times_out_leaves_nothing_in_transit
 mutant kernel-goes-on src/forward/upstream.rs 's/socket\n            \.set_tcp_user_timeout\(Some\(left\)\)\n            \.and_then\(\|\(\)\| (socket\.set_linger\(Some\(Duration::ZERO\)\))\)/$1/' bounded_sending the_kernel_sends_nothing_again_after_the_wait_for_an_orders_way
-mutant deposed-leader-is-free src/consensus/raft.rs 's/self\.no_vote_until_ms = self\.no_vote_until_ms\.max\(lease_ms\);/let _ = lease_ms;/' permit a_leader_that_steps_down_helps_nobody_to_power_before_its_permits_end
+mutant deposed-leader-is-free src/consensus/raft.rs 's/self\.no_vote_until_ms = self\.no_vote_until_ms\.max\(lease_ms\);/let _ = lease_ms;/' permit a_leader_that_steps_down_grants_no_vote_before_its_permits_end
 mutant stopping-leader-allows src/control/voter.rs 's/ \|\| self\.stopping\.is_some\(\)//' handover a_stopping_leader_allows_no_more_orders
-mutant new-leader-gives-all src/table/quota.rs 's/match self\.has_predecessor \&\& /match false \&\& /' quota a_new_leader_gives_half_of_the_burst_whoever_asks_first
+mutant new-leader-gives-all src/table/quota.rs 's/match self\.has_predecessor \&\& /match false \&\& /' quota a_new_leader_grants_half_of_the_burst_to_any_first_entry
 mutant lease-handed-over-early src/control/voter.rs 's/now_ms >= self\.permitted_until_ms/true/' handover a_stopping_leader_keeps_its_lease_while_orders_may_be_on_their_way
 mutant no-way-for-the-last-order src/placement/fleet.rs 's/self\.policy\.order_lease_ms \+ self\.policy\.order_transit_ms/self.policy.order_lease_ms/' fleet a_new_leader_waits_for_the_last_order_of_the_one_before_to_arrive
 mutant snapshot-with-each-heartbeat src/consensus/raft.rs 's/progress\.install_until_ms = now_ms \+ SNAPSHOT_RESEND_MS;/progress.install_until_ms = 0;/' raft a_snapshot_is_sent_once_until_it_may_be_lost
-mutant no-entries-before-the-snapshot src/consensus/raft.rs 's/self\.retained\.extend\(self\.entries\.drain\(\.\.kept\)\);/self.entries.drain(..kept);/' raft a_follower_that_lags_across_a_compaction_is_sent_entries
-mutant lone-leader-waits src/consensus/raft.rs 's/(peers\.contains\(node\)\);)\n        self\.advance_commit\(\);/$1/' raft a_leader_that_is_its_own_quorum_commits_what_a_heartbeat_sends_first
+mutant no-entries-before-the-snapshot src/consensus/raft.rs 's/self\.retained\.extend\(self\.entries\.drain\(\.\.kept\)\);/self.entries.drain(..kept);/' raft a_follower_that_lags_behind_a_compaction_gets_entries
+mutant lone-leader-waits src/consensus/raft.rs 's/(peers\.contains\(node\)\);)\n        self\.advance_commit\(\);/$1/' raft a_leader_that_is_its_own_quorum_commits_entries_that_a_heartbeat_sends
 mutant crowd-not-heeded src/forward/replica_table.rs 's/tokens: tokens\.saturating_sub\(own/tokens: 0 * tokens.saturating_sub(own/' crowd entries_that_know_of_each_other_keep_no_queue_that_makes_all_late
 mutant own-counted-as-crowd src/forward/replica_table.rs 's/own\.get\(id\)\.copied\(\)\.unwrap_or\(0\)/0 * own.get(id).copied().unwrap_or(0)/' forward_parts a_home_that_others_crowd_takes_no_more
 mutant silent-entry-counts src/placement/congestion.rs 's/        self\.expire_reports\(now_ms, threshold\);\n//' crowd an_entry_that_falls_silent_counts_no_more
@@ -110,7 +110,7 @@
 mutant turns-for-all src/placement/suspect_leases.rs 's/return SuspectLeaseReply::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
 mutant suspects-together src/placement/suspect_leases.rs 's/\*\*key != request\.content \&\& lease\.replica == request\.replica/**key != request.content \&\& false/' crashes suspects_are_kept_apart
 mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.incarnation\.id, connection\);\s+)Probe::Alive/$1Probe::Ended/' forwarding a_broken_connection_is_not_a_crash
-mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.started_ms > known\.started_ms => HeartbeatStatus::New,\n//' replica_born a_new_life_is_heard_though_its_numbers_begin_anew
+mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.started_ms > known\.started_ms => HeartbeatStatus::New,\n//' replica_born a_new_incarnation_is_accepted_though_its_numbers_restart
 mutant pause-not-kept src/routing/backoff.rs 's/peer if now_ms < peer\.until_ms => /peer if false \&\& now_ms < peer.until_ms => /' backoff a_named_time_brings_two_requests_at_most
 mutant trials-without-bound src/routing/backoff.rs 's/peer\.probes >= MAX_PROBES/false/' backoff a_named_time_brings_two_requests_at_most
 mutant crowd-after-a-pause src/routing/backoff.rs 's/peer\.limit = 1;/peer.limit = UNLIMITED_REQUESTS;/' backoff after_a_pause_one_request_goes_first
--- a/tests/open_membership.rs
+++ b/tests/open_membership.rs
@@ -1,4 +1,4 @@
-//! Control hosts that nobody named become voters, whichever host they ask.
+//! Control hosts that are not configured as bootstrap hosts become voters through any host.
 
 mod support_control;
 mod support_founders;
@@ -11,9 +11,9 @@
 use support_control::{leader_of, listeners, secret, settings, status_where};
 use support_founders::founders;
 
-async fn joins(folder: &Path, asked: &[SocketAddr]) -> ControlDaemon {
+async fn start_host(folder: &Path, contacts: &[SocketAddr]) -> ControlDaemon {
     let (listener, own) = listeners(1).await.remove(0);
-    let settings = settings(folder, own, asked);
+    let settings = settings(folder, own, contacts);
     let daemon = ControlDaemon::start_on(listener, settings, secret()).await;
     daemon.unwrap()
 }
@@ -27,9 +27,9 @@
     let follower = others
         .find(|address| address.to_string() != leader.0)
         .unwrap();
-    let fourth = joins(folder.path(), &[*follower]).await;
+    let fourth = start_host(folder.path(), &[*follower]).await;
     let own = fourth.status().await.unwrap().node;
     status_where(&fourth, "the fourth to vote", |s| s.voters.contains(&own)).await;
-    let fifth = joins(folder.path(), &[*follower]).await;
+    let fifth = start_host(folder.path(), &[*follower]).await;
     status_where(&fifth, "five voters", |s| s.voters.len() == 5).await;
 }
--- a/tests/orderer.rs
+++ b/tests/orderer.rs
@@ -1,4 +1,4 @@
-//! Orders are on their way only while their leader decides.
+//! Orders are in transit only while their leader holds its lease.
 
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
@@ -39,9 +39,9 @@
     }
 }
 
-/// How long a disk holds the voter up.
-const HELD_UP: Duration = Duration::from_secs(5);
-/// How long the lease lasts that the voter's stand-in gives, in milliseconds.
+/// Time for which a slow disk blocks the voter.
+const DISK_STALL: Duration = Duration::from_secs(5);
+/// Length of a lease of the stand-in voter, in milliseconds.
 const LEASE_MS: u64 = 200;
 
 fn lease() -> Result<SendPermit, ControlRefusal> {
@@ -54,34 +54,34 @@
     Err(ControlRefusal::NotLeader(None))
 }
 
-/// Stands for the voter's thread: answers whether an order may leave, by how often it was
-/// asked before, and tells of the order's outcome, with which it ends.
+/// Starts a stand-in for the voter's thread. It replies to each permit request by the number of
+/// earlier requests, forwards the outcome of the order, and then ends.
 fn start_voter(
     permit: impl Fn(u32) -> Result<SendPermit, ControlRefusal> + Send + 'static,
 ) -> (ControlHandle, UnboundedReceiver<OrderOutcome>) {
     let (events, inbox) = mpsc::channel();
     let (ended, end) = unbounded_channel();
     std::thread::spawn(move || {
-        let mut asked = 0;
+        let mut requests = 0;
         for event in inbox {
             match event {
-                ControlEvent::OrderPermit(Term(7), answer) => {
-                    // An asker that gave up has dropped its end.
-                    let _ = answer.send(permit(asked));
-                    asked += 1;
+                ControlEvent::OrderPermit(Term(7), reply) => {
+                    // A requester that timed out has dropped its end.
+                    let _ = reply.send(permit(requests));
+                    requests += 1;
                 }
                 ControlEvent::OrderDone(_, outcome) => {
                     ended.send(outcome).unwrap();
                     return;
                 }
-                _ => panic!("nothing else is asked"),
+                _ => panic!("unexpected event"),
             }
         }
     });
     (ControlHandle(events), end)
 }
 
-/// An order of term 7 to a life of an engine.
+/// Returns an order of term 7 to one incarnation of an engine.
 fn order_of(started_ms: u64, address: SocketAddr) -> EngineOrder {
     EngineOrder {
         number: 1,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Has one order of term 7 carried to `address`.
+/// Dispatches one order of term 7 to `address`.
 fn start_order(handle: ControlHandle, address: SocketAddr, dialect: EngineDialect) {
     let (orders, ordered) = unbounded_channel();
     ntex::rt::spawn(order_dispatcher::run(ordered, handle, dialect));
@@ -104,7 +104,7 @@
     orders.send(order).unwrap();
 }
 
-/// Reads the next request of a new connection: its first line.
+/// Reads a request and returns its request line.
 async fn read_line(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = vec![0; 4096];
     let read = stream.read(&mut bytes).await.unwrap();
@@ -112,14 +112,14 @@
     text.lines().next().map(str::to_owned)
 }
 
-async fn answer(stream: &mut TcpStream, line: &str) {
+async fn reply(stream: &mut TcpStream, line: &str) {
     let status = if line.starts_with("POST") { 202 } else { 200 };
     let text = format!("HTTP/1.1 {status} Any\r\nContent-Length: 0\r\n\r\n");
     stream.write_all(text.as_bytes()).await.unwrap();
 }
 
-/// Sends one order of a leader that decides, or does not any more. Returns the first lines
-/// that the engine got, and the outcome.
+/// Sends one order of a leader that still holds its lease or was deposed. Returns the request
+/// lines that the engine received, and the outcome.
 async fn send_order(decides: bool) -> (Vec<String>, OrderOutcome) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (handle, mut end) = start_voter(move |_| if decides { lease() } else { deposed() });
@@ -133,7 +133,7 @@
                 let Some(line) = read_line(&mut stream).await else {
                     continue;
                 };
-                answer(&mut stream, &line).await;
+                reply(&mut stream, &line).await;
                 lines.push(line);
             }
         }
@@ -141,28 +141,28 @@
     (lines, outcome)
 }
 
-/// Found on a day on which the leader stood still for five seconds: woken, it sent an order
-/// between two of its successor's.
+/// A leader that was frozen for 5 s sent an order after it woke, between two orders of its
+/// successor.
 #[ntex::test]
-async fn an_order_leaves_only_while_its_leader_decides() {
+async fn an_order_is_sent_only_while_its_leader_holds_the_lease() {
     let (lines, outcome) = send_order(true).await;
     assert_eq!(lines, ["GET /report HTTP/1.1", "POST /order HTTP/1.1"]);
     assert_eq!(outcome, OrderOutcome::Taken);
     let (lines, outcome) = send_order(false).await;
     assert_eq!(lines, ["GET /report HTTP/1.1"]);
-    // It surely never left: whoever leads needs not wait for what it may still do.
+    // `Busy`: it was certainly never sent, so the next leader need not wait for its effect.
     assert_eq!(outcome, OrderOutcome::Busy);
 }
 
-/// Sends an order whose answer does not come, and plays the link that holds its bytes. The
-/// voter answers as `permit` says of whether the order is on its way. Returns what the link
-/// sees next of the sender, and after how long.
+/// Sends an order that gets no reply, and acts as a network link that delays its bytes. The
+/// voter replies with `permit`, which receives whether the order is in transit. Returns what
+/// the link sees next from the sender, and after how long.
 async fn hold_order(
     permit: impl Fn(bool) -> Result<SendPermit, ControlRefusal> + Send + 'static,
 ) -> (std::io::Result<usize>, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let on_its_way = Arc::new(AtomicBool::new(false));
-    let sent = on_its_way.clone();
+    let in_transit = Arc::new(AtomicBool::new(false));
+    let sent = in_transit.clone();
     let (handle, _end) = start_voter(move |_| permit(sent.load(Ordering::SeqCst)));
     start_order(handle, listener.local_addr().unwrap(), dialect());
     loop {
@@ -171,50 +171,43 @@
             continue;
         };
         if line.starts_with("POST") {
-            on_its_way.store(true, Ordering::SeqCst);
-            let begun = Instant::now();
+            in_transit.store(true, Ordering::SeqCst);
+            let started = Instant::now();
             let seen = stream.read(&mut [0; 16]).await;
-            return (seen, begun.elapsed());
+            return (seen, started.elapsed());
         }
-        answer(&mut stream, &line).await;
+        reply(&mut stream, &line).await;
     }
 }
 
-/// **What users saw:** two hosts ordered one target that does not check fences.
-///
-/// **Order of events:** a leader was allowed to send an order, and a link held its bytes. Its
-/// lease ended; it went on waiting for the answer, for longer than a successor's head start,
-/// and then closed the connection in good order: its kernel still had the bytes, and sent
-/// them again and again. They arrived when the successor had begun to order.
-///
-/// **Cause:** the lease was looked at before the bytes left, and nothing tied them to it
-/// afterwards.
-///
-/// **Evidence:** on the code before, the link sees the connection closed in good order, so
-/// that what it holds is still delivered; a reset tells it to drop that.
+/// The failure: two hosts sent orders to one target that does not check fences. The lease was
+/// checked only before an order was sent. A link delayed its bytes, the lease ended, and the
+/// leader waited for the reply longer than its successor waits before its first order. Then it
+/// closed the connection with a FIN, so its kernel went on to retransmit the bytes, and they
+/// arrived among the orders of the successor. A reset drops them.
 #[ntex::test]
-async fn an_order_on_its_way_ends_with_its_leaders_lease() {
-    let (seen, _) = hold_order(|on_its_way| if on_its_way { deposed() } else { lease() }).await;
+async fn an_order_in_transit_is_reset_when_the_lease_ends() {
+    let (seen, _) = hold_order(|in_transit| if in_transit { deposed() } else { lease() }).await;
     let kind = seen.map_err(|error| error.kind());
     assert_eq!(kind, Err(ErrorKind::ConnectionReset));
 }
 
-/// The time for a call ends before the lease does: the order may be sent again, so that
-/// nothing of this try may still arrive.
+/// The call times out before the lease ends. The order may be sent again, so nothing of this
+/// attempt may still arrive.
 #[ntex::test]
-async fn an_order_that_is_given_up_leaves_nothing_on_its_way() {
+async fn an_order_that_times_out_leaves_nothing_in_transit() {
     let (seen, _) = hold_order(|_| lease()).await;
     let kind = seen.map_err(|error| error.kind());
     assert_eq!(kind, Err(ErrorKind::ConnectionReset));
 }
 
-/// A leader whose lease is confirmed anew waits on for an answer that is slow.
+/// A leader whose lease is renewed goes on waiting for a slow reply.
 #[ntex::test]
-async fn an_order_outlives_a_lease_that_is_confirmed_anew() {
+async fn an_order_outlives_a_lease_that_is_renewed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (renewed, mut renewal) = unbounded_channel();
-    let (handle, mut end) = start_voter(move |asked| {
-        renewed.send(asked).unwrap();
+    let (handle, mut end) = start_voter(move |requests| {
+        renewed.send(requests).unwrap();
         lease()
     });
     start_order(handle, listener.local_addr().unwrap(), dialect());
@@ -227,46 +220,45 @@
                     continue;
                 };
                 if line.starts_with("POST") {
-                    // The second question comes at the end of the first lease.
-                    while renewal.recv().await.is_some_and(|asked| asked == 0) {}
+                    // The second request comes at the end of the first lease.
+                    while renewal.recv().await.is_some_and(|requests| requests == 0) {}
                 }
-                answer(&mut stream, &line).await;
+                reply(&mut stream, &line).await;
             }
         }
     };
     assert_eq!(outcome, OrderOutcome::Taken);
 }
 
-/// **Order of events:** a leader was allowed to send an order, and its voter is held up by
-/// a slow disk when the permit ends. Nobody renews the permit; the question for its renewal
-/// waits for the disk, and the order stays on its way meanwhile.
+/// A slow disk blocks the voter when the permit of an order ends. If the order waited for the
+/// reply to its renewal request, it would stay in transit without a permit.
 #[ntex::test]
-async fn an_order_ends_with_its_permit_also_while_the_voter_is_held_up() {
-    let (seen, span) = hold_order(|on_its_way| {
-        if on_its_way {
-            std::thread::sleep(HELD_UP);
+async fn an_order_ends_with_its_permit_while_the_voter_is_blocked() {
+    let (seen, elapsed_time) = hold_order(|in_transit| {
+        if in_transit {
+            std::thread::sleep(DISK_STALL);
         }
         lease()
     })
     .await;
     let kind = seen.map_err(|error| error.kind());
     assert_eq!(kind, Err(ErrorKind::ConnectionReset));
-    let span_ms = span.as_millis() as u64;
+    let elapsed_ms = elapsed_time.as_millis() as u64;
     assert!(
-        span_ms < LEASE_MS * 3,
-        "a permit of {LEASE_MS} ms, the link sees its end after {span_ms} ms"
+        elapsed_ms < LEASE_MS * 3,
+        "the link sees the end of a permit of {LEASE_MS} ms after {elapsed_ms} ms"
     );
 }
 
-/// What the engine does with one order.
+/// How the engine replies to one order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum EngineAnswer {
+enum EngineReply {
     Status(u16),
-    /// The connection closes: perhaps it is carried out later.
-    Nothing,
+    /// Closes the connection; the order may be carried out later.
+    NoReply,
 }
 
-/// Names the expected count in a header, and reads a report of a count and models.
+/// Dialect that sends the expected count in a header and reads reports of a count and models.
 fn counting() -> EngineDialect {
     EngineDialect {
         order: |_, expected| EngineCall {
@@ -295,9 +287,8 @@
     }
 }
 
-/// Reads a call to an engine that speaks [`counting`]: the count that it expects, where it is
-/// an order.
-async fn read_try(stream: &mut TcpStream) -> Option<u64> {
+/// Reads a call in the [`counting`] dialect. Returns the expected count if it is an order.
+async fn read_attempt(stream: &mut TcpStream) -> Option<u64> {
     let mut bytes = vec![0; 4096];
     let read = stream.read(&mut bytes).await.unwrap();
     let text = String::from_utf8_lossy(&bytes[..read]).into_owned();
@@ -307,96 +298,92 @@
     expected.map(|count| count.parse().unwrap())
 }
 
-async fn answer_with(stream: &mut TcpStream, status: u16, report: &str) {
+async fn reply_with(stream: &mut TcpStream, status: u16, report: &str) {
     let length = report.len();
-    let answer = format!("HTTP/1.1 {status} Any\r\nContent-Length: {length}\r\n\r\n{report}");
-    stream.write_all(answer.as_bytes()).await.unwrap();
+    let reply = format!("HTTP/1.1 {status} Any\r\nContent-Length: {length}\r\n\r\n{report}");
+    stream.write_all(reply.as_bytes()).await.unwrap();
 }
 
-/// Sends one order to an engine that answers each try in turn and then reports a count of
-/// orders. Returns the counts that the tries expected, and the outcome.
-async fn try_order(turns: &[(EngineAnswer, &'static str)]) -> (Vec<u64>, OrderOutcome) {
+/// Sends one order to an engine that replies to each attempt in turn and then reports a count
+/// of orders. Returns the counts that the attempts expected, and the outcome.
+async fn send_attempts(replies: &[(EngineReply, &'static str)]) -> (Vec<u64>, OrderOutcome) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (handle, mut end) = start_voter(|_| lease());
     start_order(handle, address, counting());
     let mut report = "4";
-    let mut turns = turns.iter();
+    let mut replies = replies.iter();
     let mut expected = Vec::new();
     let outcome = loop {
         tokio::select! {
             outcome = end.recv() => break outcome.unwrap(),
             accepted = listener.accept() => {
                 let (mut stream, _) = accepted.unwrap();
-                let tried = read_try(&mut stream).await;
-                let status = match tried {
-                    Some(tried) => {
-                        expected.push(tried);
-                        let (answer, then) = turns.next().expect("one more try");
-                        report = *then;
-                        match answer {
-                            EngineAnswer::Status(status) => *status,
-                            EngineAnswer::Nothing => continue,
+                let attempted = read_attempt(&mut stream).await;
+                let status = match attempted {
+                    Some(attempted) => {
+                        expected.push(attempted);
+                        let (reply, next_report) = replies.next().expect("a reply for each attempt");
+                        report = *next_report;
+                        match reply {
+                            EngineReply::Status(status) => *status,
+                            EngineReply::NoReply => continue,
                         }
                     }
                     None => 200,
                 };
-                answer_with(&mut stream, status, report).await;
+                reply_with(&mut stream, status, report).await;
             }
         }
     };
     (expected, outcome)
 }
 
-/// Found on a day on which leaders stood still while orders were answered late: the order of
-/// the leader before had moved the count, and the next one's own was believed to be taken.
+/// With frozen leaders and late replies, an order of the previous leader raised the count, and
+/// the next leader took its own order for accepted.
 #[ntex::test]
-async fn a_count_that_has_risen_does_not_say_whose_order_was_taken() {
-    let turns = [
-        (EngineAnswer::Nothing, "5"),
-        (EngineAnswer::Status(202), "6"),
-    ];
-    let (expected, outcome) = try_order(&turns).await;
+async fn a_raised_count_does_not_show_whose_order_was_taken() {
+    let replies = [(EngineReply::NoReply, "5"), (EngineReply::Status(202), "6")];
+    let (expected, outcome) = send_attempts(&replies).await;
     assert_eq!(expected, [4, 5]);
     assert_eq!(outcome, OrderOutcome::Taken);
 }
 
-/// What is there shows it, once the count has gone past the try: it isn't sent again.
+/// Once the count has passed that of the attempt and the report shows its effect, the order is
+/// not sent again.
 #[ntex::test]
-async fn a_try_without_an_answer_was_taken_where_its_effect_is_reported() {
-    let (expected, outcome) = try_order(&[(EngineAnswer::Nothing, "5 m")]).await;
+async fn an_attempt_without_a_reply_was_taken_if_its_effect_is_reported() {
+    let (expected, outcome) = send_attempts(&[(EngineReply::NoReply, "5 m")]).await;
     assert_eq!(expected, [4]);
     assert_eq!(outcome, OrderOutcome::Taken);
 }
 
-/// A refusal of the second try says nothing of the first, which may still be carried out.
+/// A refusal of the second attempt says nothing about the first, which may still be carried
+/// out.
 #[ntex::test]
-async fn a_try_without_an_answer_may_still_act_when_the_next_finds_the_engine_busy() {
-    let turns = [
-        (EngineAnswer::Nothing, "4"),
-        (EngineAnswer::Status(409), "4"),
-    ];
-    let (expected, outcome) = try_order(&turns).await;
+async fn an_attempt_without_a_reply_may_still_act_when_the_next_finds_the_engine_busy() {
+    let replies = [(EngineReply::NoReply, "4"), (EngineReply::Status(409), "4")];
+    let (expected, outcome) = send_attempts(&replies).await;
     assert_eq!(expected, [4, 4]);
     assert_eq!(outcome, OrderOutcome::Unknown);
 }
 
-/// An engine that started again under its id counts from the start: what was counted before
-/// is not expected of it.
+/// An engine that restarts under its id counts orders from 0, so the earlier count is not
+/// expected.
 #[ntex::test]
-async fn the_count_of_a_life_is_not_expected_of_the_next() {
+async fn the_count_of_an_incarnation_is_not_expected_of_the_next() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (events, inbox) = mpsc::channel();
-    let (told, mut outcomes) = unbounded_channel();
+    let (sent_outcomes, mut outcomes) = unbounded_channel();
     std::thread::spawn(move || {
         for event in inbox {
             match event {
-                ControlEvent::OrderPermit(_, answer) => drop(answer.send(lease())),
+                ControlEvent::OrderPermit(_, reply) => drop(reply.send(lease())),
                 ControlEvent::OrderDone(order, outcome) => {
-                    told.send((order.started_ms, outcome)).unwrap()
+                    sent_outcomes.send((order.started_ms, outcome)).unwrap()
                 }
-                _ => panic!("nothing else is asked"),
+                _ => panic!("unexpected event"),
             }
         }
     });
@@ -414,10 +401,10 @@
                 outcome = outcomes.recv() => break outcome.unwrap(),
                 accepted = listener.accept() => {
                     let (mut stream, _) = accepted.unwrap();
-                    let tried = read_try(&mut stream).await;
-                    seen.extend(tried);
-                    let status = if tried.is_some() { 202 } else { 200 };
-                    answer_with(&mut stream, status, report).await;
+                    let attempted = read_attempt(&mut stream).await;
+                    seen.extend(attempted);
+                    let status = if attempted.is_some() { 202 } else { 200 };
+                    reply_with(&mut stream, status, report).await;
                 }
             }
         };
--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -1,4 +1,4 @@
-//! How long a request waits at the entry before it is rejected.
+//! Wait limits of requests at an entry before they are rejected.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 }
 
 #[test]
-fn a_request_whose_time_ends_before_the_load_is_rejected_at_once() {
+fn a_request_whose_deadline_is_before_the_load_is_rejected_at_once() {
     assert_eq!(load_wait(LOAD, seconds(0), seconds(5)), seconds(0));
     assert_eq!(load_wait(LOAD, seconds(0), seconds(10)), seconds(0));
 }
 
-/// Found on a site with more models than places: requests with 15 seconds were given up
-/// after six, two seconds before the load they waited for was over.
+/// On a site with more models than model slots, requests with a deadline of 15 s were rejected
+/// after 6 s, 2 s before the load that they waited for was done.
 #[test]
-fn a_request_with_time_enough_waits_until_the_load_should_be_over() {
+fn a_request_with_enough_time_waits_until_the_load_should_be_done() {
     for waited in [0, 4, 8, 10] {
         let left = seconds(15 - waited);
         let wait = load_wait(LOAD, seconds(waited), left);
-        assert!(wait > seconds(waited), "given up after {waited} s");
+        assert!(wait > seconds(waited), "rejected after {waited} s");
     }
     assert!(load_wait(LOAD, seconds(11), seconds(4)) < seconds(11));
 }
 
 #[test]
-fn room_is_waited_for_while_another_entry_could_still_be_in_time() {
+fn the_wait_for_capacity_leaves_time_for_another_entry() {
     assert_eq!(
         capacity_wait(Duration::from_millis(800), 0.25),
         Duration::from_millis(200)
--- a/tests/permit.rs
+++ b/tests/permit.rs
@@ -1,4 +1,4 @@
-//! What a leader permitted under its lease is kept also once it leads no more.
+//! Permits given under a leader's lease stay valid after it steps down.
 
 mod support_raft;
 
@@ -14,56 +14,56 @@
     heartbeat_ms: 50,
 };
 const VOTERS: usize = 3;
-/// Draws of the election timeouts that are tried.
+/// Number of seeds for election timeouts.
 const SEEDS: u64 = 200;
-/// For how long the leader stands still, in milliseconds.
-const STILL_MS: u64 = 700;
-/// For how long the way from the leader to the one that stands is lost, in milliseconds.
+/// Time for which the leader is frozen, in milliseconds.
+const FROZEN_MS: u64 = 700;
+/// Time for which messages from the leader to the candidate are lost, in milliseconds.
 const LOST_MS: u64 = 400;
 
-/// Three voters whose messages arrive at once, but for what a test holds back.
-struct Trio {
+/// Three voters whose messages arrive at once, except those that a test drops or holds back.
+struct ThreeVoters {
     cores: Vec<RaftCore>,
     now_ms: u64,
-    /// Messages from the first to the second are lost.
+    /// Whether messages from the first voter to the second are lost.
     lost: bool,
-    /// Nothing reaches or leaves the first one.
-    still: bool,
-    /// Yes of the third to the second that is on its way.
-    held: Option<RaftMessage>,
-    holds: bool,
+    /// Whether the first voter is frozen.
+    frozen: bool,
+    /// Granted pre-vote from the third voter to the second, held back in transit.
+    held_vote: Option<RaftMessage>,
+    holds_votes: bool,
 }
 
-fn node(place: usize) -> NodeId {
-    NodeId(place as u64 + 1)
+fn node(voter: usize) -> NodeId {
+    NodeId(voter as u64 + 1)
 }
 
-fn place_of(node: NodeId) -> usize {
+fn voter_of(node: NodeId) -> usize {
     node.0 as usize - 1
 }
 
-impl Trio {
+impl ThreeVoters {
     fn new(seed: u64) -> Self {
-        let core = |place| {
+        let core = |voter| {
             let mut image = DiskImage::default();
             image.snapshot.voters = (0..VOTERS).map(node).collect::<BTreeSet<_>>();
-            RaftCore::new(node(place), TIMING, image, 0, seed * 10 + place as u64)
+            RaftCore::new(node(voter), TIMING, image, 0, seed * 10 + voter as u64)
         };
         Self {
             cores: (0..VOTERS).map(core).collect(),
             now_ms: 0,
             lost: false,
-            still: false,
-            held: None,
-            holds: false,
+            frozen: false,
+            held_vote: None,
+            holds_votes: false,
         }
     }
 
     fn step(&mut self) {
         self.now_ms += 1;
-        for place in 0..VOTERS {
-            if !(place == 0 && self.still) {
-                self.cores[place].tick(self.now_ms);
+        for voter in 0..VOTERS {
+            if !(voter == 0 && self.frozen) {
+                self.cores[voter].tick(self.now_ms);
             }
         }
         self.deliver();
@@ -76,15 +76,15 @@
                 return;
             }
             for (from, to, message) in sent {
-                let (from, to) = (place_of(from), place_of(to));
+                let (from, to) = (voter_of(from), voter_of(to));
                 let dropped =
-                    (self.still && (from == 0 || to == 0)) || (self.lost && from == 0 && to == 1);
+                    (self.frozen && (from == 0 || to == 0)) || (self.lost && from == 0 && to == 1);
                 if dropped {
                     continue;
                 }
-                let yes = matches!(&message, RaftMessage::PreVoteReply { granted: true, .. });
-                if self.holds && from == 2 && to == 1 && yes {
-                    self.held = Some(message);
+                let grant = matches!(&message, RaftMessage::PreVoteReply { granted: true, .. });
+                if self.holds_votes && from == 2 && to == 1 && grant {
+                    self.held_vote = Some(message);
                     continue;
                 }
                 self.cores[to].receive(self.now_ms, node(from), message);
@@ -92,69 +92,69 @@
         }
     }
 
-    fn run(&mut self, span_ms: u64) {
-        for _ in 0..span_ms {
+    fn run(&mut self, duration_ms: u64) {
+        for _ in 0..duration_ms {
             self.step();
         }
     }
 }
 
-/// The end of the last permit that the first one gave, and when another decided, where one
-/// did before that end.
+/// Returns the end of the last permit of the first voter and the time at which another voter
+/// decided, if that was earlier.
 fn overlap(seed: u64) -> Option<(u64, u64)> {
-    let mut trio = Trio::new(seed);
-    while !trio.cores[0].may_decide(trio.now_ms) {
-        trio.step();
-        if trio.now_ms > 3_000 {
-            // Another leads: not the case in question.
+    let mut voters = ThreeVoters::new(seed);
+    while !voters.cores[0].may_decide(voters.now_ms) {
+        voters.step();
+        if voters.now_ms > 3_000 {
+            // Another voter leads; this seed does not produce the case.
             return None;
         }
     }
-    trio.run(200);
-    // It stands still. The second one asks whether it may stand; a yes is on its way.
-    trio.still = true;
-    trio.holds = true;
-    for _ in 0..STILL_MS {
-        trio.step();
-        if trio.held.is_some() {
+    voters.run(200);
+    // The leader freezes. The second voter asks for pre-votes; a granted one is held in transit.
+    voters.frozen = true;
+    voters.holds_votes = true;
+    for _ in 0..FROZEN_MS {
+        voters.step();
+        if voters.held_vote.is_some() {
             break;
         }
     }
-    let yes = trio.held.take()?;
-    // It wakes, and a majority confirms it; its way to the second one loses packets.
-    trio.still = false;
-    trio.lost = true;
-    trio.run(60);
-    if !trio.cores[0].may_decide(trio.now_ms) {
+    let grant = voters.held_vote.take()?;
+    // The leader wakes and a majority confirms it; its messages to the second voter are lost.
+    voters.frozen = false;
+    voters.lost = true;
+    voters.run(60);
+    if !voters.cores[0].may_decide(voters.now_ms) {
         return None;
     }
-    trio.cores[1].receive(trio.now_ms, node(2), yes);
-    trio.holds = false;
-    trio.deliver();
+    voters.cores[1].receive(voters.now_ms, node(2), grant);
+    voters.holds_votes = false;
+    voters.deliver();
     let mut until_ms = 0;
     for passed_ms in 0..1_500 {
-        if trio.cores[0].may_decide(trio.now_ms) {
-            until_ms = trio.cores[0].lease_until_ms(trio.now_ms);
+        if voters.cores[0].may_decide(voters.now_ms) {
+            until_ms = voters.cores[0].lease_until_ms(voters.now_ms);
         }
-        trio.lost = passed_ms < LOST_MS;
-        trio.step();
-        let other = (1..VOTERS).any(|place| trio.cores[place].may_decide(trio.now_ms));
-        if other && trio.now_ms < until_ms {
-            return Some((until_ms, trio.now_ms));
+        voters.lost = passed_ms < LOST_MS;
+        voters.step();
+        let other = (1..VOTERS).any(|voter| voters.cores[voter].may_decide(voters.now_ms));
+        if other && voters.now_ms < until_ms {
+            return Some((until_ms, voters.now_ms));
         }
     }
     None
 }
 
-/// **Order of events:** a leader stands still; another one is given leave to stand, by a yes
-/// that is late. The leader wakes, is confirmed by a majority and permits an order. It hears
-/// of the other's higher term, leads no more, and forgets that its own vote is part of what
-/// the permit rests on: it helps the other to power before the permit's end.
+/// The failure: a leader freezes, and another voter gets a late pre-vote. The leader wakes, is
+/// confirmed by a majority and permits an order. Then it receives the higher term, steps down,
+/// and forgets that its permit relies on its own vote: with its vote the other voter is elected
+/// before the permit ends.
 #[test]
-fn a_leader_that_steps_down_helps_nobody_to_power_before_its_permits_end() {
+fn a_leader_that_steps_down_grants_no_vote_before_its_permits_end() {
     let overlaps: Vec<_> = (0..SEEDS).filter_map(overlap).collect();
     assert!(
         overlaps.is_empty(),
-        "permit's end, another decides: {overlaps:?}"
+        "permit end and earlier decision of another voter: {overlaps:?}"
     );
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -1,5 +1,5 @@
-//! Quotas of client accounts over many entries: what is really given of a limit, and that
-//! the sum never passes it.
+//! Quotas of client accounts over many entries: the share of a limit that is granted, and the
+//! bound on the sum.
 
 mod support_quota;
 
@@ -17,7 +17,7 @@
 use support_quota::{ACCOUNT, QuotaSite, SiteShape, book};
 
 #[test]
-fn what_is_given_is_close_to_the_limit_however_demand_is_spread() {
+fn granted_units_are_close_to_the_limit_for_any_spread_of_demand() {
     for (name, shape) in [
         ("large, even", SiteShape::large()),
         (
@@ -36,11 +36,11 @@
             },
         ),
     ] {
-        // Far above the limit nearly all of it is given; below it nearly nothing is refused.
+        // Far above the limit nearly all of it is granted; below it few requests are refused.
         let mut over = QuotaSite::new(SiteShape { load: 4.0, ..shape }, 1);
         over.run(20_000);
         let given = over.given_of_limit(5_000, 20_000);
-        println!("{name}: at four times the limit {given:.3} of it is given");
+        println!("{name}: at four times the limit {given:.3} of it is granted");
         assert!(given >= 0.97, "{name}: {given}");
         let mut under = QuotaSite::new(
             SiteShape {
@@ -50,13 +50,14 @@
             2,
         );
         under.run(20_000);
-        let (ours, whole) = (under.refused_share(), under.refused_by_one_bucket());
-        println!("{name}: at 0.55 of the limit {ours:.4} is refused, by one bucket {whole:.4}");
-        assert!(ours <= whole + 0.01, "{name}: {ours} {whole}");
+        let (ours, single) = (under.refused_share(), under.refused_by_one_bucket());
+        println!("{name}: at 0.55 of the limit {ours:.4} is refused, by one bucket {single:.4}");
+        assert!(ours <= single + 0.01, "{name}: {ours} {single}");
     }
 }
 
-/// The bound on a window, by the limit in force: a tenth above, and some requests more.
+/// Returns the bound on a window under a limit: a tenth above the units of the window and one
+/// second, and a fixed allowance for some requests.
 fn bound(per_s: f64, window_ms: u64) -> u64 {
     let window_s = window_ms as f64 / 1_000.0;
     ((per_s * window_s + per_s) * 1.1 + 17_000.0) as u64
@@ -65,8 +66,8 @@
 const WINDOW_MS: u64 = 8_000;
 
 #[test]
-fn the_sum_holds_whatever_happens_to_entries_and_leaders() {
-    let mut most = 0.0f64;
+fn the_sum_stays_bounded_under_faults_of_entries_and_leaders() {
+    let mut max = 0.0f64;
     for seed in 0..60 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let shape = match seed % 2 {
@@ -90,7 +91,7 @@
                 0 => site.restart(number),
                 1 => site.entries[number].cut_until_ms = site.now_ms + 5_000,
                 2 => site.entries[number].frozen_until_ms = site.now_ms + 3_000,
-                // A leader falls silent, and another follows it.
+                // The leader is lost, and another one follows.
                 3 => {
                     site.leader = None;
                     site.run(1_200);
@@ -105,14 +106,14 @@
             site.most_within(WINDOW_MS, 0),
             bound(shape.per_s, WINDOW_MS),
         );
-        most = most.max(given as f64 / bound as f64);
+        max = max.max(given as f64 / bound as f64);
         assert!(given <= bound, "seed {seed}: {given} of {bound}");
     }
-    println!("at most {most:.3} of the bound is given");
+    println!("at most {max:.3} of the bound is granted");
 }
 
 #[test]
-fn a_lower_limit_binds_and_a_higher_one_is_given_again() {
+fn a_lowered_limit_binds_and_a_raised_one_is_granted_again() {
     let shape = SiteShape {
         load: 0.8,
         ..SiteShape::large()
@@ -124,7 +125,7 @@
     low.burst /= 20.0;
     site.set_limit(low);
     site.run(12_000);
-    // What entries held is spent within a lease.
+    // Units that entries hold are spent or expire within a lease.
     let given = site.most_within(WINDOW_MS, site.now_ms - WINDOW_MS);
     assert!(given <= bound(low.per_s, WINDOW_MS), "{given}");
     site.set_limit(shape.quota());
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn without_a_leader_for_two_seconds_nearly_all_below_the_limit_is_served() {
+fn without_a_leader_for_two_seconds_most_requests_below_the_limit_are_served() {
     let shape = SiteShape {
         load: 0.55,
         ..SiteShape::large()
@@ -147,24 +148,24 @@
     for seed in 0..10 {
         let mut site = QuotaSite::new(shape, seed);
         site.run(5_000);
-        let (refused, asked) = (site.refused, site.asked.len());
+        let (refused, requests) = (site.refused, site.asked.len());
         site.leader = None;
         site.run(2_000);
         lost += site.refused - refused;
-        came += site.asked.len() - asked;
+        came += site.asked.len() - requests;
     }
     println!("{lost} of {came} refused without a leader");
     assert!(lost * 8 <= came, "{lost} of {came}");
 }
 
-fn life(number: u64) -> EntryIncarnation {
+fn incarnation_of(number: u64) -> EntryIncarnation {
     EntryIncarnation {
         host: HostName::from("entry"),
         incarnation: number,
     }
 }
 
-/// A leader that has led for long, with a full bucket.
+/// Returns the grantor of a leader that has led for long and has a full bucket.
 fn grantor(quota: QuotaSpec) -> QuotaGrantor {
     let mut grantor = QuotaGrantor::new(0);
     grantor.set_limits(1, Some(&book(quota)));
@@ -177,36 +178,41 @@
 }
 
 #[test]
-fn a_doubled_ask_draws_once_and_a_late_answer_is_dropped() {
+fn a_duplicated_request_draws_once_and_a_late_reply_is_dropped() {
     let account = AccountName::from(ACCOUNT);
     let mut leader = grantor(SiteShape::large().quota());
-    let mut holder = QuotaHolder::new(life(1), 10_000);
+    let mut holder = QuotaHolder::new(incarnation_of(1), 10_000);
     assert_eq!(holder.charge(10_000, &account, 300), QuotaCharge::Ask);
     let first = holder.next_request(10_000).unwrap();
-    let answer = leader.grant(10_003, &first);
-    assert_eq!(drawn(&answer), 300);
+    let reply = leader.grant(10_003, &first);
+    assert_eq!(drawn(&reply), 300);
     assert_eq!(drawn(&leader.grant(10_004, &first)), 0);
-    // The answer is late: the next ask is made before it comes.
+    // The reply is late: the next request is made before it arrives.
     holder.record_missing_reply();
     let second = holder.next_request(10_200);
-    holder.apply_grants(first.number, 10_000, 10_201, &answer);
+    holder.apply_grants(first.number, 10_000, 10_201, &reply);
     assert_eq!(holder.charge(10_202, &account, 300), QuotaCharge::Unknown);
     assert_eq!(second, None);
 }
 
 #[test]
-fn what_is_held_lapses_and_what_did_not_run_is_given_back() {
+fn held_units_expire_and_units_of_requests_not_run_are_refunded() {
     let account = AccountName::from(ACCOUNT);
     let mut leader = grantor(SiteShape::large().quota());
-    let mut holder = QuotaHolder::new(life(1), 10_000);
+    let mut holder = QuotaHolder::new(incarnation_of(1), 10_000);
     assert_eq!(holder.charge(10_000, &account, 300), QuotaCharge::Ask);
-    let ask = holder.next_request(10_000).unwrap();
-    holder.apply_grants(ask.number, 10_000, 10_006, &leader.grant(10_003, &ask));
+    let request = holder.next_request(10_000).unwrap();
+    holder.apply_grants(
+        request.number,
+        10_000,
+        10_006,
+        &leader.grant(10_003, &request),
+    );
     assert_eq!(holder.charge(10_007, &account, 300), QuotaCharge::Paid);
     holder.refund(10_010, &account, 300);
     assert_eq!(holder.charge(10_011, &account, 300), QuotaCharge::Paid);
     holder.refund(10_012, &account, 300);
-    // A process that stood still holds nothing.
+    // After a freeze longer than the lease the entry holds nothing.
     let woken_ms = 10_000 + LEASE_MS;
     assert_eq!(holder.charge(woken_ms, &account, 300), QuotaCharge::Ask);
     holder.refund(woken_ms, &account, 300);
@@ -214,43 +220,43 @@
 }
 
 #[test]
-fn what_entries_hold_is_a_part_of_the_bucket() {
+fn units_held_by_entries_count_in_the_bucket() {
     let account = AccountName::from(ACCOUNT);
     let quota = SiteShape::large().quota();
     let mut leader = grantor(quota);
-    let mut ask = |now_ms: u64, entry: u64, claim: QuotaClaim| {
+    let mut request = |now_ms: u64, entry: u64, claim: QuotaClaim| {
         let claims = BTreeMap::from([(account.clone(), claim)]);
-        let ask = QuotaRequest {
-            entry: life(entry),
+        let request = QuotaRequest {
+            entry: incarnation_of(entry),
             number: now_ms,
             claims,
         };
-        drawn(&leader.grant(now_ms, &ask))
+        drawn(&leader.grant(now_ms, &request))
     };
     let ahead = QuotaClaim {
         prefetch: 150_000,
         ..QuotaClaim::default()
     };
-    assert_eq!(ask(10_000, 1, ahead), 150_000);
-    // Long enough for an empty bucket to fill: the part that the first one holds stays out.
+    assert_eq!(request(10_000, 1, ahead), 150_000);
+    // An empty bucket would be full by now, but for the part that the first entry holds.
     let all = QuotaClaim {
         cheapest: 1,
         needed: 200_000,
         ..QuotaClaim::default()
     };
-    assert_eq!(ask(12_000, 2, all), 50_000);
-    // Once the first one's lease is over, what it held counts as spent.
-    let lapsed_ms = 10_000 + LEASE_MS;
-    assert_eq!(ask(lapsed_ms, 3, all), 150_000);
+    assert_eq!(request(12_000, 2, all), 50_000);
+    // Once the first entry's lease has ended, the units that it held count as spent.
+    let expired_ms = 10_000 + LEASE_MS;
+    assert_eq!(request(expired_ms, 3, all), 150_000);
 }
 
-/// A leader hands over while an entry holds all of an account's burst. The first that asks
-/// the next leader is one that nobody has answered lately, as it had no demand for a while.
+/// A leader hands over while an entry holds all of an account's burst. The first entry to
+/// request from the next leader is another one, which had no demand and no grant for a while.
 #[test]
-fn a_new_leader_gives_half_of_the_burst_whoever_asks_first() {
+fn a_new_leader_grants_half_of_the_burst_to_any_first_entry() {
     let account = AccountName::from(ACCOUNT);
     let quota = SiteShape::large().quota();
-    let ask = |leader: &mut QuotaGrantor, now_ms: u64, entry: u64, ahead: bool| {
+    let request = |leader: &mut QuotaGrantor, now_ms: u64, entry: u64, ahead: bool| {
         let units = quota.burst as u64;
         let claim = QuotaClaim {
             cheapest: 1,
@@ -264,22 +270,25 @@
         };
         let claim = if ahead { holds } else { claim };
         let claims = BTreeMap::from([(account.clone(), claim)]);
-        let ask = QuotaRequest {
-            entry: life(entry),
+        let request = QuotaRequest {
+            entry: incarnation_of(entry),
             number: now_ms,
             claims,
         };
-        drawn(&leader.grant(now_ms, &ask))
+        drawn(&leader.grant(now_ms, &request))
     };
     let mut before = grantor(quota);
-    let held = ask(&mut before, 10_000, 1, false);
+    let held = request(&mut before, 10_000, 1, false);
     assert_eq!(held, quota.burst as u64);
     let mut next = QuotaGrantor::new(10_010);
     next.set_limits(1, Some(&book(quota)));
-    let fresh = ask(&mut next, 10_020, 2, false);
-    ask(&mut next, 10_030, 1, true);
-    // What comes in these 30 ms, and the half that a change of leader may cost.
+    let fresh = request(&mut next, 10_020, 2, false);
+    request(&mut next, 10_030, 1, true);
+    // The units of 30 ms, and the half of the burst that a change of leader may add.
     let bound = quota.burst * 1.5 + quota.per_s * 0.03;
     let given = held + fresh;
-    assert!(given as f64 <= bound, "{given} of {bound} within 30 ms");
+    assert!(
+        given as f64 <= bound,
+        "{given} granted within 30 ms, bound {bound}"
+    );
 }
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -1,5 +1,5 @@
-//! What a leader sends to followers that lag: entries where it still has them, else a
-//! snapshot, and that one once until it may be lost. What a leader alone commits.
+//! Catch-up of lagging followers: a leader sends entries if it still has them, else a snapshot,
+//! once until it may be lost. Commits of a leader that is the only voter.
 
 mod support_raft;
 
@@ -18,12 +18,12 @@
 const FOLLOWER: NodeId = NodeId(2);
 const LAGGARD: NodeId = NodeId(3);
 
-/// Two voters that talk, and a third one to which nothing is delivered.
+/// Two connected voters, and a third one to which nothing is delivered.
 struct LoggedPair {
     cores: [RaftCore; 2],
     now_ms: u64,
-    /// What was sent to the third one.
-    unheard: Vec<RaftMessage>,
+    /// Messages sent to the third voter.
+    to_laggard: Vec<RaftMessage>,
 }
 
 impl LoggedPair {
@@ -36,7 +36,7 @@
         let mut pair = Self {
             cores: [core(LEADER), core(FOLLOWER)],
             now_ms: 0,
-            unheard: Vec::new(),
+            to_laggard: Vec::new(),
         };
         while !pair.cores[0].is_leader() {
             pair.now_ms += 1;
@@ -47,7 +47,7 @@
         pair
     }
 
-    /// Delivers between the two until both are silent.
+    /// Delivers messages between the two voters until there are none.
     fn deliver(&mut self) {
         loop {
             let sent = take_sent(&mut self.cores, self.now_ms);
@@ -56,7 +56,7 @@
             }
             for (from, to, message) in sent {
                 match to {
-                    LAGGARD => self.unheard.push(message),
+                    LAGGARD => self.to_laggard.push(message),
                     to => {
                         self.cores[usize::from(to == FOLLOWER)].receive(self.now_ms, from, message)
                     }
@@ -72,15 +72,15 @@
         self.deliver();
     }
 
-    fn pass(&mut self, span_ms: u64) {
-        for _ in 0..span_ms {
+    fn advance(&mut self, duration_ms: u64) {
+        for _ in 0..duration_ms {
             self.now_ms += 1;
             self.cores[0].tick(self.now_ms);
             self.deliver();
         }
     }
 
-    /// The third voter says that it holds nothing after `at`.
+    /// Refuses an append as the third voter, which holds nothing after `at`.
     fn refuse(&mut self, at: u64) {
         let term = self.cores[0].term();
         let refusal = RaftMessage::AppendReply {
@@ -100,21 +100,21 @@
 }
 
 #[test]
-fn a_follower_that_lags_across_a_compaction_is_sent_entries() {
+fn a_follower_that_lags_behind_a_compaction_gets_entries() {
     let mut pair = LoggedPair::new();
     pair.commit(30);
     pair.cores[0].compact(vec![1; 1_000]);
     pair.commit(1);
-    pair.unheard.clear();
+    pair.to_laggard.clear();
     pair.refuse(5);
-    let Some(RaftMessage::Append { prev, entries, .. }) = pair.unheard.first() else {
-        panic!("entries are sent: {:?}", pair.unheard);
+    let Some(RaftMessage::Append { prev, entries, .. }) = pair.to_laggard.first() else {
+        panic!("expected entries, got {:?}", pair.to_laggard);
     };
     assert_eq!(prev.index, Position(5));
     assert_eq!(entries.first().unwrap().mark.index, Position(6));
     let last = pair.cores[0].last().index;
     assert_eq!(entries.last().unwrap().mark.index, last);
-    assert_eq!(installs(&pair.unheard), 0);
+    assert_eq!(installs(&pair.to_laggard), 0);
 }
 
 #[test]
@@ -124,23 +124,23 @@
         pair.commit(400);
         pair.cores[0].compact(vec![1; 1_000]);
     }
-    pair.unheard.clear();
+    pair.to_laggard.clear();
     pair.refuse(0);
-    assert_eq!(installs(&pair.unheard), 1);
-    // Heartbeats go on, their refusals draw nothing, and proposals no further copy.
+    assert_eq!(installs(&pair.to_laggard), 1);
+    // Neither refused heartbeats nor proposals cause another copy.
     for _ in 0..10 {
-        pair.pass(40);
+        pair.advance(40);
         pair.refuse(0);
         pair.commit(1);
     }
-    assert_eq!(installs(&pair.unheard), 1);
-    assert!(pair.unheard.len() > 10);
-    pair.pass(1_000);
-    assert_eq!(installs(&pair.unheard), 2);
+    assert_eq!(installs(&pair.to_laggard), 1);
+    assert!(pair.to_laggard.len() > 10);
+    pair.advance(1_000);
+    assert_eq!(installs(&pair.to_laggard), 2);
 }
 
 #[test]
-fn a_leader_that_is_its_own_quorum_commits_what_a_heartbeat_sends_first() {
+fn a_leader_that_is_its_own_quorum_commits_entries_that_a_heartbeat_sends() {
     let mut image = DiskImage::default();
     image.snapshot.voters = BTreeSet::from([LEADER]);
     let mut core = RaftCore::new(LEADER, TIMING, image, 0, 1);
@@ -151,7 +151,7 @@
     }
     core.take_output();
     let mark = core.propose(vec![7; 10]).unwrap();
-    // The proposal comes in the same turn as a heartbeat is due.
+    // The proposal comes in the same batch in which a heartbeat is due.
     core.tick(now_ms + TIMING.heartbeat_ms);
     core.flush(now_ms + TIMING.heartbeat_ms);
     assert_eq!(core.commit(), mark.index);
--- a/tests/regions.rs
+++ b/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Regions: where a request may be served, and which replicas are near.
+//! Regions: the replicas that a request may go to, and their distance from an entry.
 
 mod support_replicas;
 
@@ -11,10 +11,10 @@
 use dunlinspring::ids::{HallName, RegionName, ReplicaId, ServiceName};
 use support_replicas::ready_replica;
 
-/// Halls `a1` and `a2` in region `a`, `b1` in region `b`; `c1` is in none that is known.
+/// Halls `a1` and `a2` are in region `a`, `b1` in region `b`; `c1` is in no known region.
 const HALLS: [(&str, &str); 3] = [("a1", "a"), ("a2", "a"), ("b1", "b")];
 
-fn place() -> EntryLocation {
+fn location() -> EntryLocation {
     let halls = HALLS.iter();
     let regions = halls.map(|(hall, region)| (HallName::from(*hall), RegionName::from(*region)));
     EntryLocation::new(HallName::from("a1"), regions.collect())
@@ -42,10 +42,10 @@
 }
 
 fn choose(halls: &[&str], allowed: AllowedRegions) -> Choice {
-    let mut book = ReplicaTable::new(ChoicePolicy::default(), place());
+    let mut table = ReplicaTable::new(ChoicePolicy::default(), location());
     let records = halls.iter().map(|hall| record(hall));
-    book.update_records(0, &records.collect());
-    book.choose(0, &need(allowed), &BTreeSet::new(), EngineBounds::default())
+    table.update_records(0, &records.collect());
+    table.choose(0, &need(allowed), &BTreeSet::new(), EngineBounds::default())
 }
 
 fn sent_to(hall: &str) -> Choice {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_words_of_a_route_and_of_an_account_both_bind() {
+fn the_regions_of_a_route_and_of_an_account_both_apply() {
     let of = |route: &[&str], account: &[&str]| {
         AllowedRegions::of(&regions(route), Some(&regions(account)))
     };
@@ -73,13 +73,13 @@
     assert_eq!(choose(&["a1", "a2", "b1"], only(&["b"])), sent_to("b1"));
     assert_eq!(choose(&["a1", "a2"], only(&["b"])), Choice::Absent);
     assert_eq!(choose(&["a1", "b1"], only(&[])), Choice::Absent);
-    // Nobody says that a hall of no known region is in one of them.
+    // A hall without a known region is in none of the allowed ones.
     assert_eq!(choose(&["c1"], only(&["a", "b"])), Choice::Absent);
     assert_eq!(choose(&["c1"], AllowedRegions::All), sent_to("c1"));
 }
 
 #[test]
-fn the_own_hall_goes_before_the_own_region_and_that_before_others() {
+fn the_own_hall_is_preferred_to_the_own_region_and_that_to_others() {
     let all = || AllowedRegions::All;
     assert_eq!(choose(&["a1", "a2", "b1"], all()), sent_to("a1"));
     assert_eq!(choose(&["a2", "b1"], all()), sent_to("a2"));
@@ -87,13 +87,13 @@
         choose(&["b1", "c1"], AllowedRegions::Only(regions(&["b"]))),
         sent_to("b1")
     );
-    let place = place();
-    let distance = |hall: &str| place.distance(&HallName::from(hall));
+    let location = location();
+    let distance = |hall: &str| location.distance(&HallName::from(hall));
     assert_eq!(distance("a1"), HallDistance::SameHall);
     assert_eq!(distance("a2"), HallDistance::SameRegion);
     assert_eq!(distance("b1"), HallDistance::OtherRegion);
     assert_eq!(distance("c1"), HallDistance::OtherRegion);
-    // Without regions all halls are as near as they were.
+    // Without regions all other halls count as near.
     let flat = EntryLocation::new(HallName::from("x"), BTreeMap::new());
     assert_eq!(
         flat.distance(&HallName::from("y")),
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,5 +1,5 @@
-//! Control hosts without a disk: they take part in founding, name the hosts that keep
-//! the log, and pass on what replicas and operators say. They never vote.
+//! Relays, which are control hosts without a disk: they take part in the bootstrap, tell the
+//! addresses of voters, and forward calls of replicas and operators. They never vote.
 
 mod support_replicas;
 
@@ -39,7 +39,7 @@
     daemon.unwrap()
 }
 
-/// A voter that leads alone, and where it is.
+/// Starts a single voter, which leads. Returns it with its address.
 async fn only_voter(folder: &Path) -> (ControlDaemon, SocketAddr) {
     let (listener, own) = listeners(1).await.remove(0);
     let voter = first_voter(folder, listener, own, &[own]).await;
@@ -51,7 +51,7 @@
     listeners(2).await.try_into().unwrap()
 }
 
-/// The registry of a relay that knows `named`.
+/// Returns the registry of a relay that knows the addresses `named`.
 fn relayed(named: &[SocketAddr]) -> Registry {
     let named = named.iter().map(ToString::to_string).collect();
     Registry::new(
@@ -84,7 +84,7 @@
 }
 
 #[ntex::test]
-async fn named_hosts_with_a_disk_found_the_site_and_those_without_never_vote() {
+async fn configured_hosts_with_a_disk_bootstrap_the_site_and_relays_never_vote() {
     let folder = tempfile::tempdir().unwrap();
     let mut bound = listeners(4).await;
     let (listener, third) = bound.pop().unwrap();
@@ -97,17 +97,18 @@
         first_voter(folder.path(), second.0, second.1, &named),
     );
     let (first, second) = voters.await;
-    let founded = |daemon| status_where(daemon, "two founders", |s| s.voters.len() == 2);
-    founded(&first).await;
-    founded(&second).await;
-    // A further host knows only the one without a disk.
+    let bootstrapped =
+        |daemon| status_where(daemon, "two bootstrap voters", |s| s.voters.len() == 2);
+    bootstrapped(&first).await;
+    bootstrapped(&second).await;
+    // Another host knows only the relay.
     let third = first_voter(folder.path(), listener, third, &[relay.address]).await;
     let status = status_where(&third, "three voters", |s| s.voters.len() == 3).await;
     assert!(status.voters.contains(&status.node));
 }
 
 #[ntex::test]
-async fn one_host_founds_the_site_where_no_named_one_has_a_disk() {
+async fn one_host_bootstraps_the_site_if_all_configured_ones_are_relays() {
     let folder = tempfile::tempdir().unwrap();
     let bound = listeners(3).await;
     let named: Vec<SocketAddr> = bound.iter().map(|(_, address)| *address).collect();
@@ -124,7 +125,7 @@
 }
 
 #[ntex::test]
-async fn a_relay_passes_on_heartbeats_and_configurations_and_answers_nothing_stale() {
+async fn a_relay_forwards_heartbeats_and_configurations_and_serves_no_stale_read() {
     let folder = tempfile::tempdir().unwrap();
     let bound = listeners(3).await;
     let named: Vec<SocketAddr> = bound.iter().map(|(_, address)| *address).collect();
@@ -153,11 +154,14 @@
     for voter in voters {
         voter.stop().await;
     }
-    // Nobody is left to tell what is newest.
+    // No voter is left to confirm the newest state.
     let read = registry.configuration().await;
     assert!(matches!(read, Err(RegistryError::NoQuorum)), "{read:?}");
-    let beat = registry.heartbeat(replica("i-2")).await;
-    assert!(matches!(beat, Err(RegistryError::NoQuorum)), "{beat:?}");
+    let heartbeat = registry.heartbeat(replica("i-2")).await;
+    assert!(
+        matches!(heartbeat, Err(RegistryError::NoQuorum)),
+        "{heartbeat:?}"
+    );
 }
 
 #[ntex::test]
@@ -166,7 +170,7 @@
     let (_voter, first) = only_voter(folder.path()).await;
     let [(listener, own), (other, second)] = two_listeners().await;
     let _relay = relay(listener, own, &[first]).await;
-    // It starts again knowing nothing but a relay.
+    // The restarted relay knows only another relay.
     let restarted = relay(other, second, &[own]).await;
     let link = restarted.link().clone();
     let registry = Registry::new(LogAccess::Remote, link, BTreeSet::new());
@@ -181,7 +185,7 @@
     let folder = tempfile::tempdir().unwrap();
     let (_voter, first) = only_voter(folder.path()).await;
     let [(listener, own), (other, second)] = two_listeners().await;
-    // The seeds were exchanged for these two, and then all lost power.
+    // Both relays have only relays as seeds, as after a change of seeds and a power loss of all.
     let one = relay(listener, own, &[own, second]).await;
     let _two = relay(other, second, &[own, second]).await;
     let registry = Registry::new(LogAccess::Remote, one.link().clone(), BTreeSet::new());
--- a/tests/replica_born.rs
+++ b/tests/replica_born.rs
@@ -1,5 +1,5 @@
-//! Replicas that start again under the id that they had: a later birth is another life, which
-//! holds and knows nothing of before and numbers its heartbeats anew.
+//! Replicas that restart under the same id: a later start time is another incarnation, which
+//! holds nothing of the previous one and numbers its heartbeats anew.
 
 mod support_replicas;
 
@@ -11,7 +11,7 @@
 use dunlinspring::ids::{ModelName, ReplicaId};
 use support_replicas::ready_replica;
 
-/// Heartbeat `seq` of replica `r` in the life that began at `started_ms`.
+/// Returns heartbeat `seq` of replica `r` in the incarnation started at `started_ms`.
 fn heartbeat(started_ms: u64, seq: u64, models: &[&str]) -> ReplicaRecord {
     let models = models
         .iter()
@@ -34,8 +34,8 @@
     ModelName::from(name)
 }
 
-/// A directory that knows one heartbeat.
-fn knowing(record: &ReplicaRecord) -> ReplicaDirectory {
+/// Returns a directory with one heartbeat.
+fn directory_with(record: &ReplicaRecord) -> ReplicaDirectory {
     let mut directory = ReplicaDirectory::default();
     assert!(directory.put(record, 0).is_some());
     directory
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn a_new_life_is_heard_though_its_numbers_begin_anew() {
-    let mut directory = knowing(&heartbeat(1_000, 500, &["m", "n"]));
+fn a_new_incarnation_is_accepted_though_its_numbers_restart() {
+    let mut directory = directory_with(&heartbeat(1_000, 500, &["m", "n"]));
     let first = heartbeat(2_000, 1, &[]);
     assert_eq!(directory.compare_heartbeat(&first, 0), HeartbeatStatus::New);
     directory.put(&first, 0);
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn a_late_heartbeat_of_the_life_before_changes_nothing() {
-    let mut directory = knowing(&heartbeat(2_000, 1, &[]));
+fn a_late_heartbeat_of_the_previous_incarnation_changes_nothing() {
+    let mut directory = directory_with(&heartbeat(2_000, 1, &[]));
     for late in [heartbeat(1_000, 500, &["m"]), heartbeat(0, 501, &["m"])] {
         assert_eq!(
             directory.compare_heartbeat(&late, 0),
@@ -68,8 +68,8 @@
 }
 
 #[test]
-fn a_replica_that_drained_takes_requests_in_its_next_life() {
-    let mut directory = knowing(&heartbeat(1_000, 5, &["m"]));
+fn a_drained_replica_takes_requests_in_its_next_incarnation() {
+    let mut directory = directory_with(&heartbeat(1_000, 5, &["m"]));
     directory.mark_draining(&id());
     assert_eq!(
         directory.compare_heartbeat(&heartbeat(1_000, 6, &["m"]), 0),
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn a_life_that_ended_stays_so_and_the_next_one_comes() {
-    let mut directory = knowing(&heartbeat(1_000, 5, &["m"]));
+fn an_ended_incarnation_stays_ended_and_the_next_is_accepted() {
+    let mut directory = directory_with(&heartbeat(1_000, 5, &["m"]));
     directory.end(&id());
     assert_eq!(
         directory.compare_heartbeat(&heartbeat(1_000, 6, &["m"]), 0),
@@ -104,24 +104,24 @@
 }
 
 #[test]
-fn what_was_ordered_out_of_the_life_before_takes_no_room_in_the_next() {
-    let mut directory = knowing(&heartbeat(1_000, 5, &["m", "n"]));
+fn unloads_of_the_previous_incarnation_do_not_apply_to_the_next() {
+    let mut directory = directory_with(&heartbeat(1_000, 5, &["m", "n"]));
     directory.record_unload(&id(), &model("m"));
     directory.set_adapter(&id(), &model("n"), "a1", AdapterEffect::Present, 0);
     directory.set_adapter(&id(), &model("n"), "a1", AdapterEffect::Unloading, 0);
     directory.put(&heartbeat(2_000, 1, &[]), 0);
     assert_eq!(directory.unloading(&id()).count(), 0);
     assert_eq!(directory.adapters_ordered(&id()).count(), 0);
-    // It is heard of all that it comes to hold by itself.
+    // Heartbeats report everything that the new incarnation holds.
     directory.put(&heartbeat(2_000, 2, &["m", "n"]), 0);
     assert_eq!(known(&directory).models.len(), 2);
 }
 
 #[test]
-fn what_was_ordered_into_the_life_before_takes_room_until_it_is_settled() {
-    // The order may still be on its way, and the next life would carry it out: it has the
-    // id that the order names, and may have taken as many.
-    let mut directory = knowing(&heartbeat(1_000, 5, &["n"]));
+fn loads_of_the_previous_incarnation_reserve_memory_until_settled() {
+    // The order may still be in transit. The next incarnation would carry it out, as it has
+    // the id in the order and may have taken the same number of orders.
+    let mut directory = directory_with(&heartbeat(1_000, 5, &["n"]));
     directory.record_load(&id(), &model("m"));
     directory.record_adapter_order(&id(), &model("n"), "a1");
     directory.put(&heartbeat(2_000, 1, &[]), 0);
@@ -132,10 +132,10 @@
 }
 
 #[test]
-fn an_adapter_that_an_order_brought_before_is_not_there_after() {
-    let mut directory = knowing(&heartbeat(1_000, 5, &["m"]));
+fn an_adapter_loaded_before_a_restart_is_absent_after_it() {
+    let mut directory = directory_with(&heartbeat(1_000, 5, &["m"]));
     directory.set_adapter(&id(), &model("m"), "a1", AdapterEffect::Present, 0);
-    // Within the time in which an order's effect outweighs heartbeats.
+    // Within the time in which the effect of an order takes precedence over heartbeats.
     directory.put(&heartbeat(2_000, 1, &["m"]), 100);
     assert!(!known(&directory).holds_adapter(&model("m"), "a1"));
 }
--- a/tests/replica_changes.rs
+++ b/tests/replica_changes.rs
@@ -1,4 +1,5 @@
-//! What members are told of replicas: the newest record of each, and only what they use.
+//! Changes of replicas that members receive: the newest record of each replica, and only the
+//! fields that members use.
 
 mod support_replicas;
 
@@ -59,28 +60,28 @@
 }
 
 #[test]
-fn copies_at_hand_are_kept_by_the_log_and_told_to_nobody() {
+fn local_copies_are_kept_in_the_log_and_not_sent_to_members() {
     let mut state = SiteState::default();
     commit(&mut state, &record("a", 1));
-    let told = state.changed();
+    let published = state.changed();
     let mut copies = record("a", 1);
     copies.in_memory.insert(ModelName::from("m"));
     copies.on_disk.insert(ModelName::from("n"));
     commit(&mut state, &copies);
-    assert_eq!(state.changed(), told);
+    assert_eq!(state.changed(), published);
     let held = &state.replicas.records()[&ReplicaId::from("a")];
     assert_eq!((held.in_memory.len(), held.on_disk.len()), (1, 1));
     let page = page_after(&state, Position(0));
-    let told = page.changes.iter().find_map(|change| match change {
+    let published = page.changes.iter().find_map(|change| match change {
         Change::Replica(_, record) => record.as_ref(),
         _ => None,
     });
-    assert_eq!(told, Some(&record("a", 1)));
+    assert_eq!(published, Some(&record("a", 1)));
 }
 
-/// A heartbeat for a service that the configuration does not name is another writer's.
+/// A heartbeat for a service that is not in the configuration comes from a foreign replica.
 #[test]
-fn a_replica_of_a_service_that_nobody_names_changes_nothing() {
+fn a_replica_of_an_unknown_service_changes_nothing() {
     let mut state = SiteState::default();
     let service = ServiceSpec {
         max_connections: 9,
@@ -106,7 +107,7 @@
         let position = Position(state.position.0 + 1);
         state.apply(position, &Stamped { at_ms: 0, command });
     };
-    // Replicas may come before the first configuration.
+    // Replicas may register before the first configuration.
     commit(&mut state, &record("a", 1));
     apply(&mut state, named(1, &["llm"]));
     let mut foreign = record("b", 1);
@@ -121,7 +122,8 @@
         state.compare_heartbeat(&taken_over),
         HeartbeatStatus::Foreign
     );
-    // One whose service is dropped is heard on: it may have to be told that it may leave.
+    // Heartbeats of a replica whose service was removed still count, as it may wait for the
+    // acknowledgement that it may shut down.
     apply(&mut state, named(2, &["other"]));
     let mut leaves = record("a", 1);
     leaves.phase = ReplicaPhase::Draining;
--- a/tests/replica_limits/main.rs
+++ b/tests/replica_limits/main.rs
@@ -113,7 +113,7 @@
             let got = world.arrivals.len() - before;
             let limit = f64::from(thousandths) / 1_000.0 * 60.0;
             println!(
-                "{size} entries, {limit} allowed in 60 s: {got} came, {} asked",
+                "{size} entries, {limit} allowed in 60 s: {got} came, {} permit requests",
                 world.permit_requests - permit_requests
             );
             assert!(
--- a/tests/replica_read.rs
+++ b/tests/replica_read.rs
@@ -1,4 +1,4 @@
-//! A new leader answers no read from a state that misses what is known to be committed.
+//! A new leader serves no read from a state that misses entries known to be committed.
 
 use std::collections::BTreeSet;
 
@@ -12,8 +12,8 @@
     election_ms: 100,
     heartbeat_ms: 10,
 };
-/// Longer than any election takes, in milliseconds.
-const LONG: u64 = 5_000;
+/// Time longer than any election, in milliseconds.
+const LONG_MS: u64 = 5_000;
 
 struct Peers {
     now_ms: u64,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Ends a batch of one voter: syncs, and sends.
+    /// Ends a batch of one voter: writes records to its disk and sends its messages.
     fn finish(&mut self, voter: usize) {
         let (replica, disk) = &mut self.voters[voter];
         let output = replica.finish(self.now_ms);
@@ -49,8 +49,8 @@
             .extend(sent.map(|(to, message)| (from, to, message)));
     }
 
-    /// One millisecond in which all messages among `alive` arrive, each a batch of its
-    /// own; `between` looks at a voter between a message and the end of its batch.
+    /// Advances time by 1 ms and delivers all messages among `alive`, each as its own batch.
+    /// `between` inspects a voter between a message and the end of its batch.
     fn step(&mut self, alive: &[usize], mut between: impl FnMut(&LogReplica, u64)) {
         self.now_ms += 1;
         for voter in alive {
@@ -75,12 +75,12 @@
 }
 
 #[test]
-fn a_new_leader_tells_that_its_state_lags_behind_what_the_one_before_committed() {
+fn a_new_leader_reports_that_its_state_lags_behind_committed_entries() {
     let mut peers = Peers::new();
     let all = [0, 1, 2];
     while peers.leader(&all).is_none() {
         peers.step(&all, |_, _| {});
-        assert!(peers.now_ms < LONG, "no leader");
+        assert!(peers.now_ms < LONG_MS, "no leader");
     }
     let old = peers.leader(&all).unwrap();
     let site = SiteSpec {
@@ -94,23 +94,23 @@
     let committed = peers.voters[old].0.raft().last().index;
     while peers.voters[old].0.position() < committed {
         peers.step(&all, |_, _| {});
-        assert!(peers.now_ms < LONG, "not committed");
+        assert!(peers.now_ms < LONG_MS, "not committed");
     }
     let left: Vec<usize> = all.into_iter().filter(|voter| *voter != old).collect();
     let mut lagged = false;
-    let give_up = peers.now_ms + LONG;
+    let deadline = peers.now_ms + LONG_MS;
     while peers.leader(&left).is_none() {
         peers.step(&left, |replica, now_ms| {
-            // It may decide, and a read here would miss the change.
+            // The voter may decide, and a read here would miss the change.
             if let Some(state) = replica.newest(now_ms) {
                 let misses = state.position < replica.raft().commit();
                 assert_eq!(misses, replica.is_behind());
                 lagged |= misses;
             }
         });
-        assert!(peers.now_ms < give_up, "no second leader");
+        assert!(peers.now_ms < deadline, "no second leader");
     }
-    assert!(lagged, "the race of this test did not come about");
+    assert!(lagged, "the race that this test checks did not occur");
     let new = peers.leader(&left).unwrap();
     let replica = &peers.voters[new].0;
     assert!(!replica.is_behind());
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What a restarted voter knows before any other has answered it.
+//! State of a restarted voter before it has received any message.
 
 use std::collections::BTreeSet;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_restarted_voter_knows_what_it_knew_to_be_committed() {
+fn a_restarted_voter_keeps_the_state_it_knew_to_be_committed() {
     let mut disk = LogReplica::bootstrap_image(BTreeSet::from([NodeId(1)]));
     let mut first = voter(disk.clone(), 0);
     first.tick(300);
@@ -48,6 +48,6 @@
     let again = voter(disk, 1_000);
     let held = again.state().configuration.as_ref();
     assert_eq!(held.map(|record| record.configuration.version), Some(3));
-    // It decides nothing by that before it leads.
+    // It decides nothing by this state before it leads.
     assert!(again.newest(1_000).is_none());
 }
--- a/tests/separation.rs
+++ b/tests/separation.rs
@@ -1,4 +1,4 @@
-//! Which homes of a model are for its long answers.
+//! Homes of a model that are reserved for its long responses.
 
 use dunlinspring::forward::answer_separation::{AnswerStats, HomeRange};
 use dunlinspring::forward::replica_table::Need;
@@ -11,7 +11,7 @@
     }
 }
 
-/// One long answer of `every` requests, whose prompts are equally long.
+/// Returns statistics of requests with equal prompts, one of `every` with a long response.
 fn mix(every: usize) -> AnswerStats {
     let mut mix = AnswerStats::default();
     for number in 0..400 {
@@ -22,18 +22,18 @@
 }
 
 #[test]
-fn long_answers_get_homes_with_less_to_read_where_there_are_enough() {
+fn long_responses_get_homes_of_their_own_if_there_are_enough() {
     let mix = mix(8);
     let (long, short) = (need(2_000, 170), need(2_000, 25));
     assert_eq!(mix.homes_for(&long, 2), HomeRange::All);
     assert_eq!(mix.homes_for(&short, 2), HomeRange::All);
-    // An eighth of what is read, on a quarter of the homes.
+    // An eighth of the prompt tokens, on 2 of the 9 homes.
     assert_eq!(mix.homes_for(&long, 9), HomeRange::Before(2));
     assert_eq!(mix.homes_for(&short, 9), HomeRange::From(2));
 }
 
 #[test]
-fn nothing_is_set_apart_where_long_answers_are_many_or_all_are_alike() {
+fn no_homes_are_reserved_if_long_responses_are_many_or_all_are_alike() {
     let long = need(2_000, 170);
     assert_eq!(mix(2).homes_for(&long, 12), HomeRange::All);
     let mut alike = AnswerStats::default();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_entry_that_has_seen_little_sets_nothing_apart() {
+fn an_entry_with_few_samples_reserves_no_homes() {
     let mut mix = AnswerStats::default();
     assert_eq!(mix.homes_for(&need(0, 0), 12), HomeRange::All);
     for _ in 0..10 {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn requests_without_tokens_are_borne() {
+fn requests_without_tokens_are_accepted() {
     let mut mix = AnswerStats::default();
     for _ in 0..100 {
         mix.observe(&need(0, 0));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: the examples are sound, and what is wrong is named with its place.
+//! Settings: the examples are valid, and errors name the line and the field.
 
 use std::path::Path;
 
@@ -17,7 +17,7 @@
 
 fn fault<S: ValidatedSettings>(name: &str, from: &str, to: &str) -> String {
     let (_, text) = example::<S>(name);
-    assert!(text.contains(from), "the example lost '{from}'");
+    assert!(text.contains(from), "the example has no '{from}' any more");
     let changed = text.replacen(from, to, 1);
     match parse::<S>(Path::new("settings.json"), &changed) {
         Ok(_) => "accepted".to_owned(),
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_examples_are_sound() {
+fn the_examples_are_valid() {
     let (fiji, _) = example::<ControlSettings>("fiji-control.json");
     let (heredia, _) = example::<ControlSettings>("heredia-control.json");
     assert_eq!(
--- a/tests/site.rs
+++ b/tests/site.rs
@@ -1,10 +1,10 @@
-//! The whole path over real processes, sockets and files.
+//! End-to-end tests with real processes, sockets and files.
 
 mod support;
 
 use support::{Ask, OPERATOR, TestSite, row, until, whole_text};
 
-fn ask<'a>(prompt: &'a str, stream: bool) -> Ask<'a> {
+fn request<'a>(prompt: &'a str, stream: bool) -> Ask<'a> {
     Ask {
         model: "review",
         class: "filing-review",
@@ -17,31 +17,31 @@
 
 async fn served(site: &TestSite, entry: &str, prompt: &str) {
     until("a request to be served", async || {
-        let told = site.complete(entry, &ask(prompt, true)).await;
-        match told.outcome.as_str() {
+        let response = site.complete(entry, &request(prompt, true)).await;
+        match response.outcome.as_str() {
             "done" => {
-                assert_eq!(told.text, whole_text(prompt, 40));
+                assert_eq!(response.text, whole_text(prompt, 40));
                 Some(())
             }
-            // Repeatable, and its caller was told so: it asks again.
+            // Reported as repeatable, so the client sends it again.
             "not-run" | "unknown" | "" => None,
-            outcome => panic!("told {outcome}"),
+            outcome => panic!("unexpected outcome {outcome}"),
         }
     })
     .await
 }
 
 #[ntex::test]
-async fn a_request_is_served_and_a_row_outlives_each_process() {
+async fn a_request_is_served_and_a_row_survives_each_process() {
     let mut site = TestSite::start().await;
     let version = site
         .add_row("fiji-review", &row("review", "filing-review"))
         .await;
     site.settled("fiji-review", 2).await;
     for stream in [true, false] {
-        let told = site.complete("e1", &ask("annual return", stream)).await;
-        assert_eq!((told.status, told.outcome.as_str()), (200, "done"));
-        assert_eq!(told.text, whole_text("annual return", 40));
+        let response = site.complete("e1", &request("annual return", stream)).await;
+        assert_eq!((response.status, response.outcome.as_str()), (200, "done"));
+        assert_eq!(response.text, whole_text("annual return", 40));
     }
     for name in ["c1", "c2", "c3", "t1", "t1-engine", "t2", "s1", "e1", "e2"] {
         site.kill(name);
--- a/tests/suspension/main.rs
+++ b/tests/suspension/main.rs
@@ -27,7 +27,7 @@
         let script = vec![Behaviour::Slow(60_000, "too late")];
         site.add_replica(name, script).await;
     }
-    let asked = site.send("GET", "/plain/x", "a", "");
+    let response = site.send("GET", "/plain/x", "a", "");
     let wakes = async {
         wait_for("the first attempt", async || {
             let seen = site.seen("r1").len() + site.seen("r2").len();
@@ -36,7 +36,7 @@
         .await;
         clock::simulate_suspension(SUSPENDED);
     };
-    let (answer, ()) = futures::join!(asked, wakes);
+    let (answer, ()) = futures::join!(response, wakes);
     // No attempt gets a response: neither the first nor the one after the suspension.
     assert_eq!(answer.status, 502);
     let mut deadlines: Vec<u64> = ["r1", "r2"]
@@ -60,7 +60,7 @@
     site.add_replica("r1", vec![Behaviour::Slow(60_000, "too late"); 3])
         .await;
     let order = RefCell::new(Vec::new());
-    let asked = async {
+    let response = async {
         let answer = site.send("GET", "/plain/x", "a", "").await;
         order.borrow_mut().push("answer");
         answer
@@ -71,7 +71,7 @@
         tokio::time::sleep(Duration::from_millis(3_000)).await;
         order.borrow_mut().push("later");
     };
-    let (answer, ()) = futures::join!(asked, wakes);
+    let (answer, ()) = futures::join!(response, wakes);
     assert_eq!(answer.status, 504);
     assert_eq!(order.into_inner(), ["answer", "later"]);
 }
--- a/tests/unknown_headers.rs
+++ b/tests/unknown_headers.rs
@@ -1,4 +1,4 @@
-//! Headers of answers that nobody reads: told apart by name, and bounded.
+//! Response headers that the entry does not know: reported once per name, in bounded memory.
 
 mod support_names;
 
@@ -19,22 +19,22 @@
         header("Wish", "1.5"),
     ];
     let first = known.find(&NAMES, &headers);
-    let told: Vec<(&str, &str, bool)> = first
+    let reported: Vec<(&str, &str, bool)> = first
         .iter()
         .map(|header| (header.name.as_str(), header.value.as_str(), header.is_new))
         .collect();
-    assert_eq!(told, [("wish", "1.5", true)]);
+    assert_eq!(reported, [("wish", "1.5", true)]);
     let again = known.find(&NAMES, &[header("WISH", "2")]);
     assert!(!again[0].is_new);
 }
 
 #[test]
-fn a_replica_that_makes_names_up_fills_no_memory() {
+fn invented_header_names_use_bounded_memory() {
     let mut known = UnknownHeaders::default();
     let mut names = std::collections::BTreeSet::new();
     for number in 0..10_000 {
-        let made_up = header(&format!("x-{number}-{}", "é".repeat(500)), &"é".repeat(500));
-        let found = known.find(&NAMES, &[made_up]);
+        let invented = header(&format!("x-{number}-{}", "é".repeat(500)), &"é".repeat(500));
+        let found = known.find(&NAMES, &[invented]);
         assert!(found[0].name.len() <= 64 && found[0].value.len() <= 64);
         names.insert(found[0].name.clone());
     }
