--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -21,8 +21,8 @@
     fi
     local out
     local cases=20000
-    [ "$test" = the_log_keeps_what_it_acknowledged ] && cases=20000
-    [ "$test" = no_limit_is_exceeded_in_sum ] && cases=100000
+    [ "$test" = the_log_keeps_acknowledged_changes ] && cases=20000
+    [ "$test" = the_sum_of_running_requests_stays_within_the_limit ] && cases=100000
     out=$(cd "$scratch" && DUNLINSPRING_CASES=$cases timeout 500 cargo test --offline --test "$target" -- "$test" 2>&1)
     local code=$?
     local reason
@@ -35,7 +35,7 @@
 }
 
 only=("$@")
-log=the_log_keeps_what_it_acknowledged
+log=the_log_keeps_acknowledged_changes
 mutant lease-too-long src/consensus/raft.rs 's/LEASE_PER_MILLE: u64 = 850/LEASE_PER_MILLE: u64 = 1700/' fuzz $log
 mutant no-silence-after-restart src/consensus/raft.rs 's/no_vote_until_ms: now_ms \+ timing.election_ms/no_vote_until_ms: 0/' fuzz $log
 mutant votes-while-leader-heard src/consensus/raft.rs 's/now_ms < leader_valid_ms \|\| now_ms < self\.no_vote_until_ms \|\| leading/now_ms < self.no_vote_until_ms/' fuzz $log
@@ -49,7 +49,7 @@
 mutant version-not-checked src/table/rows.rs 's/_ if version != edit\.expected => \{/_ if false \&\& version != edit.expected => {/' fuzz $log
 mutant claim-taken-twice src/consensus/claims.rs 's/\(Some\(record\), _\) if record\.settled != Some\(Settlement::NotRun\) =>/(Some(record), _) if false \&\& record.settled != Some(Settlement::NotRun) =>/' fuzz $log
 mutant lost-disk-votes-again tests/fuzz/log.rs 's/self\.voters\[voter\]\.id = id;\n        self\.voters\[voter\]\.disk = DiskImage::default\(\);/let founders = (0..VOTERS as u64).map(NodeId).collect();\n        self.voters[voter].disk = LogReplica::bootstrap_image(founders);/' fuzz $log
-gate=outcomes_memory_and_runs_are_true
+gate=outcomes_memory_and_runs_stay_correct
 mutant memory-freed-at-order src/admission/ledger.rs 's/used\.phase = ModelPhase::Unloading;\n            used\.stamp = stamp;/used.phase = ModelPhase::Unloading;\n            used.mib = 0;\n            used.stamp = stamp;/' fuzz $gate
 mutant unanswered-load-not-counted src/admission/ledger.rs 's/None => !settled,/None => false,/' fuzz $gate
 mutant account-open-at-once src/admission/ledger.rs 's/OrderCheck::Fenced => report\.fence\.life == life,/OrderCheck::Fenced => true,/' fuzz $gate
@@ -66,7 +66,7 @@
 mutant refused-resume-is-not-run src/admission/controller.rs 's/RunEvent::Refused if !attempt\.resumed =>/RunEvent::Refused if true || !attempt.resumed =>/' fuzz $gate
 mutant pieces-out-of-order src/admission/controller.rs 's/if index as usize == attempt\.pieces\.len\(\) \{/if index as usize + 1 >= attempt.pieces.len() {/' fuzz $gate
 mutant boot-not-checked tests/fuzz/gate.rs 's/ \|\| order\.boot != self\.boot//; s/ \|\| run\.boot != engine\.boot//' fuzz $gate
-limit=no_limit_is_exceeded_in_sum
+limit=the_sum_of_running_requests_stays_within_the_limit
 mutant old-ask-granted src/table/limits.rs 's/let new = request_number > \*newest;/let new = true || request_number > *newest;/' fuzz $limit
 mutant new-leader-not-quiet src/table/limits.rs 's/let quiet_until_ms = self\.since_ms/let quiet_until_ms = 0 * self.since_ms/; s/ \+ self\.policy\.lease_ms \+ patience_ms;/;/' fuzz $limit
 mutant lease-without-patience src/table/limits.rs 's/expires_ms: now_ms \+ self\.policy\.lease_ms \+ patience_ms,/expires_ms: now_ms + self.policy.lease_ms,/' fuzz $limit
@@ -84,24 +84,24 @@
 mutant entry-never-stale src/entry/shell.rs 's/confirmed \+ self\.settings\.stale_ms < clock::monotonic_ms\(\)/false \&\& confirmed + self.settings.stale_ms < clock::monotonic_ms()/' failures an_entry_that_is_cut_off
 mutant leaving-target-takes-work 'src/admission/controller.rs src/routing/view.rs' 's/_ if self\.draining => Some\(RefuseCause::Leaving\),/_ if false \&\& self.draining => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_draining_target_gets_no_new_work
 mutant silence-of-a-freeze-is-loss src/placement/target_controller.rs 's/self\.decided_ms \+ self\.policy\.loss_ms \/ 2 < now_ms/false \&\& self.decided_ms < now_ms/' duties a_leader_that_was_frozen
-mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.outstanding\(\) as f64\)\.max\(0\.0\)/depth/' quota what_entries_hold_is_a_part_of_the_bucket
-mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.expires_ms \{/if now_ms == u64::MAX {/' quota what_is_held_lapses_and_what_did_not_run_is_given_back
-mutant doubled-ask-draws-twice src/table/quota.rs 's/let known = ask\.number <= newest\.0;/let known = false;/' quota a_doubled_ask_draws_once_and_a_late_answer_is_dropped
+mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.outstanding\(\) as f64\)\.max\(0\.0\)/depth/' quota units_held_by_entries_count_in_the_bucket
+mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.expires_ms \{/if now_ms == u64::MAX {/' quota held_units_expire_and_units_of_requests_not_run_are_refunded
+mutant doubled-ask-draws-twice src/table/quota.rs 's/let known = ask\.number <= newest\.0;/let known = false;/' quota a_duplicated_request_draws_once_and_a_late_reply_is_dropped
 mutant proof-without-age src/routing/freshness.rs 's/requested_ms\.saturating_sub\(proof\.age_ms\)/requested_ms/' accounts a_proof_counts_for_its_version_and_all_later_ones
-mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding where_nothing_newer_can_be_heard_no_key_is_obeyed_for_long
-mutant key-passed-on src/forward/request/wire_heads.rs 's/drop\.extend\(\[names\.key, names\.account\]\);//' forwarding a_key_stays_here_and_its_account_goes_on
-mutant order-without-its-leader src/control/order_dispatcher.rs 's/\.ok_or\(CallError::NotLeader\)\?;/.unwrap_or(SendPermit { until_ms: u64::MAX });/' orderer an_order_leaves_only_while_its_leader_decides
-mutant renewal-waits-for-the-voter src/control/order_dispatcher.rs 's/tokio::time::timeout\(left, self\.request\(\)\)\.await/Ok::<_, ()>(self.request().await)/' orderer an_order_ends_with_its_permit_also_while_the_voter_is_held_up
-mutant order-closed-in-good-order src/forward/upstream.rs 's/\.and_then\(\|\(\)\| socket\.set_linger\(Some\(Duration::ZERO\)\)\)//' orderer an_order_that_is_given_up_leaves_nothing_on_its_way
+mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding no_key_is_accepted_for_long_without_newer_state
+mutant key-passed-on src/forward/request/wire_heads.rs 's/drop\.extend\(\[names\.key, names\.account\]\);//' forwarding an_api_key_is_not_forwarded_but_its_account_is
+mutant order-without-its-leader src/control/order_dispatcher.rs 's/\.ok_or\(CallError::NotLeader\)\?;/.unwrap_or(SendPermit { until_ms: u64::MAX });/' orderer an_order_is_sent_only_while_its_leader_holds_the_lease
+mutant renewal-waits-for-the-voter src/control/order_dispatcher.rs 's/tokio::time::timeout\(left, self\.request\(\)\)\.await/Ok::<_, ()>(self.request().await)/' orderer an_order_ends_with_its_permit_while_the_voter_is_blocked
+mutant order-closed-in-good-order src/forward/upstream.rs 's/\.and_then\(\|\(\)\| socket\.set_linger\(Some\(Duration::ZERO\)\)\)//' orderer an_order_that_times_out_leaves_nothing_in_transit
 mutant kernel-goes-on src/forward/upstream.rs 's/socket\n            \.set_tcp_user_timeout\(Some\(left\)\)\n            \.and_then\(\|\(\)\| (socket\.set_linger\(Some\(Duration::ZERO\)\))\)/$1/' bounded_sending the_kernel_does_not_retransmit_an_order_after_its_transit_time
-mutant deposed-leader-is-free src/consensus/raft.rs 's/self\.no_vote_until_ms = self\.no_vote_until_ms\.max\(lease_ms\);/let _ = lease_ms;/' permit a_leader_that_steps_down_helps_nobody_to_power_before_its_permits_end
+mutant deposed-leader-is-free src/consensus/raft.rs 's/self\.no_vote_until_ms = self\.no_vote_until_ms\.max\(lease_ms\);/let _ = lease_ms;/' permit a_leader_that_steps_down_grants_no_vote_before_its_permits_end
 mutant stopping-leader-allows src/control/voter.rs 's/ \|\| self\.stopping\.is_some\(\)//' handover a_stopping_leader_permits_no_more_orders
-mutant new-leader-gives-all src/table/quota.rs 's/match self\.has_predecessor \&\& /match false \&\& /' quota a_new_leader_gives_half_of_the_burst_whoever_asks_first
+mutant new-leader-gives-all src/table/quota.rs 's/match self\.has_predecessor \&\& /match false \&\& /' quota a_new_leader_grants_half_of_the_burst_to_any_first_entry
 mutant lease-handed-over-early src/control/voter.rs 's/now_ms >= self\.permitted_until_ms/true/' handover a_stopping_leader_keeps_its_lease_while_orders_may_be_in_transit
 mutant no-way-for-the-last-order src/placement/fleet.rs 's/self\.policy\.order_lease_ms \+ self\.policy\.order_transit_ms/self.policy.order_lease_ms/' fleet a_new_leader_waits_for_the_transit_of_its_predecessors_last_order
 mutant snapshot-with-each-heartbeat src/consensus/raft.rs 's/progress\.install_until_ms = now_ms \+ SNAPSHOT_RESEND_MS;/progress.install_until_ms = 0;/' raft a_snapshot_is_sent_once_until_it_may_be_lost
-mutant no-entries-before-the-snapshot src/consensus/raft.rs 's/self\.retained\.extend\(self\.entries\.drain\(\.\.kept\)\);/self.entries.drain(..kept);/' raft a_follower_that_lags_across_a_compaction_is_sent_entries
-mutant lone-leader-waits src/consensus/raft.rs 's/(peers\.contains\(node\)\);)\n        self\.advance_commit\(\);/$1/' raft a_leader_that_is_its_own_quorum_commits_what_a_heartbeat_sends_first
+mutant no-entries-before-the-snapshot src/consensus/raft.rs 's/self\.retained\.extend\(self\.entries\.drain\(\.\.kept\)\);/self.entries.drain(..kept);/' raft a_follower_that_lags_behind_a_compaction_gets_entries
+mutant lone-leader-waits src/consensus/raft.rs 's/(peers\.contains\(node\)\);)\n        self\.advance_commit\(\);/$1/' raft a_leader_that_is_its_own_quorum_commits_entries_that_a_heartbeat_sends
 mutant crowd-not-heeded src/forward/replica_table.rs 's/tokens: tokens\.saturating_sub\(own/tokens: 0 * tokens.saturating_sub(own/' crowd entries_that_share_queue_totals_keep_no_queue_that_delays_all
 mutant own-counted-as-crowd src/forward/replica_table.rs 's/own\.get\(id\)\.copied\(\)\.unwrap_or\(0\)/0 * own.get(id).copied().unwrap_or(0)/' forward_parts a_home_congested_by_other_entries_takes_no_more
 mutant silent-entry-counts src/placement/congestion.rs 's/        self\.expire_reports\(now_ms, threshold\);\n//' crowd reports_of_a_silent_entry_expire
@@ -109,17 +109,17 @@
 mutant one-end-counts-twice src/consensus/crashes.rs 's/ \&\& !record\.crashes\.contains\(\&report\.replica\)//' crashes the_third_crash_quarantines_a_content_however_often_each_is_reported
 mutant turns-for-all src/placement/suspect_leases.rs 's/return SuspectLeaseReply::Wait;/{}/' crashes one_attempt_of_a_suspect_runs_at_a_time
 mutant suspects-together src/placement/suspect_leases.rs 's/\*\*key != request\.content \&\& lease\.replica == request\.replica/**key != request.content \&\& false/' crashes suspects_do_not_share_a_replica
-mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.incarnation\.id, connection\);\s+)Probe::Alive/$1Probe::Ended/' forwarding a_connection_that_breaks_off_is_no_crash
-mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.started_ms > known\.started_ms => HeartbeatStatus::New,\n//' replica_born a_new_life_is_heard_though_its_numbers_begin_anew
+mutant broken-is-a-crash src/forward/crashes.rs 's/(put\(&at\.incarnation\.id, connection\);\s+)Probe::Alive/$1Probe::Ended/' forwarding a_broken_connection_is_not_a_crash
+mutant later-life-unheard src/consensus/directory.rs 's/Some\(known\) if record\.started_ms > known\.started_ms => HeartbeatStatus::New,\n//' replica_born a_new_incarnation_is_accepted_though_its_numbers_restart
 mutant pause-not-kept src/routing/backoff.rs 's/peer if now_ms < peer\.until_ms => /peer if false \&\& now_ms < peer.until_ms => /' backoff at_most_two_requests_arrive_within_a_backoff_period
 mutant trials-without-bound src/routing/backoff.rs 's/peer\.probes >= MAX_PROBES/false/' backoff at_most_two_requests_arrive_within_a_backoff_period
 mutant crowd-after-a-pause src/routing/backoff.rs 's/peer\.limit = 1;/peer.limit = UNLIMITED_REQUESTS;/' backoff after_a_backoff_one_request_goes_first
-mutant leaving-not-kept src/routing/backoff.rs 's/peer if peer\.is_draining\(incarnation\) => /peer if false \&\& peer.is_draining(incarnation) => /' forwarding a_replica_that_says_in_an_answer
-mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return AttemptOutcome::NotSent;\n            \}/Err(_) => None,/' forwarding a_request_whose_connection_was_slow
+mutant leaving-not-kept src/routing/backoff.rs 's/peer if peer\.is_draining\(incarnation\) => /peer if false \&\& peer.is_draining(incarnation) => /' forwarding draining_announced_in_a_response
+mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return AttemptOutcome::NotSent;\n            \}/Err(_) => None,/' forwarding a_request_with_a_slow_connection
 mutant refusals-not-kept src/entry/request_driver.rs 's/state\.refusals\.record\([^;]*;//' overload a_home_that_refused_a_row
-limits=no_span_brings_more_than_a_replica_named
+limits=no_window_exceeds_the_advertised_limit
 mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(named_us\)/cold_us/' replica_limits $limits
-mutant permit-outside-of-the-known-term src/placement/replica_rates.rs 's/if request\.is_limited && !self\.limits/if false \&\& !self.limits/' replica_limits a_new_leader_gives_no_permit
-mutant limit-ended-by-any-answer src/placement/named_limits.rs 's/ && granted_ms > record\.observed_ms//' replica_limits an_older_answer_that_comes_late
+mutant permit-outside-of-the-known-term src/placement/replica_rates.rs 's/if request\.is_limited && !self\.limits/if false \&\& !self.limits/' replica_limits a_new_leader_grants_no_permit
+mutant limit-ended-by-any-answer src/placement/named_limits.rs 's/ && granted_ms > record\.observed_ms//' replica_limits a_late_older_response
 mutant bucket-full-at-a-new-limit src/placement/rate_limit.rs 's/bucket\.due_us = bucket\.due_us\.max\(next_us\);/let _ = next_us;/' replica_limits $limits
-mutant limit-heard-by-one-entry src/placement/named_limits.rs 's/let changes = self\.changes\.range\(from \+ 1\.\.\);/let changes = self.changes.range(u64::MAX..);/' replica_limits after_an_answer_without
+mutant limit-heard-by-one-entry src/placement/named_limits.rs 's/let changes = self\.changes\.range\(from \+ 1\.\.\);/let changes = self.changes.range(u64::MAX..);/' replica_limits after_a_response_without
