--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -73,7 +73,7 @@
 mutant shrink-at-once src/table/limits.rs 's/counted: share\.max\(claim\.held\),/counted: share,/' fuzz $limit
 place=every_model_keeps_or_regains_a_home
 mutant unloads-last-home src/placement/moves.rs 's/ready\.count\(\) <= 1/ready.count() <= 0/' fuzz $place
-mutant spares-before-repair src/placement/moves.rs 's/if homeless\.is_empty\(\) \{/if true || homeless.is_empty() {/' fuzz $place
+mutant spares-before-repair src/placement/moves.rs 's/let claimed = !homeless\.is_empty\(\)\n/let claimed = false\n/' fuzz $place
 mutant no-ejection src/placement/moves.rs 's/None if self\.relocate_sole_home\(model, wanted, moves\) => \{\}//; s/None => self\.step_to_packing\(wanted, moves\),/None => {}/' fuzz $place
 mutant unloading-memory-reused src/placement/moves.rs 's/let taken: u64 = homes\n                \.keys\(\)/let taken: u64 = homes\n                .iter().filter(|(_, h)| h.phase != HomePhase::Unloading).map(|(m, _)| m)/' fuzz $place
 view=copies_follow_the_log_and_never_go_back
@@ -84,9 +84,9 @@
 mutant entry-never-stale src/entry/shell.rs 's/confirmed \+ self\.settings\.stale_ms < clock::monotonic_ms\(\)/false \&\& confirmed + self.settings.stale_ms < clock::monotonic_ms()/' failures an_entry_that_is_cut_off
 mutant leaving-target-takes-work 'src/admission/controller.rs src/routing/view.rs' 's/_ if self\.draining => Some\(RefuseCause::Leaving\),/_ if false \&\& self.draining => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_leaving_target_gets_no_new_work
 mutant silence-of-a-freeze-is-loss src/placement/target_controller.rs 's/self\.decided_ms \+ self\.policy\.loss_ms \/ 2 < now_ms/false \&\& self.decided_ms < now_ms/' duties a_leader_that_was_frozen
-mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.outstanding\(\) as f64\)\.max\(0\.0\)/depth/' quota what_entries_hold_is_a_part_of_the_bucket
+mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.drawn\.outstanding as f64\)\.max\(0\.0\)/depth/' quota what_entries_hold_is_a_part_of_the_bucket
 mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.expires_ms \{/if now_ms == u64::MAX {/' quota what_is_held_lapses_and_what_did_not_run_is_given_back
-mutant doubled-ask-draws-twice src/table/quota.rs 's/let known = ask\.number <= newest\.0;/let known = false;/' quota a_doubled_ask_draws_once_and_a_late_answer_is_dropped
+mutant doubled-ask-draws-twice src/table/quota.rs 's/let newer = request\.number > known\.number;/let newer = true;/' quota a_doubled_ask_draws_once_and_a_late_answer_is_dropped
 mutant proof-without-age src/routing/freshness.rs 's/requested_ms\.saturating_sub\(proof\.age_ms\)/requested_ms/' accounts a_proof_counts_for_whoever_holds_its_version
 mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding where_nothing_newer_can_be_heard_no_key_is_obeyed_for_long
 mutant key-passed-on src/forward/request/wire_heads.rs 's/drop\.extend\(\[names\.key, names\.account\]\);//' forwarding a_key_stays_here_and_its_account_goes_on
@@ -118,7 +118,7 @@
 mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return Tried::Unsent;\n            \}/Err(_) => None,/' forwarding a_request_whose_connection_was_slow
 mutant refusals-not-kept src/entry/flight_steps.rs 's/state\.refusals\.record\([^;]*;//' overload a_home_that_refused_a_row
 limits=no_span_brings_more_than_a_replica_named
-mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(named_us\)/cold_us/' replica_limits $limits
+mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(rate\.map\(\|rate\| rate\.gap_us\)\)/cold_us/' replica_limits $limits
 mutant permit-outside-of-the-known-term src/placement/replica_rates.rs 's/if request\.is_limited && !self\.limits/if false \&\& !self.limits/' replica_limits a_new_leader_gives_no_permit
 mutant limit-ended-by-any-answer src/placement/named_limits.rs 's/ && granted_ms > record\.observed_ms//' replica_limits an_older_answer_that_comes_late
 mutant bucket-full-at-a-new-limit src/placement/rate_limit.rs 's/bucket\.due_us = bucket\.due_us\.max\(next_us\);/let _ = next_us;/' replica_limits $limits
