--- a/src/cli/commands.rs
+++ b/src/cli/commands.rs
@@ -67,7 +67,7 @@
     };
     let text = read_logs(files)?;
     if id == "--day" {
-        let tables = crate::cli::day_table::day_table(text.lines());
+        let tables = crate::cli::daily_summary::daily_summary(text.lines());
         println!("{}", tables.ok_or("no line tells of a request")?);
         return Ok(0);
     }
--- a/src/cli/day_table.rs
+++ b/src/cli/daily_summary.rs
@@ -86,7 +86,7 @@
 }
 
 /// The tables of the requests that the lines tell of; none where they tell of none.
-pub fn day_table<'a>(lines: impl Iterator<Item = &'a str>) -> Option<String> {
+pub fn daily_summary<'a>(lines: impl Iterator<Item = &'a str>) -> Option<String> {
     let lines = lines.filter_map(LogLine::parse);
     let mut requests: Vec<LogLine> = lines.filter(|line| line.message == "request").collect();
     requests.retain(|line| line.field("outcome").is_some());
--- a/src/cli/explain_target.rs
+++ b/src/cli/explain_target.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 
 use crate::cli::log_line::LogLine;
-use crate::cli::order_sight::{self, OrderSight, TargetFinding};
+use crate::cli::order_audit::{self, OrderSight, TargetFinding};
 use crate::ids::ReplicaId;
 
 /// How long before and after a target's orders leadership belongs to their story, in seconds.
@@ -105,7 +105,7 @@
     let story = lines.iter().filter(belongs);
 
     let (basis, sights) = sights(&own);
-    let findings = order_sight::find(&sights, lease_ms);
+    let findings = order_audit::find(&sights, lease_ms);
     Some(TargetStory {
         target: target.clone(),
         lines: story.map(LogLine::show).collect(),
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,9 +1,9 @@
 //! The stories of a request and of a target, from the logs of several processes.
 
-use dunlinspring::cli::day_table::day_table;
+use dunlinspring::cli::daily_summary::daily_summary;
 use dunlinspring::cli::explain::explain;
 use dunlinspring::cli::explain_target::{StoryBasis, TargetStory, explain_target};
-use dunlinspring::cli::order_sight::FindingKind;
+use dunlinspring::cli::order_audit::FindingKind;
 use dunlinspring::ids::ReplicaId;
 
 const LOG: &str = r#"
@@ -53,8 +53,8 @@
 
 #[test]
 fn a_day_is_told_by_time_route_reason_replica_and_model() {
-    insta::assert_snapshot!(day_table(DAY.lines()).unwrap());
-    assert_eq!(day_table("nothing".lines()), None);
+    insta::assert_snapshot!(daily_summary(DAY.lines()).unwrap());
+    assert_eq!(daily_summary("nothing".lines()), None);
 }
 
 /// Both hosts order `r1`: `c1` stood still while its last order was under way.
