--- a/benches/core.rs
+++ b/benches/core.rs
@@ -75,7 +75,7 @@
 }
 
 /// A state with all rows, agents and, after planning, homes.
-fn filled(models: usize, targets: usize) -> SiteState {
+fn populated_state(models: usize, targets: usize) -> SiteState {
     let mut state = SiteState::default();
     let run = |state: &mut SiteState, command: Command| {
         let position = Position(state.position.0 + 1);
@@ -125,7 +125,7 @@
                 hall: &hall,
             })
             .collect();
-        let ask = RouteRequest {
+        let req = RouteRequest {
             entry: 1,
             hall: &hall,
             prefix: "the beginning of a prompt",
@@ -133,7 +133,7 @@
         let book = LoadTracker::default();
         let mut rng = SmallRng::seed_from_u64(1);
         group.bench_with_input(BenchmarkId::from_parameter(homes), &homes, |b, _| {
-            b.iter(|| black_box(route::choose(&policy, &ask, &choices, &book, 1, &mut rng)));
+            b.iter(|| black_box(route::choose(&policy, &req, &choices, &book, 1, &mut rng)));
         });
     }
     group.finish();
@@ -143,7 +143,7 @@
     let mut group = c.benchmark_group("accept_edit");
     group.sample_size(20);
     for (models, targets) in [(26, 100), (260, 1000), (260, 10_000)] {
-        let state = filled(models, targets);
+        let state = populated_state(models, targets);
         let name = format!("{models}x{targets}");
         group.bench_function(BenchmarkId::from_parameter(name), |b| {
             let mut table = state.table.clone();
@@ -169,7 +169,7 @@
         by_demand: true,
     };
     for (models, targets) in [(26, 20), (260, 200), (260, 1000), (260, 10_000)] {
-        let state = filled(models, targets);
+        let state = populated_state(models, targets);
         let demand = DemandTracker::default();
         let name = format!("{models}x{targets}");
         group.bench_function(BenchmarkId::from_parameter(name), |b| {
@@ -183,7 +183,7 @@
     let mut group = c.benchmark_group("sync_page");
     group.sample_size(20);
     for (models, targets) in [(26, 20), (260, 1000), (260, 10_000)] {
-        let state = filled(models, targets);
+        let state = populated_state(models, targets);
         let behind = Position(state.changed().0 - 500.min(state.changed().0 - 1));
         let whole = bincode::serialize(&view::page_after(&state, Position(0))).unwrap();
         let tail = bincode::serialize(&view::page_after(&state, behind)).unwrap();
@@ -237,7 +237,7 @@
                 given: 0,
                 kv_mib: 0,
             };
-            let ask = RunRequest {
+            let request = RunRequest {
                 attempt,
                 incarnation: Incarnation(1),
                 row: RowId::from("row"),
@@ -249,7 +249,7 @@
                 call,
                 content: ContentDigest([0; ContentDigest::LEN]),
             };
-            gate.start(1, ask);
+            gate.start(1, request);
             gate.next_run(1);
             gate.on_run_event(1, attempt, RunEvent::Ended);
             black_box(gate.pull(1, attempt, Incarnation(1), 0));
@@ -272,22 +272,22 @@
         let mut grantor = ShareGrantor::new(policy, 0);
         let row = RowId::from("row");
         let claim = LimitClaim { held: 1, wanted: 3 };
-        let mut ask =
+        let mut request =
             |entry: u64| grantor.grant(10_000, Incarnation(entry), &row, 5000, 1000, claim);
         (0..entries).for_each(|entry| {
-            ask(entry);
+            request(entry);
         });
         group.bench_function(BenchmarkId::from_parameter(entries), |b| {
-            b.iter(|| black_box(ask(1)));
+            b.iter(|| black_box(request(1)));
         });
     }
     group.finish();
 }
 
 /// Accounts that one entry has demand for.
-const ASKED_ACCOUNTS: usize = 8;
+const REQUESTED_ACCOUNTS: usize = 8;
 
-fn quota_book(accounts: usize) -> AccountList {
+fn account_list(accounts: usize) -> AccountList {
     let account = |number: usize| AccountSpec {
         name: AccountName(format!("account-{number}")),
         keys: Vec::new(),
@@ -306,7 +306,7 @@
 }
 
 /// An ask for the large accounts, which all entries ask for.
-fn quota_ask(entry: usize, number: u64) -> QuotaRequest {
+fn quota_request(entry: usize, number: u64) -> QuotaRequest {
     let claim = QuotaClaim {
         balance: 1_000,
         cheapest: 100,
@@ -315,7 +315,8 @@
         demand: 1_000,
         ..QuotaClaim::default()
     };
-    let claims = (0..ASKED_ACCOUNTS).map(|place| (AccountName(format!("account-{place}")), claim));
+    let claims =
+        (0..REQUESTED_ACCOUNTS).map(|place| (AccountName(format!("account-{place}")), claim));
     QuotaRequest {
         entry: EntryIncarnation {
             host: HostName(format!("entry-{entry}")),
@@ -333,16 +334,16 @@
     let mut group = c.benchmark_group("grant_quota");
     for (entries, accounts) in [(10, 10), (100, 100), (960, 1_000)] {
         let mut grantor = QuotaGrantor::new(0);
-        grantor.set_limits(1, Some(&quota_book(accounts)));
+        grantor.set_limits(1, Some(&account_list(accounts)));
         for entry in 0..entries {
-            grantor.grant(10_000, &quota_ask(entry, 1));
+            grantor.grant(10_000, &quota_request(entry, 1));
         }
-        let mut ask = quota_ask(1, 1);
+        let mut request = quota_request(1, 1);
         let name = BenchmarkId::new(entries.to_string(), accounts);
         group.bench_function(name, |b| {
             b.iter(|| {
-                ask.number += 1;
-                black_box(grantor.grant(10_000, &ask))
+                request.number += 1;
+                black_box(grantor.grant(10_000, &request))
             });
         });
     }
@@ -364,7 +365,7 @@
         let busy = (0..models)
             .map(|number| (ModelName(format!("model-{number}")), 3))
             .collect();
-        let beat = dunlinspring::placement::target_controller::AgentHeartbeat {
+        let heartbeat = dunlinspring::placement::target_controller::AgentHeartbeat {
             host: HostName::from("target-00001"),
             incarnation: Incarnation(1),
             position: Position(1),
@@ -385,12 +386,12 @@
             }),
             position: Position(1),
         };
-        let beat = bincode::serialize(&beat).unwrap().len();
+        let heartbeat = bincode::serialize(&heartbeat).unwrap().len();
         let orders = bincode::serialize(&orders).unwrap().len();
-        println!("bytes at {models} models: beat {beat}, orders {orders}");
+        println!("bytes at {models} models: beat {heartbeat}, orders {orders}");
     }
     for (models, targets) in [(26, 20), (260, 1000), (260, 10_000)] {
-        let state = filled(models, targets);
+        let state = populated_state(models, targets);
         let page = view::page_after(&state, Position(0));
         let before = resident_kib();
         let mut copy = view::SiteView::default();
--- a/benches/figures.rs
+++ b/benches/figures.rs
@@ -29,7 +29,7 @@
     println!("{name},n={},p50_ms={p50:.3},p99_ms={p99:.3}", times.len());
 }
 
-fn ask<'a>(prompt: &'a str, tokens: u32) -> Ask<'a> {
+fn completion<'a>(prompt: &'a str, tokens: u32) -> Ask<'a> {
     Ask {
         model: "review",
         class: "filing-review",
@@ -66,9 +66,9 @@
     for number in 0..600u64 {
         let prompt = format!("measure {number}");
         let started = Instant::now();
-        let told = site.complete("e1", &ask(&prompt, 4)).await;
-        let spent = started.elapsed().as_secs_f64() * 1e3;
-        assert_eq!(told.outcome, "done");
+        let result = site.complete("e1", &completion(&prompt, 4)).await;
+        let elapsed = started.elapsed().as_secs_f64() * 1e3;
+        assert_eq!(result.outcome, "done");
         let body = json!({
             "request_id": { "entry": 999_999, "number": number }, "model": "review",
             "prompt": prompt, "max_tokens": 4, "given": 0, "kv_mib": 0, "priority": 0,
@@ -77,11 +77,11 @@
         let client = Client::new().await;
         let started = Instant::now();
         let call = client.post(format!("http://{engine}/v1/completions"));
-        let answer = call.send_json(&body).await.unwrap();
-        assert!(answer.status().is_success());
-        answer.body().await.unwrap();
+        let response = call.send_json(&body).await.unwrap();
+        assert!(response.status().is_success());
+        response.body().await.unwrap();
         if number >= 100 {
-            through.push(spent);
+            through.push(elapsed);
             direct.push(started.elapsed().as_secs_f64() * 1e3);
         }
     }
@@ -117,8 +117,8 @@
     let before: Vec<(f64, u64)> = names.iter().map(|name| usage(site.pid(name))).collect();
     tokio::time::sleep(Duration::from_secs(5)).await;
     for (name, before) in names.iter().zip(&before) {
-        let (spent, kib) = usage(site.pid(name));
-        let core = (spent - before.0) / 5.0 * 100.0;
+        let (elapsed, kib) = usage(site.pid(name));
+        let core = (elapsed - before.0) / 5.0 * 100.0;
         println!("idle,{name},core_percent={core:.2},rss_kib={kib}");
     }
     for tokens in [1u32, 20, 100] {
@@ -130,16 +130,16 @@
             async move {
                 for number in 0..total / 100 {
                     let prompt = format!("cost {tokens} {worker} {number}");
-                    let told = site.complete("e1", &ask(&prompt, tokens)).await;
-                    assert_eq!(told.outcome, "done", "{told:?}");
+                    let result = site.complete("e1", &completion(&prompt, tokens)).await;
+                    assert_eq!(result.outcome, "done", "{result:?}");
                 }
             }
         });
         join_all(workers).await;
         let rate = f64::from(total) / started.elapsed().as_secs_f64();
         for (name, before) in names.iter().zip(&before) {
-            let (spent, kib) = usage(site.pid(name));
-            let micros = (spent - before.0) * 1e6 / f64::from(total);
+            let (elapsed, kib) = usage(site.pid(name));
+            let micros = (elapsed - before.0) * 1e6 / f64::from(total);
             println!(
                 "load,{name},tokens={tokens},rate={rate:.0},us_a_request={micros:.1},rss_kib={kib}"
             );
@@ -255,7 +255,7 @@
             .unwrap();
     }
     for members in [10usize, 100, 500] {
-        for way in ["notice_and_pull", "poll_1s", "whole_table"] {
+        for method in ["notice_and_pull", "poll_1s", "whole_table"] {
             let followers: Vec<Arc<SiteFollower>> = (0..members)
                 .map(|_| Arc::new(SiteFollower::new(link(&site))))
                 .collect();
@@ -269,9 +269,9 @@
                 .map(|(number, follower)| {
                     let (follower, link) = (follower.clone(), link(&site));
                     tokio::spawn(async move {
-                        match way {
+                        match method {
                             "notice_and_pull" => follower.run(number, |_| {}).await,
-                            way => follow_plainly(&follower, &link, number, way).await,
+                            method => follow_by_polling(&follower, &link, number, method).await,
                         }
                     })
                 })
@@ -281,7 +281,7 @@
             for number in 0..20 {
                 let row = RowId(format!("bench-{number}"));
                 let expected = followers[0].view().rows[&row].version;
-                let id = members * 1000 + way.len() * 100 + number + 50_000;
+                let id = members * 1000 + method.len() * 100 + number + 50_000;
                 let mut command = edit(id, expected);
                 if let Command::Edit(edit) = &mut command {
                     edit.row = row.clone();
@@ -302,18 +302,23 @@
                 times.push(started.elapsed().as_secs_f64() * 1e3);
             }
             tasks.iter().for_each(|task| task.abort());
-            let bytes = page_bytes(&first, way).await;
+            let bytes = page_bytes(&first, method).await;
             print(
-                &format!("in_force,{way},members={members},bytes_an_edit={bytes}"),
+                &format!("in_force,{method},members={members},bytes_an_edit={bytes}"),
                 &mut times,
             );
         }
     }
 }
 
-async fn follow_plainly(follower: &SiteFollower, link: &ControlLink, number: usize, way: &str) {
+async fn follow_by_polling(
+    follower: &SiteFollower,
+    link: &ControlLink,
+    number: usize,
+    method: &str,
+) {
     loop {
-        let (cursor, wait) = match way {
+        let (cursor, wait) = match method {
             "poll_1s" => (follower.position(), 0),
             _ => (follower.position(), 1000),
         };
@@ -322,8 +327,8 @@
             client.sync(context, cursor, wait, false).await
         });
         let mut page = page.await;
-        let news = matches!(&page, Ok(Ok(page)) if page.to > cursor);
-        if way == "whole_table" && news {
+        let changed = matches!(&page, Ok(Ok(page)) if page.to > cursor);
+        if method == "whole_table" && changed {
             page = link
                 .call_any(number, "sync", |client| async move {
                     let context = peers::within(Duration::from_secs(3));
@@ -334,14 +339,14 @@
         if let Ok(Ok(page)) = page {
             follower.view().follow(&page);
         }
-        if way == "poll_1s" {
+        if method == "poll_1s" {
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
     }
 }
 
 /// Bytes of the page that one edit costs a member.
-async fn page_bytes(link: &ControlLink, way: &str) -> usize {
+async fn page_bytes(link: &ControlLink, method: &str) -> usize {
     let whole = link
         .call_leader(
             "sync",
@@ -350,7 +355,7 @@
         )
         .await
         .unwrap();
-    match way {
+    match method {
         "whole_table" => bincode::serialize(&whole).unwrap().len(),
         _ => {
             let rows = whole.changes.iter();
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -8,7 +8,7 @@
 
 use dunlinspring::admission::queue::{QueuePolicy, QueuedRun, RunQueue};
 use dunlinspring::cli::commands;
-use dunlinspring::cli::demo::{self, DemoShape, DemoSite};
+use dunlinspring::cli::demo::{self, DemoConfig, DemoSite};
 use dunlinspring::cli::load::{self, LoadPhase, LoadPlan};
 use dunlinspring::consensus::state::*;
 use dunlinspring::ids::*;
@@ -22,7 +22,7 @@
 
 const SEEDS: [u64; 5] = [1, 2, 3, 4, 5];
 
-fn row(name: &str, values: &mut [f64]) {
+fn print_row(name: &str, values: &mut [f64]) {
     values.sort_by(f64::total_cmp);
     let median = values[values.len() / 2];
     let (least, most) = (values[0], values[values.len() - 1]);
@@ -31,7 +31,7 @@
 
 /// Requests of mixed length to homes that report their load late: the part
 /// that waits behind another.
-fn routing(policy: &RoutePolicy, lag_ms: u64, own: bool, seed: u64) -> f64 {
+fn simulate_routing(policy: &RoutePolicy, lag_ms: u64, own: bool, seed: u64) -> f64 {
     let names: Vec<TargetName> = (0..8).map(|n| TargetName(format!("t{n}"))).collect();
     let hall = HallName::from("hall");
     let choices: Vec<HomeCandidate<'_>> = names
@@ -42,7 +42,7 @@
         })
         .collect();
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut book = LoadTracker::default();
+    let mut tracker = LoadTracker::default();
     let mut busy: BTreeMap<&TargetName, Vec<u64>> = BTreeMap::new();
     let mut reports: Vec<(u64, &TargetName, u32)> = Vec::new();
     let (mut waits, mut sent) = (0.0, 0.0);
@@ -53,21 +53,21 @@
         for (target, ends) in &mut busy {
             let ended = ends.extract_if(.., |end| *end <= at).count();
             if own {
-                (0..ended).for_each(|_| book.record_ended(target));
+                (0..ended).for_each(|_| tracker.record_ended(target));
             }
         }
         while let Some((due, target, load)) = reports.first().copied()
             && due <= at
         {
             reports.remove(0);
-            book.record_report(target, load, at);
+            tracker.record_report(target, load, at);
         }
-        let ask = RouteRequest {
+        let request = RouteRequest {
             entry: 1,
             hall: &hall,
             prefix: "",
         };
-        let target = route::choose(policy, &ask, &choices, &book, at, &mut rng).unwrap();
+        let target = route::choose(policy, &request, &choices, &tracker, at, &mut rng).unwrap();
         let ends = busy.entry(target).or_default();
         let slots = 8;
         sent += 1.0;
@@ -81,7 +81,7 @@
         };
         ends.push(start + length);
         if own {
-            book.record_sent(target);
+            tracker.record_sent(target);
         }
         reports.push((at + lag_ms, target, ends.len() as u32));
         reports.sort();
@@ -104,18 +104,18 @@
         let each = |policy: &RoutePolicy, own: bool| -> Vec<f64> {
             SEEDS
                 .iter()
-                .map(|seed| routing(policy, lag, own, *seed))
+                .map(|seed| simulate_routing(policy, lag, own, *seed))
                 .collect()
         };
-        row(
+        print_row(
             &format!("routing,random,lag_ms={lag},waiting"),
             &mut each(&random, false),
         );
-        row(
+        print_row(
             &format!("routing,reported_only,lag_ms={lag},waiting"),
             &mut each(&ours, false),
         );
-        row(
+        print_row(
             &format!("routing,corrected,lag_ms={lag},waiting"),
             &mut each(&ours, true),
         );
@@ -124,7 +124,7 @@
 
 /// One target under 1.3 times its capacity: the part done within patience,
 /// for people who wait and for all.
-fn queueing(policy: QueuePolicy, seed: u64) -> (f64, f64, f64) {
+fn simulate_queue(policy: QueuePolicy, seed: u64) -> (f64, f64, f64) {
     let classes = [
         (Urgency::Interactive, 300u64, 40u64, 0.35),
         (Urgency::Standard, 1500, 120, 0.35),
@@ -180,7 +180,7 @@
     (part(0), part(1), all)
 }
 
-fn measure_queueing() {
+fn measure_queue() {
     let ours = QueuePolicy {
         slots: 8,
         batch_headroom: 2,
@@ -202,14 +202,17 @@
         ("ordered", late),
         ("ordered_refusing", ours),
     ] {
-        let results: Vec<_> = SEEDS.iter().map(|seed| queueing(policy, *seed)).collect();
+        let results: Vec<_> = SEEDS
+            .iter()
+            .map(|seed| simulate_queue(policy, *seed))
+            .collect();
         let part = |of: fn(&(f64, f64, f64)) -> f64| results.iter().map(of).collect::<Vec<_>>();
-        row(
+        print_row(
             &format!("queue,{name},interactive_within"),
             &mut part(|r| r.0),
         );
-        row(&format!("queue,{name},standard_within"), &mut part(|r| r.1));
-        row(&format!("queue,{name},all_within"), &mut part(|r| r.2));
+        print_row(&format!("queue,{name},standard_within"), &mut part(|r| r.1));
+        print_row(&format!("queue,{name},all_within"), &mut part(|r| r.2));
     }
 }
 
@@ -249,7 +252,7 @@
                 attempts / 20_000.0
             })
             .collect();
-        row(&format!("retries,{name},attempts_a_request"), &mut load);
+        print_row(&format!("retries,{name},attempts_a_request"), &mut load);
     }
 }
 
@@ -284,7 +287,7 @@
 
 /// Demand moves between models every 30 rounds: moves, and the part of demand
 /// that finds its homes crowded beyond 16 requests.
-fn placing(policy: &PlacementPolicy, seed: u64) -> (f64, f64) {
+fn simulate_placement(policy: &PlacementPolicy, seed: u64) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut state = SiteState::default();
     let run = |state: &mut SiteState, command: Command| {
@@ -322,7 +325,7 @@
     }
     let mut demand = DemandTracker::default();
     let mut levels = BTreeMap::new();
-    let (mut crowded, mut asked) = (0.0, 0.0);
+    let (mut congested, mut asked) = (0.0, 0.0);
     let mut start = 0;
     for round in 0..600 {
         if round % 30 == 0 {
@@ -359,8 +362,11 @@
                 HomePhase::Unloading => HomeReport::Absent,
                 HomePhase::Ready => continue,
             };
-            let life = state.agent_of(&target).unwrap().incarnation;
-            run(&mut state, Command::Home(target, life, model, report));
+            let incarnation = state.agent_of(&target).unwrap().incarnation;
+            run(
+                &mut state,
+                Command::Home(target, incarnation, model, report),
+            );
         }
         if round == 30 {
             start = state.moves;
@@ -372,13 +378,13 @@
                 .filter(|homes| homes.contains_key(model))
                 .count();
             asked += level;
-            crowded += (level - 16.0 * homes as f64).max(0.0);
+            congested += (level - 16.0 * homes as f64).max(0.0);
         }
     }
-    ((state.moves - start) as f64, crowded / asked)
+    ((state.moves - start) as f64, congested / asked)
 }
 
-fn measure_placing() {
+fn measure_placement() {
     let policy = |price: f64, by_demand: bool| PlacementPolicy {
         move_price: price,
         spread: 1,
@@ -391,46 +397,49 @@
         ("price_8", policy(8.0, true)),
     ];
     for (name, policy) in ways {
-        let results: Vec<_> = SEEDS.iter().map(|seed| placing(&policy, *seed)).collect();
-        row(
+        let results: Vec<_> = SEEDS
+            .iter()
+            .map(|seed| simulate_placement(&policy, *seed))
+            .collect();
+        print_row(
             &format!("placement,{name},moves"),
             &mut results.iter().map(|r| r.0).collect::<Vec<_>>(),
         );
-        row(
+        print_row(
             &format!("placement,{name},crowded"),
             &mut results.iter().map(|r| r.1).collect::<Vec<_>>(),
         );
     }
 }
 
-fn shape(variant: &str) -> DemoShape {
-    let mut shape = DemoShape::default();
-    shape.engine.piece_us = 3_000;
-    shape.engine.batch_us = 500;
-    shape.duties.move_price = 1.0;
+fn config(variant: &str) -> DemoConfig {
+    let mut config = DemoConfig::default();
+    config.engine.piece_us = 3_000;
+    config.engine.batch_us = 500;
+    config.duties.move_price = 1.0;
     match variant {
         "ours" => {}
-        "heredia" => shape.duties.move_price = 6.0,
+        "heredia" => config.duties.move_price = 6.0,
         "plain" => {
-            shape.route.by_load = false;
-            shape.route.retry_burst = 100_000;
-            shape.queue.ordered = false;
-            shape.queue.refuse_early = false;
-            shape.duties.by_demand = false;
+            config.route.by_load = false;
+            config.route.retry_burst = 100_000;
+            config.queue.ordered = false;
+            config.queue.refuse_early = false;
+            config.duties.by_demand = false;
         }
-        "random_choice" => shape.route.by_load = false,
+        "random_choice" => config.route.by_load = false,
         "first_come" => {
-            shape.queue.ordered = false;
-            shape.queue.refuse_early = false;
+            config.queue.ordered = false;
+            config.queue.refuse_early = false;
         }
-        "static" => shape.duties.by_demand = false,
+        "static" => config.duties.by_demand = false,
         other => panic!("no variant {other}"),
     }
-    shape
+    config
 }
 
 async fn site(scenario: &str, variant: &str, seed: u64) {
-    let mut shape = shape(variant);
+    let mut config = config(variant);
     let mut mix = demo::mix(0.8);
     let phase = |from_s: f64, factors: &[(&str, f64)]| LoadPhase {
         from_s,
@@ -453,50 +462,50 @@
             mix.phases = vec![phase(2.0, &factors), phase(7.0, &[])];
         }
         "tenfold" => mix.phases = vec![phase(3.0, &[("filing-review", 10.0)])],
-        "late_reports" => shape.engine.report_lag_ms = 2000,
+        "late_reports" => config.engine.report_lag_ms = 2000,
         other => panic!("no scenario {other}"),
     }
-    let site = DemoSite::start(shape).await.unwrap();
+    let site = DemoSite::start(config).await.unwrap();
     let before = site.moves().await;
     let plan = LoadPlan {
         entries: site.entries.iter().map(ToString::to_string).collect(),
         mix,
         seconds: 10.0,
         seed,
-        standin_text: true,
+        check_standin_text: true,
     };
-    let trouble = async {
+    let disturbance = async {
         if scenario == "target_lost" {
             tokio::time::sleep(Duration::from_secs(4)).await;
             site.kill_engine("t0").await;
         }
     };
-    let (report, ()) = futures::join!(load::run(plan), trouble);
+    let (report, ()) = futures::join!(load::run(plan), disturbance);
     let moves = site.moves().await - before;
-    let broken = commands::find_broken(&site, &report);
+    let violations = commands::find_violations(&site, &report);
     let worst = report
         .classes
         .iter()
         .filter(|(class, _)| *class != "batch-review")
-        .map(|(_, tally)| tally.attainment())
+        .map(|(_, stats)| stats.attainment())
         .fold(1.0, f64::min);
-    let sent: u64 = report.classes.values().map(|tally| tally.sent).sum();
+    let sent: u64 = report.classes.values().map(|stats| stats.sent).sum();
     let per = report.within() as f64 / site.accelerators() as f64;
     println!(
         "site,{scenario},{variant},seed={seed},sent={sent},within={},per_accelerator={per:.1},\
          worst_class={worst:.4},moves={moves},broken={}",
         report.within(),
-        broken.len()
+        violations.len()
     );
-    for (class, tally) in &report.classes {
+    for (class, stats) in &report.classes {
         println!(
             "class,{scenario},{variant},seed={seed},{class},sent={},within={:.4},p95_ms={:.0},\
              not_run={:?},unknown={:?}",
-            tally.sent,
-            tally.attainment(),
-            tally.quantile_ms(0.95),
-            tally.not_run,
-            tally.unknown
+            stats.sent,
+            stats.attainment(),
+            stats.quantile_ms(0.95),
+            stats.not_run,
+            stats.unknown
         );
     }
     site.clean_up();
@@ -513,9 +522,9 @@
         ["site", scenario, variant, seed] => site(scenario, variant, seed.parse().unwrap()).await,
         _ => {
             measure_routing();
-            measure_queueing();
+            measure_queue();
             measure_retries();
-            measure_placing();
+            measure_placement();
         }
     }
 }
--- a/src/cli/accounts.rs
+++ b/src/cli/accounts.rs
@@ -12,8 +12,10 @@
     }
     let link = control::link(&matches)?;
     let call = |client: ControlWireClient, context| async move { client.accounts(context).await };
-    let asked = link.call_leader("accounts", control::PATIENCE, call).await;
-    let accounts = asked.map_err(|error| error.to_string())?;
+    let reply = link
+        .call_leader("accounts", control::LEADER_TIMEOUT, call)
+        .await;
+    let accounts = reply.map_err(|error| error.to_string())?;
     match matches.opt_present("json") {
         true => println!("{}", control::json(&accounts)?),
         false => print!("{}", table(&accounts)),
--- a/src/cli/commands.rs
+++ b/src/cli/commands.rs
@@ -10,7 +10,7 @@
 use ntex::client::{Client, ClientRequest};
 use serde_json::{Value, json};
 
-use crate::cli::demo::{self, DemoShape, DemoSite, KEYS};
+use crate::cli::demo::{self, DemoConfig, DemoSite, KEYS};
 use crate::cli::explain_target;
 use crate::cli::load::{self, LoadMix, LoadPlan, LoadReport};
 use crate::ids::ReplicaId;
@@ -50,20 +50,20 @@
 table, status and load take --entry IP:PORT, and table and status --key-file FILE.";
 
 /// Longest answer read, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
-const PROGRESS: Duration = Duration::from_secs(1);
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 /// How long an order holds off those of others, where the command line does not tell.
-const LEASE_MS: u64 = 3_000;
-const EXPLAIN_FORMS: &str =
+const DEFAULT_LEASE_MS: u64 = 3_000;
+const EXPLAIN_USAGE: &str =
     "explain ID FILE..., explain --day FILE..., or explain --target ID FILE...";
 
 /// `explain`: prints the story of one request or of one target, or the tables of all.
-pub fn explain(args: &[String]) -> Ended {
+pub fn explain(args: &[String]) -> CommandResult {
     if args.iter().any(|arg| is_target_option(arg)) {
         return explain_target(args);
     }
     let [id, files @ ..] = args else {
-        return Err(EXPLAIN_FORMS.to_owned());
+        return Err(EXPLAIN_USAGE.to_owned());
     };
     let text = read_logs(files)?;
     if id == "--day" {
@@ -71,11 +71,11 @@
         println!("{}", tables.ok_or("no line tells of a request")?);
         return Ok(0);
     }
-    let story = crate::cli::explain::explain(id, text.lines());
-    for line in &story {
+    let timeline = crate::cli::explain::explain(id, text.lines());
+    for line in &timeline {
         println!("{line}");
     }
-    match story.is_empty() {
+    match timeline.is_empty() {
         true => Err(format!("no line names request {id}")),
         false => Ok(0),
     }
@@ -87,13 +87,13 @@
 }
 
 /// Prints the story of one target's orders; status 1 where there are findings.
-fn explain_target(args: &[String]) -> Ended {
+fn explain_target(args: &[String]) -> CommandResult {
     let mut options = Options::new();
     options.reqopt("", "target", "a target's id", "ID");
     options.optopt("", "lease-ms", "how long an order holds off others", "N");
     let matches = parse(&options, args)?;
     let target = matches.opt_str("target").unwrap_or_default();
-    let lease_ms = match number(&matches, "lease-ms", LEASE_MS)? {
+    let lease_ms = match number(&matches, "lease-ms", DEFAULT_LEASE_MS)? {
         0 => return Err("--lease-ms: 0 is no lease".to_owned()),
         lease_ms => lease_ms,
     };
@@ -103,14 +103,14 @@
     }
     let text = read_logs(files)?;
     let target = ReplicaId(target);
-    let story = explain_target::explain_target(&target, lease_ms, text.lines());
-    let nothing = || {
+    let timeline = explain_target::explain_target(&target, lease_ms, text.lines());
+    let no_order = || {
         let files = files.join(", ");
         format!("--target: no line of {files} tells of an order of '{target}'")
     };
-    let story = story.ok_or_else(nothing)?;
-    print!("{story}");
-    Ok(i32::from(!story.findings.is_empty()))
+    let timeline = timeline.ok_or_else(no_order)?;
+    print!("{timeline}");
+    Ok(i32::from(!timeline.findings.is_empty()))
 }
 
 /// The lines of all files, one file after the other.
@@ -124,7 +124,7 @@
     Ok(text)
 }
 
-type Ended = Result<i32, String>;
+type CommandResult = Result<i32, String>;
 
 pub(super) fn parse(options: &Options, args: &[String]) -> Result<Matches, String> {
     options.parse(args).map_err(|error| error.to_string())
@@ -146,13 +146,13 @@
     options
 }
 
-struct EntryCall {
+struct EntryClient {
     client: Client,
     base: String,
     key: String,
 }
 
-impl EntryCall {
+impl EntryClient {
     async fn new(matches: &Matches) -> Result<Self, String> {
         let file = matches.opt_str("key-file").unwrap_or_default();
         let key = std::fs::read_to_string(&file).map_err(|error| format!("{file}: {error}"))?;
@@ -168,15 +168,15 @@
     }
 
     /// Prints the answer; status 1 where it is a refusal.
-    async fn show(&self, call: ClientRequest, body: Option<String>) -> Ended {
+    async fn show(&self, call: ClientRequest, body: Option<String>) -> CommandResult {
         let call = call.bearer_auth(&self.key);
         let sent = match body {
             Some(body) => call.content_type("application/json").send_body(body).await,
             None => call.send().await,
         };
-        let answer = sent.map_err(|error| format!("{}: {error}", self.base))?;
-        let status = answer.status();
-        let body = answer.body().limit(MAX_ANSWER).await;
+        let response = sent.map_err(|error| format!("{}: {error}", self.base))?;
+        let status = response.status();
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|error| format!("{}: {error}", self.base))?;
         let text = String::from_utf8_lossy(&body);
         match serde_json::from_str::<Value>(&text) {
@@ -188,13 +188,13 @@
 }
 
 /// `table get`, `put` and `delete`.
-pub async fn table(args: &[String]) -> Ended {
+pub async fn table(args: &[String]) -> CommandResult {
     let mut options = entry_options();
     options.optflag("", "csv", "as comma-separated values");
     options.optopt("v", "version", "the row's version, 0 for a new row", "N");
     options.optopt("i", "edit-id", "the edit's id, the same for a resend", "ID");
     let matches = parse(&options, args)?;
-    let call = EntryCall::new(&matches).await?;
+    let call = EntryClient::new(&matches).await?;
     let words: Vec<&str> = matches.free.iter().map(String::as_str).collect();
     match words.as_slice() {
         ["get"] => {
@@ -202,19 +202,20 @@
                 true => "text/csv",
                 false => "application/json",
             };
-            let ask = call.client.get(call.url("/v1/table"));
-            call.show(ask.header("accept", form), None).await
+            let request = call.client.get(call.url("/v1/table"));
+            call.show(request.header("accept", form), None).await
         }
         ["put", id, file] => {
             let fields = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
-            let ask = call.client.put(call.url(&format!("/v1/table/rows/{id}")));
-            call.show(edit_headers(ask, &matches)?, Some(fields)).await
+            let request = call.client.put(call.url(&format!("/v1/table/rows/{id}")));
+            call.show(edit_headers(request, &matches)?, Some(fields))
+                .await
         }
         ["delete", id] => {
-            let ask = call
+            let request = call
                 .client
                 .delete(call.url(&format!("/v1/table/rows/{id}")));
-            call.show(edit_headers(ask, &matches)?, None).await
+            call.show(edit_headers(request, &matches)?, None).await
         }
         _ => Err(format!("table get, put ID FILE or delete ID\n{USAGE}")),
     }
@@ -231,15 +232,15 @@
 }
 
 /// `status`.
-pub async fn status(args: &[String]) -> Ended {
+pub async fn status(args: &[String]) -> CommandResult {
     let matches = parse(&entry_options(), args)?;
-    let call = EntryCall::new(&matches).await?;
-    let ask = call.client.get(call.url("/v1/status"));
-    call.show(ask, None).await
+    let call = EntryClient::new(&matches).await?;
+    let request = call.client.get(call.url("/v1/status"));
+    call.show(request, None).await
 }
 
 /// `check`: prints the effective settings.
-pub fn check(args: &[String]) -> Ended {
+pub fn check(args: &[String]) -> CommandResult {
     let mut options = Options::new();
     options.reqopt("r", "role", "control, entry, agent or load", "ROLE");
     let matches = parse(&options, args)?;
@@ -248,22 +249,22 @@
     };
     let path = Path::new(file);
     match matches.opt_str("role").as_deref() {
-        Some("control") => show_checked::<ControlSettings>(path),
-        Some("entry") => show_checked::<EntrySettings>(path),
-        Some("agent") => show_checked::<AgentSettings>(path),
-        Some("load") => show_checked::<LoadMix>(path),
+        Some("control") => print_settings::<ControlSettings>(path),
+        Some("entry") => print_settings::<EntrySettings>(path),
+        Some("agent") => print_settings::<AgentSettings>(path),
+        Some("load") => print_settings::<LoadMix>(path),
         _ => Err("--role is control, entry, agent or load".to_owned()),
     }
 }
 
-fn show_checked<S: ValidatedSettings>(path: &Path) -> Ended {
+fn print_settings<S: ValidatedSettings>(path: &Path) -> CommandResult {
     let settings: S = settings::load(path).map_err(|error| error.to_string())?;
     println!("{}", settings::show(&settings));
     Ok(0)
 }
 
 /// `load`.
-pub async fn load(args: &[String]) -> Ended {
+pub async fn load(args: &[String]) -> CommandResult {
     let mut options = Options::new();
     options.reqopt("e", "entry", "entries, with commas between", "IP:PORT");
     options.reqopt("m", "mix", "the mix, JSON with comments", "FILE");
@@ -284,21 +285,21 @@
         mix,
         seconds: number(&matches, "seconds", 10.0)?,
         seed: number(&matches, "seed", 1)?,
-        standin_text: matches.opt_present("check-standin"),
+        check_standin_text: matches.opt_present("check-standin"),
     })
     .await;
     match matches.opt_present("json") {
         true => println!("{:#}", report.json()),
         false => print!("{}", report.text()),
     }
-    for broken in &report.broken {
-        eprintln!("broken: {broken}");
+    for violation in &report.violations {
+        eprintln!("broken: {violation}");
     }
-    Ok(i32::from(!report.broken.is_empty()))
+    Ok(i32::from(!report.violations.is_empty()))
 }
 
 /// `demo`.
-pub async fn demo(args: &[String]) -> Ended {
+pub async fn demo(args: &[String]) -> CommandResult {
     let mut options = Options::new();
     options.optopt("", "seconds", "for how long requests are sent", "N");
     options.optopt("", "seed", "seed of arrivals", "N");
@@ -307,7 +308,7 @@
     let matches = parse(&options, args)?;
     let seconds: f64 = number(&matches, "seconds", 10.0)?;
     let seed = number(&matches, "seed", 1)?;
-    let site = DemoSite::start(DemoShape::default()).await;
+    let site = DemoSite::start(DemoConfig::default()).await;
     let site = site.map_err(|error| error.to_string())?;
     if matches.opt_present("serve") {
         serve(&site).await;
@@ -319,28 +320,28 @@
         mix: demo::mix(1.0),
         seconds,
         seed,
-        standin_text: true,
+        check_standin_text: true,
     };
     let before = site.moves().await;
-    let trouble = async {
+    let disturbance = async {
         tokio::time::sleep(Duration::from_secs_f64(seconds * 0.3)).await;
         let edits = edit_rows(&site, seconds * 0.3).await;
         site.kill_engine("t0").await;
         edits
     };
-    let (report, edits, ()) = futures::join!(load::run(plan), trouble, show_progress(seconds));
+    let (report, edits, ()) = futures::join!(load::run(plan), disturbance, show_progress(seconds));
     let moves = site.moves().await - before;
-    let broken = find_broken(&site, &report);
+    let violations = find_violations(&site, &report);
     print_demo(
         &site,
         &report,
-        &broken,
+        &violations,
         edits,
         moves,
         matches.opt_present("json"),
     );
     site.clean_up();
-    Ok(i32::from(!broken.is_empty()))
+    Ok(i32::from(!violations.is_empty()))
 }
 
 async fn serve(site: &DemoSite) {
@@ -362,7 +363,7 @@
     }
     for second in 0..seconds as u64 {
         eprint!("\r{second} of {seconds} s ");
-        tokio::time::sleep(PROGRESS).await;
+        tokio::time::sleep(PROGRESS_INTERVAL).await;
     }
     eprintln!("\rwaiting for the last answers");
 }
@@ -390,12 +391,12 @@
 }
 
 /// Compares what callers were told with what the targets recorded.
-pub fn find_broken(site: &DemoSite, report: &LoadReport) -> Vec<String> {
-    let mut broken = report.broken.clone();
+pub fn find_violations(site: &DemoSite, report: &LoadReport) -> Vec<String> {
+    let mut violations = report.violations.clone();
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for (name, record) in site.engine_records() {
         if record.overcommits > 0 {
-            broken.push(format!(
+            violations.push(format!(
                 "{name}: memory was overcommitted {} times",
                 record.overcommits
             ));
@@ -408,25 +409,28 @@
         *runs.entry(call.body).or_default() += 1;
     }
     let once: BTreeSet<&str> = ["notice-draft", "timestamp-seal"].into();
-    for told in &report.records {
-        let count = runs.get(&told.prompt).copied().unwrap_or(0);
-        let fault = match told.outcome.as_str() {
+    for request in &report.records {
+        let count = runs.get(&request.prompt).copied().unwrap_or(0);
+        let violation = match request.outcome.as_str() {
             "not-run" if count > 0 => Some("told not run, but it ran"),
             "done" if count == 0 => Some("told done, but no target ran it"),
-            _ if once.contains(told.class.as_str()) && count > 1 => Some("ran more than once"),
+            _ if once.contains(request.class.as_str()) && count > 1 => Some("ran more than once"),
             _ => None,
         };
-        if let Some(fault) = fault {
-            broken.push(format!("{}: {fault}: {}", told.class, told.prompt));
+        if let Some(violation) = violation {
+            violations.push(format!(
+                "{}: {violation}: {}",
+                request.class, request.prompt
+            ));
         }
     }
-    broken
+    violations
 }
 
 fn print_demo(
     site: &DemoSite,
     report: &LoadReport,
-    broken: &[String],
+    violations: &[String],
     edits: usize,
     moves: u64,
     as_json: bool,
@@ -437,7 +441,7 @@
         value["edits"] = json!(edits);
         value["moves"] = json!(moves);
         value["attained_per_accelerator"] = json!(per_accelerator);
-        value["broken"] = json!(broken);
+        value["broken"] = json!(violations);
         println!("{value:#}");
         return;
     }
@@ -445,8 +449,8 @@
     println!("edits accepted meanwhile: {edits}; one engine was killed");
     println!("done within patience, per accelerator: {per_accelerator:.1}");
     println!("moves: {moves}");
-    match broken {
+    match violations {
         [] => println!("every answer agrees with what the targets recorded"),
-        broken => broken.iter().for_each(|line| println!("broken: {line}")),
+        lines => lines.iter().for_each(|line| println!("broken: {line}")),
     }
 }
--- a/src/cli/contents.rs
+++ b/src/cli/contents.rs
@@ -20,11 +20,13 @@
 
 async fn list(link: &ControlLink, as_json: bool) -> Result<i32, String> {
     let call = |client: ControlWireClient, context| async move { client.contents(context).await };
-    let asked = link.call_leader("contents", control::PATIENCE, call).await;
-    let book = asked.map_err(|error| error.to_string())?;
+    let reply = link
+        .call_leader("contents", control::LEADER_TIMEOUT, call)
+        .await;
+    let store = reply.map_err(|error| error.to_string())?;
     match as_json {
-        true => println!("{}", control::json(&rows(&book))?),
-        false => print!("{}", table(&book)),
+        true => println!("{}", control::json(&rows(&store))?),
+        false => print!("{}", table(&store)),
     }
     Ok(0)
 }
@@ -36,8 +38,10 @@
         let command = Command::ContentLifted(digest);
         client.propose(context, command).await
     };
-    let asked = link.call_leader("lift", control::PATIENCE, call).await;
-    match asked.map_err(|error| error.to_string())? {
+    let reply = link
+        .call_leader("lift", control::LEADER_TIMEOUT, call)
+        .await;
+    match reply.map_err(|error| error.to_string())? {
         (_, Reply::Lifted(true)) => {
             println!("{digest} may be tried again; one more crash bars it");
             Ok(0)
@@ -74,8 +78,8 @@
 }
 
 /// The contents, those with the most crashes first.
-fn rows(book: &CrashStore) -> Vec<ContentRow> {
-    let records = book.records().iter();
+fn rows(store: &CrashStore) -> Vec<ContentRow> {
+    let records = store.records().iter();
     let mut rows: Vec<ContentRow> = records
         .map(|(id, record)| ContentRow::new(id, record))
         .collect();
@@ -84,15 +88,17 @@
 }
 
 /// A line a content.
-pub fn table(book: &CrashStore) -> String {
+pub fn table(store: &CrashStore) -> String {
     let mut text = format!(
         "{:<32} {:<8} {:>14} replicas that ended under it\n",
         "content", "state", "last, ms"
     );
-    for row in rows(book) {
-        let lives = row.crashes.join(" ");
+    for row in rows(store) {
+        let incarnations = row.crashes.join(" ");
         let (content, state, last_ms) = (&row.content, row.state, row.last_ms);
-        text.push_str(&format!("{content:<32} {state:<8} {last_ms:>14} {lives}\n"));
+        text.push_str(&format!(
+            "{content:<32} {state:<8} {last_ms:>14} {incarnations}\n"
+        ));
     }
     text
 }
--- a/src/cli/control.rs
+++ b/src/cli/control.rs
@@ -9,7 +9,7 @@
 use crate::process::settings;
 
 /// Time in which a leader must be found.
-pub(super) const PATIENCE: Duration = Duration::from_secs(5);
+pub(super) const LEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The options of such a command.
 pub(super) fn options() -> Options {
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -32,7 +32,8 @@
 const HALLS: [&str; 3] = ["north", "south", "east"];
 const SECRET: &str = "the-secret-of-a-demo-site";
 /// Loopback, with the port chosen by the system.
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 const TARGET_MIB: u64 = 16_000;
 const KV_FLOOR_MIB: u64 = 4_000;
 const BASE_MIB: u64 = 5_500;
@@ -40,7 +41,7 @@
 /// The service's target.
 const SERVICE_TARGET: &str = "seals";
 /// Longest wait for a site to get ready.
-const READY_TIME: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The partners' example keys: callers', then operators'.
 pub const KEYS: [(&str, &str, &str); 2] = [
@@ -50,7 +51,7 @@
 
 /// What varies between small sites.
 #[derive(Clone, Debug)]
-pub struct DemoShape {
+pub struct DemoConfig {
     /// Engine targets.
     pub targets: usize,
     /// Base models.
@@ -67,7 +68,7 @@
     pub duties: ControllerSettings,
 }
 
-impl Default for DemoShape {
+impl Default for DemoConfig {
     fn default() -> Self {
         Self {
             targets: 8,
@@ -95,7 +96,7 @@
     /// The entries' addresses.
     pub entries: Vec<SocketAddr>,
     /// The shape it was made with.
-    pub shape: DemoShape,
+    pub config: DemoConfig,
     folder: PathBuf,
     controls: Vec<ControlDaemon>,
     entry_daemons: Vec<EntryDaemon>,
@@ -223,17 +224,17 @@
     }
 }
 
-fn site_spec(shape: &DemoShape) -> SiteSpec {
+fn site_spec(config: &DemoConfig) -> SiteSpec {
     let mut models = BTreeMap::new();
     let base = ModelSpec {
         kind: ModelKind::Base,
         weights_mib: BASE_MIB,
         kv_kib_per_token: 128,
     };
-    for number in 0..shape.models {
+    for number in 0..config.models {
         models.insert(ModelName(format!("m{number}")), base.clone());
     }
-    for number in 0..shape.adapters {
+    for number in 0..config.adapters {
         let spec = ModelSpec {
             kind: ModelKind::Adapter(ModelName(format!("m{number}"))),
             weights_mib: ADAPTER_MIB,
@@ -253,7 +254,7 @@
         kv_floor_mib: KV_FLOOR_MIB,
         accelerators: 1,
     };
-    let targets = 0..shape.targets;
+    let targets = 0..config.targets;
     let targets = targets.map(|number| (TargetName(format!("t{number}")), engine(number)));
     let mut targets: BTreeMap<TargetName, TargetSpec> = targets.collect();
     let service = TargetSpec {
@@ -288,7 +289,7 @@
         host: HostName::from(host),
         hall: hall(number),
         listen,
-        watch: ANY,
+        watch: ANY_PORT,
         control: control.to_vec(),
         secret_file: PathBuf::new(),
         log: LogSettings::default(),
@@ -298,7 +299,7 @@
 impl DemoSite {
     /// Starts everything; returns once both partners' rows are in force and
     /// every model has a home.
-    pub async fn start(shape: DemoShape) -> Result<Self, DaemonError> {
+    pub async fn start(config: DemoConfig) -> Result<Self, DaemonError> {
         let name = format!(
             "dunlinspring-{}-{:x}",
             std::process::id(),
@@ -310,10 +311,10 @@
             read_ms: 20,
             at_once: 4,
         };
-        let store = StoreStandin::start(ANY, store).await?;
-        let platform = PlatformStandin::start(ANY, 500).await?;
-        let (voters, controls) = start_controls(&shape, &folder, &secret, &platform).await?;
-        let service = ServiceStandin::start(ANY, Duration::from_millis(4)).await?;
+        let store = StoreStandin::start(ANY_PORT, store).await?;
+        let platform = PlatformStandin::start(ANY_PORT, 500).await?;
+        let (voters, controls) = start_controls(&config, &folder, &secret, &platform).await?;
+        let service = ServiceStandin::start(ANY_PORT, Duration::from_millis(4)).await?;
         let mut site = Self {
             entries: Vec::new(),
             folder,
@@ -323,11 +324,11 @@
             engines: BTreeMap::new(),
             service,
             platform,
-            shape,
+            config,
         };
         site.start_targets(&voters, &secret, &store).await?;
         site.start_entries(&voters, &secret).await?;
-        site.add_rows().await?;
+        site.create_rows().await?;
         Ok(site)
     }
 
@@ -337,19 +338,19 @@
         secret: &SiteSecret,
         store: &StoreStandin,
     ) -> Result<(), DaemonError> {
-        for number in 0..self.shape.targets {
-            let mut traits = self.shape.engine.clone();
+        for number in 0..self.config.targets {
+            let mut traits = self.config.engine.clone();
             traits.store_url = Some(format!("http://{}", store.address));
-            let engine = EngineStandin::start(ANY, traits).await?;
+            let engine = EngineStandin::start(ANY_PORT, traits).await?;
             let name = format!("t{number}");
             let settings = AgentSettings {
-                common: common(&name, number, ANY, voters),
+                common: common(&name, number, ANY_PORT, voters),
                 target_url: format!("http://{}", engine.address),
                 check: OrderCheck::Fenced,
                 services: Vec::new(),
                 memory_mib: TARGET_MIB,
-                queue: self.shape.queue.clone(),
-                lease_ms: self.shape.duties.lease_ms,
+                queue: self.config.queue.clone(),
+                lease_ms: self.config.duties.lease_ms,
                 report_ms: 100,
             };
             let agent = AgentDaemon::start(settings, secret.clone()).await?;
@@ -357,13 +358,13 @@
             self.engines.insert(name, engine);
         }
         let settings = AgentSettings {
-            common: common(SERVICE_TARGET, 0, ANY, voters),
+            common: common(SERVICE_TARGET, 0, ANY_PORT, voters),
             target_url: format!("http://{}", self.service.address),
             check: OrderCheck::LateBound(500),
             services: vec![ModelName::from("seal")],
             memory_mib: 0,
-            queue: self.shape.queue.clone(),
-            lease_ms: self.shape.duties.lease_ms,
+            queue: self.config.queue.clone(),
+            lease_ms: self.config.duties.lease_ms,
             report_ms: 100,
         };
         let agent = AgentDaemon::start(settings, secret.clone()).await?;
@@ -386,13 +387,13 @@
                 (PartnerName::from(*name), partner)
             });
             let settings = EntrySettings {
-                common: common(&format!("e{number}"), number, ANY, voters),
-                callers: ANY,
+                common: common(&format!("e{number}"), number, ANY_PORT, voters),
+                callers: ANY_PORT,
                 workers: 1,
                 stale_ms: 4000,
                 max_body: 1 << 20,
                 partners: partners.collect(),
-                route: self.shape.route.clone(),
+                route: self.config.route.clone(),
             };
             let entry = EntryDaemon::start(settings, secret.clone()).await?;
             self.entries.push(entry.callers);
@@ -401,7 +402,7 @@
         Ok(())
     }
 
-    async fn add_rows(&self) -> Result<(), DaemonError> {
+    async fn create_rows(&self) -> Result<(), DaemonError> {
         for kind in &KINDS {
             let fields = RowFields {
                 model: ModelName::from(kind.model),
@@ -417,7 +418,7 @@
                 .await?;
         }
         // More models than the kinds need, as the partners have.
-        for number in KIND_MODELS..self.shape.models {
+        for number in KIND_MODELS..self.config.models {
             let fields = json!({
                 "model": format!("m{number}"), "class": format!("spare-{number}"),
                 "urgency": "standard", "weight": 1, "max_running": 10, "patience_ms": 5000,
@@ -444,7 +445,7 @@
             reason,
         };
         let client = Client::new().await;
-        let answer = client
+        let response = client
             .put(&url)
             .bearer_auth(KEYS[partner].2)
             .header("if-match", version.to_string())
@@ -452,8 +453,8 @@
             .send_json(fields)
             .await
             .map_err(|error| failed(error.to_string()))?;
-        let status = answer.status();
-        let body = answer
+        let status = response.status();
+        let body = response
             .body()
             .await
             .map_err(|error| failed(error.to_string()))?;
@@ -466,8 +467,8 @@
     pub async fn table(&self) -> Option<Value> {
         let client = Client::new().await;
         let url = format!("http://{}/v1/table", self.entries[0]);
-        let answer = client.get(url).bearer_auth(KEYS[0].2).send().await.ok()?;
-        let body = answer.body().limit(16 << 20).await.ok()?;
+        let response = client.get(url).bearer_auth(KEYS[0].2).send().await.ok()?;
+        let body = response.body().limit(16 << 20).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 
@@ -494,7 +495,9 @@
             url: self.entries[0].to_string(),
             reason: "not every model has a home in time".to_owned(),
         };
-        tokio::time::timeout(READY_TIME, poll).await.map_err(late)
+        tokio::time::timeout(READY_TIMEOUT, poll)
+            .await
+            .map_err(late)
     }
 
     /// Kills an engine: its agent lives on and finds it gone.
@@ -523,7 +526,7 @@
 
     /// Accelerators in use.
     pub fn accelerators(&self) -> usize {
-        self.shape.targets
+        self.config.targets
     }
 
     /// Moves ordered so far.
@@ -543,7 +546,7 @@
 }
 
 async fn start_controls(
-    shape: &DemoShape,
+    config: &DemoConfig,
     folder: &std::path::Path,
     secret: &SiteSecret,
     platform: &PlatformStandin,
@@ -551,7 +554,7 @@
     let mut voters = Vec::new();
     let mut listeners: Vec<TcpListener> = Vec::new();
     for number in 0..3 {
-        let listener = daemon::bind("listen", ANY).await?;
+        let listener = daemon::bind("listen", ANY_PORT).await?;
         let address = daemon::address_of("listen", &listener)?;
         let host = HostName(format!("c{number}"));
         voters.push(VoterSettings { host, address });
@@ -567,12 +570,12 @@
                 election_ms: 500,
                 heartbeat_ms: 100,
             },
-            duties: shape.duties.clone(),
+            duties: config.duties.clone(),
             compact_after: 2000,
             platform_url: Some(format!("http://{}/hosts", platform.address)),
             open_membership: false,
             fleet: Default::default(),
-            site: site_spec(shape),
+            site: site_spec(config),
         };
         bootstrap::bootstrap(&settings)?;
         let daemon = ControlDaemon::start_on(listener, settings, secret.clone()).await?;
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -8,7 +8,7 @@
 use crate::cli::log_line::LogLine;
 
 /// How long before and after a request other lines belong to its story, in seconds.
-const AROUND_S: f64 = 5.0;
+const CONTEXT_S: f64 = 5.0;
 
 /// The lines that explain a request, oldest first; none where no line names it.
 pub fn explain<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Vec<String> {
@@ -20,8 +20,8 @@
         .iter()
         .filter_map(|line| line.fields.get("took_ms")?.as_f64());
     let took_s = took_ms.fold(0.0, f64::max) / 1000.0;
-    let from_s = times().fold(f64::INFINITY, f64::min) - took_s - AROUND_S;
-    let until_s = times().fold(f64::NEG_INFINITY, f64::max) + AROUND_S;
+    let from_s = times().fold(f64::INFINITY, f64::min) - took_s - CONTEXT_S;
+    let until_s = times().fold(f64::NEG_INFINITY, f64::max) + CONTEXT_S;
     let named = |name: &str| -> BTreeSet<&str> {
         let values = own.iter().filter_map(|line| line.field(name));
         values.filter(|value| !value.is_empty()).collect()
@@ -64,7 +64,7 @@
     if own.is_empty() {
         return Vec::new();
     }
-    let mut story: Vec<&LogLine> = lines.iter().filter(|line| belongs(line)).collect();
-    story.sort_by(|a, b| a.at.cmp(&b.at));
-    story.into_iter().map(LogLine::show).collect()
+    let mut timeline: Vec<&LogLine> = lines.iter().filter(|line| belongs(line)).collect();
+    timeline.sort_by(|a, b| a.at.cmp(&b.at));
+    timeline.into_iter().map(LogLine::render).collect()
 }
--- a/src/cli/explain_target.rs
+++ b/src/cli/explain_target.rs
@@ -8,80 +8,83 @@
 use std::fmt;
 
 use crate::cli::log_line::LogLine;
-use crate::cli::order_audit::{self, OrderSight, TargetFinding};
+use crate::cli::order_audit::{self, ObservedOrder, TargetFinding};
 use crate::ids::ReplicaId;
 
 /// How long before and after a target's orders leadership belongs to their story, in seconds.
-const AROUND_S: f64 = 5.0;
+const CONTEXT_S: f64 = 5.0;
 const ARRIVED: &str = "order arrived";
 const SENT: &str = "order sent";
 
 /// What the findings rest on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StoryBasis {
+pub enum EvidenceSource {
     /// The record of arrivals at the target.
     Arrivals,
     /// What the hosts say they sent: how orders travelled is not seen.
     Sent,
     /// Neither was logged: nothing is judged.
-    Nothing,
+    Missing,
 }
 
 /// The story of one target's orders.
 #[derive(Clone, Debug)]
-pub struct TargetStory {
+pub struct TargetTimeline {
     /// The target.
     pub target: ReplicaId,
     /// The lines that tell it, oldest first.
     pub lines: Vec<String>,
     /// What the findings rest on.
-    pub basis: StoryBasis,
+    pub source: EvidenceSource,
     /// Orders that were judged.
-    pub judged: usize,
+    pub checked: usize,
     /// Orders that name no sender or no fence, and are judged by the rest or not at all.
-    pub in_part: usize,
+    pub incomplete: usize,
     /// How long an order holds off those of others.
     pub lease_ms: u64,
     /// What should not have been, oldest first.
     pub findings: Vec<TargetFinding>,
 }
 
-impl fmt::Display for TargetStory {
+impl fmt::Display for TargetTimeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for line in &self.lines {
             writeln!(f, "{line}")?;
         }
         let Self {
             target,
-            judged,
+            checked,
             lease_ms,
             ..
         } = self;
         writeln!(f)?;
-        match self.basis {
-            StoryBasis::Arrivals => writeln!(
+        match self.source {
+            EvidenceSource::Arrivals => writeln!(
                 f,
-                "judged by {judged} arrivals at {target}, lease {lease_ms} ms"
+                "judged by {checked} arrivals at {target}, lease {lease_ms} ms"
             )?,
-            StoryBasis::Sent => writeln!(
+            EvidenceSource::Sent => writeln!(
                 f,
-                "no arrivals at {target} were recorded: judged by {judged} lines `{SENT}`, \
+                "no arrivals at {target} were recorded: judged by {checked} lines `{SENT}`, \
                  on the clocks of their hosts, lease {lease_ms} ms; what came late is not seen"
             )?,
-            StoryBasis::Nothing => writeln!(
+            EvidenceSource::Missing => writeln!(
                 f,
                 "neither arrivals at {target} nor lines `{SENT}`: nothing is judged"
             )?,
         }
-        if self.in_part > 0 {
-            let in_part = self.in_part;
-            writeln!(f, "not judged in full, sender or fence missing: {in_part}")?;
+        if self.incomplete > 0 {
+            let incomplete = self.incomplete;
+            writeln!(
+                f,
+                "not judged in full, sender or fence missing: {incomplete}"
+            )?;
         }
         for finding in &self.findings {
             writeln!(f, "finding: {finding}")?;
         }
-        match self.basis {
-            StoryBasis::Arrivals | StoryBasis::Sent if self.findings.is_empty() => {
+        match self.source {
+            EvidenceSource::Arrivals | EvidenceSource::Sent if self.findings.is_empty() => {
                 writeln!(f, "no finding")
             }
             _ => Ok(()),
@@ -94,24 +97,24 @@
     target: &ReplicaId,
     lease_ms: u64,
     lines: impl Iterator<Item = &'a str>,
-) -> Option<TargetStory> {
+) -> Option<TargetTimeline> {
     let mut lines: Vec<LogLine> = lines.filter_map(LogLine::parse).collect();
     lines.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     let own: Vec<&LogLine> = lines.iter().filter(|l| is_order(l, target)).collect();
-    let from_s = own.first()?.at_s - AROUND_S;
-    let until_s = own.last()?.at_s + AROUND_S;
+    let from_s = own.first()?.at_s - CONTEXT_S;
+    let until_s = own.last()?.at_s + CONTEXT_S;
     let near = |line: &LogLine| (from_s..=until_s).contains(&line.at_s);
     let belongs = |line: &&LogLine| is_order(line, target) || (is_leadership(line) && near(line));
-    let story = lines.iter().filter(belongs);
+    let timeline = lines.iter().filter(belongs);
 
-    let (basis, sights) = sights(&own);
-    let findings = order_audit::find(&sights, lease_ms);
-    Some(TargetStory {
+    let (source, orders) = orders(&own);
+    let findings = order_audit::find_conflicts(&orders, lease_ms);
+    Some(TargetTimeline {
         target: target.clone(),
-        lines: story.map(LogLine::show).collect(),
-        basis,
-        judged: sights.len(),
-        in_part: sights.iter().filter(|sight| !sight.is_whole()).count(),
+        lines: timeline.map(LogLine::render).collect(),
+        source,
+        checked: orders.len(),
+        incomplete: orders.iter().filter(|order| !order.is_complete()).count(),
         lease_ms,
         findings,
     })
@@ -129,13 +132,13 @@
 }
 
 /// The orders to judge: as they arrived, else as they were sent.
-fn sights(own: &[&LogLine]) -> (StoryBasis, Vec<OrderSight>) {
+fn orders(own: &[&LogLine]) -> (EvidenceSource, Vec<ObservedOrder>) {
     let with = |message: &'static str| own.iter().filter(move |line| line.message == message);
-    let arrived: Vec<OrderSight> = with(ARRIVED).map(|l| OrderSight::arrived(l)).collect();
-    let sent: Vec<OrderSight> = with(SENT).map(|l| OrderSight::sent(l)).collect();
+    let arrived: Vec<ObservedOrder> = with(ARRIVED).map(|l| ObservedOrder::arrived(l)).collect();
+    let sent: Vec<ObservedOrder> = with(SENT).map(|l| ObservedOrder::sent(l)).collect();
     match (arrived.is_empty(), sent.is_empty()) {
-        (false, _) => (StoryBasis::Arrivals, arrived),
-        (true, false) => (StoryBasis::Sent, sent),
-        (true, true) => (StoryBasis::Nothing, Vec::new()),
+        (false, _) => (EvidenceSource::Arrivals, arrived),
+        (true, false) => (EvidenceSource::Sent, sent),
+        (true, true) => (EvidenceSource::Missing, Vec::new()),
     }
 }
--- a/src/cli/halls.rs
+++ b/src/cli/halls.rs
@@ -15,8 +15,8 @@
     let link = control::link(&matches)?;
     match matches.free.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         [] => list(&link, matches.opt_present("json")).await,
-        ["evacuate", name] => tell(&link, name, Command::Evacuate(name.into())).await,
-        ["restore", name] => tell(&link, name, Command::Restore(name.into())).await,
+        ["evacuate", name] => propose(&link, name, Command::Evacuate(name.into())).await,
+        ["restore", name] => propose(&link, name, Command::Restore(name.into())).await,
         _ => Err("halls takes nothing, evacuate NAME, or restore NAME".to_owned()),
     }
 }
@@ -72,8 +72,10 @@
     let call = |client: ControlWireClient, context| async move {
         client.sync(context, Position(0), 0, true).await
     };
-    let asked = link.call_leader("sync", control::PATIENCE, call).await;
-    let page = asked.map_err(|error| error.to_string())?;
+    let reply = link
+        .call_leader("sync", control::LEADER_TIMEOUT, call)
+        .await;
+    let page = reply.map_err(|error| error.to_string())?;
     let mut view = SiteView::default();
     view.follow(&page);
     Ok(view)
@@ -88,7 +90,7 @@
     Ok(0)
 }
 
-async fn tell(link: &ControlLink, name: &str, command: Command) -> Result<i32, String> {
+async fn propose(link: &ControlLink, name: &str, command: Command) -> Result<i32, String> {
     let rows = rows(&read(link).await?);
     if !rows.contains_key(&HallName::from(name)) {
         let known: Vec<&str> = rows.keys().map(HallName::as_str).collect();
@@ -101,8 +103,10 @@
         let command = command.clone();
         async move { client.propose(context, command).await }
     };
-    let asked = link.call_leader("halls", control::PATIENCE, call).await;
-    asked.map_err(|error| error.to_string())?;
+    let reply = link
+        .call_leader("halls", control::LEADER_TIMEOUT, call)
+        .await;
+    reply.map_err(|error| error.to_string())?;
     println!("{name}: taken");
     Ok(0)
 }
--- a/src/cli/load.rs
+++ b/src/cli/load.rs
@@ -22,13 +22,13 @@
 /// Most requests in flight; arrivals beyond it are counted as not sent.
 const MAX_IN_FLIGHT: usize = 20_000;
 /// Longest answer read, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// Time beyond the last patience that the tool waits for answers.
-const GRACE: Duration = Duration::from_secs(5);
+const RESPONSE_GRACE: Duration = Duration::from_secs(5);
 /// Longest recorded time: an hour, in microseconds.
-const MAX_MICROS: u64 = 3_600_000_000;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 /// Connections to the entries.
-const CONNECTIONS: usize = 4096;
+const MAX_CONNECTIONS: usize = 4096;
 
 /// One class of the mix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -88,28 +88,28 @@
 
 impl ValidatedSettings for LoadMix {
     fn check(&self) -> Result<(), (&'static str, String)> {
-        let wrong = |field, reason: &str| Err((field, reason.to_owned()));
+        let invalid = |field, reason: &str| Err((field, reason.to_owned()));
         let sorted = self.phases.is_sorted_by(|a, b| a.from_s <= b.from_s);
         match self {
-            mix if mix.classes.is_empty() => wrong("classes", "must name at least one"),
+            mix if mix.classes.is_empty() => invalid("classes", "must name at least one"),
             mix if mix
                 .classes
                 .iter()
                 .any(|c| !c.rate.is_finite() || c.rate < 0.0) =>
             {
-                wrong("classes.rate", "must be zero or more")
+                invalid("classes.rate", "must be zero or more")
             }
             mix if mix.classes.iter().any(|c| c.patience_ms == 0) => {
-                wrong("classes.patience_ms", "must be at least 1")
+                invalid("classes.patience_ms", "must be at least 1")
             }
             mix if mix
                 .classes
                 .iter()
                 .any(|c| c.service_path.is_none() && c.tokens == 0) =>
             {
-                wrong("classes.tokens", "must be at least 1")
+                invalid("classes.tokens", "must be at least 1")
             }
-            _ if !sorted => wrong("phases.from_s", "must rise"),
+            _ if !sorted => invalid("phases.from_s", "must rise"),
             _ => Ok(()),
         }
     }
@@ -132,7 +132,7 @@
     /// Seed of arrivals and prompts.
     pub seed: u64,
     /// Answers are the stand-in engine's, so that their text can be checked.
-    pub standin_text: bool,
+    pub check_standin_text: bool,
 }
 
 /// What one caller asked and was told.
@@ -150,7 +150,7 @@
 
 /// One class's sums.
 #[derive(Clone, Debug)]
-pub struct ClassTally {
+pub struct ClassStats {
     /// Requests sent.
     pub sent: u64,
     /// Done, whole and correct.
@@ -164,10 +164,10 @@
     /// No answer.
     pub lost: u64,
     /// Times to the end of done answers, in microseconds.
-    pub times: Histogram<u64>,
+    pub latencies_us: Histogram<u64>,
 }
 
-impl ClassTally {
+impl ClassStats {
     fn new() -> Self {
         Self {
             sent: 0,
@@ -176,7 +176,8 @@
             not_run: BTreeMap::new(),
             unknown: BTreeMap::new(),
             lost: 0,
-            times: Histogram::new_with_bounds(1, MAX_MICROS, 3).expect("the bounds are constants"),
+            latencies_us: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)
+                .expect("the bounds are constants"),
         }
     }
 
@@ -190,7 +191,7 @@
 
     /// A quantile of the times of done answers, in milliseconds.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
-        self.times.value_at_quantile(quantile) as f64 / 1000.0
+        self.latencies_us.value_at_quantile(quantile) as f64 / 1000.0
     }
 }
 
@@ -198,9 +199,9 @@
 #[derive(Debug, Default)]
 pub struct LoadReport {
     /// Sums by class.
-    pub classes: BTreeMap<String, ClassTally>,
+    pub classes: BTreeMap<String, ClassStats>,
     /// Answers that broke a promise.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Every request.
     pub records: Vec<LoadRecord>,
     /// Arrivals that were not sent, as too many were in flight.
@@ -210,7 +211,7 @@
 impl LoadReport {
     /// Requests done within patience.
     pub fn within(&self) -> u64 {
-        self.classes.values().map(|tally| tally.within).sum()
+        self.classes.values().map(|stats| stats.within).sum()
     }
 
     /// As a table for people.
@@ -228,20 +229,20 @@
             "p99 ms",
             "within"
         );
-        for (class, tally) in &self.classes {
+        for (class, stats) in &self.classes {
             let sum = |causes: &BTreeMap<String, u64>| causes.values().sum::<u64>();
             text.push_str(&format!(
                 "{:<22} {:>6} {:>6} {:>7} {:>7} {:>5} {:>8.1} {:>8.1} {:>8.1} {:>7.4}\n",
                 class,
-                tally.sent,
-                tally.done,
-                sum(&tally.not_run),
-                sum(&tally.unknown),
-                tally.lost,
-                tally.quantile_ms(0.5),
-                tally.quantile_ms(0.95),
-                tally.quantile_ms(0.99),
-                tally.attainment(),
+                stats.sent,
+                stats.done,
+                sum(&stats.not_run),
+                sum(&stats.unknown),
+                stats.lost,
+                stats.quantile_ms(0.5),
+                stats.quantile_ms(0.95),
+                stats.quantile_ms(0.99),
+                stats.attainment(),
             ));
         }
         text
@@ -249,23 +250,23 @@
 
     /// As JSON for programs.
     pub fn json(&self) -> serde_json::Value {
-        let classes = self.classes.iter().map(|(class, tally)| {
+        let classes = self.classes.iter().map(|(class, stats)| {
             let value = json!({
-                "sent": tally.sent, "done": tally.done, "within": tally.within,
-                "not_run": tally.not_run, "unknown": tally.unknown, "lost": tally.lost,
-                "p50_ms": tally.quantile_ms(0.5), "p95_ms": tally.quantile_ms(0.95),
-                "p99_ms": tally.quantile_ms(0.99), "attainment": tally.attainment(),
+                "sent": stats.sent, "done": stats.done, "within": stats.within,
+                "not_run": stats.not_run, "unknown": stats.unknown, "lost": stats.lost,
+                "p50_ms": stats.quantile_ms(0.5), "p95_ms": stats.quantile_ms(0.95),
+                "p99_ms": stats.quantile_ms(0.99), "attainment": stats.attainment(),
             });
             (class.clone(), value)
         });
         json!({
             "classes": classes.collect::<serde_json::Map<_, _>>(),
-            "broken": self.broken, "unsent": self.unsent,
+            "broken": self.violations, "unsent": self.unsent,
         })
     }
 }
 
-struct Shared {
+struct LoadState {
     plan: LoadPlan,
     client: Client,
     report: RefCell<LoadReport>,
@@ -274,38 +275,38 @@
 
 /// Sends the mix, and waits for the answers. Runs on the current thread.
 pub async fn run(plan: LoadPlan) -> LoadReport {
-    let connector = Connector::new().limit(CONNECTIONS);
+    let connector = Connector::new().limit(MAX_CONNECTIONS);
     let client = Client::builder()
         .connector::<()>(connector)
         .disable_timeout();
     let client = client.build(ntex::SharedCfg::default()).await;
-    let shared = Rc::new(Shared {
+    let state = Rc::new(LoadState {
         client: client.expect("a client without middleware builds"),
         report: RefCell::new(LoadReport::default()),
         in_flight: RefCell::new(0),
         plan,
     });
     let started = Instant::now();
-    let classes = 0..shared.plan.mix.classes.len();
-    let arrivals = classes.map(|class| arrive(shared.clone(), class, started));
-    futures::future::join_all(arrivals).await;
-    let patience = shared
+    let classes = 0..state.plan.mix.classes.len();
+    let generators = classes.map(|class| generate_arrivals(state.clone(), class, started));
+    futures::future::join_all(generators).await;
+    let patience = state
         .plan
         .mix
         .classes
         .iter()
         .map(|class| class.patience_ms)
         .max();
-    let until = Instant::now() + Duration::from_millis(patience.unwrap_or(0)) + GRACE;
-    while *shared.in_flight.borrow() > 0 && Instant::now() < until {
+    let until = Instant::now() + Duration::from_millis(patience.unwrap_or(0)) + RESPONSE_GRACE;
+    while *state.in_flight.borrow() > 0 && Instant::now() < until {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let left = *shared.in_flight.borrow();
-    let mut report = shared.report.take();
+    let left = *state.in_flight.borrow();
+    let mut report = state.report.take();
     if left > 0 {
         report
-            .broken
-            .push(format!("{left} requests had no answer at all"));
+            .violations
+            .push(format!("{left} requests got no response"));
     }
     report
 }
@@ -317,8 +318,8 @@
 }
 
 /// Arrivals of one class, at exponential times.
-async fn arrive(shared: Rc<Shared>, class: usize, started: Instant) {
-    let plan = &shared.plan;
+async fn generate_arrivals(state: Rc<LoadState>, class: usize, started: Instant) {
+    let plan = &state.plan;
     let spec = &plan.mix.classes[class];
     let mut rng = SmallRng::seed_from_u64(plan.seed * 1009 + class as u64);
     let mut due = 0.0;
@@ -338,92 +339,104 @@
         if rate <= 0.0 {
             continue;
         }
-        if *shared.in_flight.borrow() >= MAX_IN_FLIGHT {
-            shared.report.borrow_mut().unsent += 1;
+        if *state.in_flight.borrow() >= MAX_IN_FLIGHT {
+            state.report.borrow_mut().unsent += 1;
             continue;
         }
         number += 1;
         let prefix = rng.random_range(0..spec.prefixes.max(1));
         let entry = rng.random_range(0..plan.entries.len());
-        *shared.in_flight.borrow_mut() += 1;
-        let shared = shared.clone();
+        *state.in_flight.borrow_mut() += 1;
+        let state = state.clone();
         ntex::rt::spawn(async move {
-            ask(&shared, class, prefix, number, entry).await;
-            *shared.in_flight.borrow_mut() -= 1;
+            run_request(&state, class, prefix, number, entry).await;
+            *state.in_flight.borrow_mut() -= 1;
         });
     }
 }
 
-struct Told {
+struct CallResult {
     outcome: String,
     cause: String,
     text: String,
     retry: bool,
 }
 
-async fn ask(shared: &Shared, class: usize, prefix: u32, number: u64, entry: usize) {
-    let plan = &shared.plan;
+async fn run_request(state: &LoadState, class: usize, prefix: u32, number: u64, entry: usize) {
+    let plan = &state.plan;
     let spec = &plan.mix.classes[class];
-    let start = format!("{} {} beginning {prefix} ", spec.class, spec.model);
-    let prompt = format!("{start:-<64} {}-{number}", plan.seed);
+    let prefix_text = format!("{} {} beginning {prefix} ", spec.class, spec.model);
+    let prompt = format!("{prefix_text:-<64} {}-{number}", plan.seed);
     let started = Instant::now();
-    let told = send(shared, spec, &prompt, &plan.entries[entry]).await;
-    let spent = started.elapsed();
-    let mut report = shared.report.borrow_mut();
-    if let Some(fault) = find_fault(plan, spec, &prompt, &told) {
+    let result = send_request(state, spec, &prompt, &plan.entries[entry]).await;
+    let elapsed = started.elapsed();
+    let mut report = state.report.borrow_mut();
+    if let Some(violation) = find_violation(plan, spec, &prompt, &result) {
         report
-            .broken
-            .push(format!("{}: {fault}: {prompt}", spec.class));
+            .violations
+            .push(format!("{}: {violation}: {prompt}", spec.class));
     }
-    let tally = report
+    let stats = report
         .classes
         .entry(spec.class.clone())
-        .or_insert_with(ClassTally::new);
-    tally.sent += 1;
-    match told.outcome.as_str() {
+        .or_insert_with(ClassStats::new);
+    stats.sent += 1;
+    match result.outcome.as_str() {
         "done" => {
-            tally.done += 1;
-            tally.times.saturating_record(spent.as_micros() as u64);
-            tally.within += u64::from(spent <= Duration::from_millis(spec.patience_ms));
+            stats.done += 1;
+            stats
+                .latencies_us
+                .saturating_record(elapsed.as_micros() as u64);
+            stats.within += u64::from(elapsed <= Duration::from_millis(spec.patience_ms));
         }
-        "not-run" => *tally.not_run.entry(told.cause.clone()).or_default() += 1,
-        "unknown" => *tally.unknown.entry(told.cause.clone()).or_default() += 1,
-        _ => tally.lost += 1,
+        "not-run" => *stats.not_run.entry(result.cause.clone()).or_default() += 1,
+        "unknown" => *stats.unknown.entry(result.cause.clone()).or_default() += 1,
+        _ => stats.lost += 1,
     }
     report.records.push(LoadRecord {
         class: spec.class.clone(),
         prompt,
-        outcome: told.outcome,
-        cause: told.cause,
+        outcome: result.outcome,
+        cause: result.cause,
     });
 }
 
 /// What is wrong with an answer, if anything is.
-fn find_fault(plan: &LoadPlan, spec: &LoadClass, prompt: &str, told: &Told) -> Option<String> {
-    let whole = || -> String {
+fn find_violation(
+    plan: &LoadPlan,
+    spec: &LoadClass,
+    prompt: &str,
+    result: &CallResult,
+) -> Option<String> {
+    let expected_text = || -> String {
         let pieces = 0..spec.tokens;
         pieces
             .map(|index| standin::piece_text(prompt, index))
             .collect()
     };
-    let checks = plan.standin_text && spec.service_path.is_none();
-    match told.outcome.as_str() {
-        "done" if checks && told.text != whole() => {
-            Some("a whole answer is not its own".to_owned())
+    let checks_text = plan.check_standin_text && spec.service_path.is_none();
+    match result.outcome.as_str() {
+        "done" if checks_text && result.text != expected_text() => {
+            Some("text of a done response differs from the stand-in engine's".to_owned())
         }
-        "not-run" if !told.retry => Some("not run, without a time to come back".to_owned()),
-        "not-run" if !told.text.is_empty() => Some("not run, with a part of an answer".to_owned()),
+        "not-run" if !result.retry => Some("not-run response without retry-after".to_owned()),
+        "not-run" if !result.text.is_empty() => Some("not-run response with text".to_owned()),
         "done" | "not-run" | "unknown" | "" => None,
-        outcome => Some(format!("an outcome named '{outcome}'")),
+        outcome => Some(format!("unknown outcome '{outcome}'")),
     }
 }
 
-async fn send(shared: &Shared, spec: &LoadClass, prompt: &str, entry: &str) -> Told {
+async fn send_request(
+    state: &LoadState,
+    spec: &LoadClass,
+    prompt: &str,
+    entry: &str,
+) -> CallResult {
     let path = match &spec.service_path {
         Some(path) => format!("/services/{}/{path}", spec.model),
         None => "/v1/completions".to_owned(),
     };
-    let call = shared
+    let call = state
         .client
         .post(format!("http://{entry}{path}"))
         .bearer_auth(&spec.key)
@@ -440,13 +453,13 @@
         None => call.send_json(&body).await,
     };
     match sent {
-        Ok(answer) => read(answer).await,
-        Err(_) => no_answer(),
+        Ok(response) => read_response(response).await,
+        Err(_) => no_response(),
     }
 }
 
-fn no_answer() -> Told {
-    Told {
+fn no_response() -> CallResult {
+    CallResult {
         outcome: String::new(),
         cause: String::new(),
         text: String::new(),
@@ -454,25 +467,25 @@
     }
 }
 
-async fn read(answer: ClientResponse) -> Told {
+async fn read_response(response: ClientResponse) -> CallResult {
     let header = |name: &str| {
-        let value = answer.headers().get(name)?.to_str().ok()?;
+        let value = response.headers().get(name)?.to_str().ok()?;
         Some(value.to_owned())
     };
     let outcome = header("x-outcome").unwrap_or_default();
     let retry = header("retry-after").is_some();
     let streamed = header("content-type").as_deref() == Some("text/event-stream");
-    let body = answer
+    let body = response
         .body()
-        .limit(MAX_ANSWER)
+        .limit(MAX_RESPONSE_BYTES)
         .timeout(ntex::time::Millis(3_600_000))
         .await;
     let Ok(body) = body else {
-        return no_answer();
+        return no_response();
     };
     let body = String::from_utf8_lossy(&body).into_owned();
     if streamed {
-        return read_events(&body);
+        return read_stream(&body);
     }
     let value: serde_json::Value = serde_json::from_str(&body).unwrap_or_default();
     let cause = value["error"]["code"].as_str().unwrap_or_default();
@@ -480,7 +493,7 @@
         Some(text) => text.to_owned(),
         None => String::new(),
     };
-    Told {
+    CallResult {
         outcome,
         cause: cause.to_owned(),
         text,
@@ -488,21 +501,21 @@
     }
 }
 
-fn read_events(body: &str) -> Told {
-    let mut told = no_answer();
+fn read_stream(body: &str) -> CallResult {
+    let mut result = no_response();
     // A cut stream has no outcome, so it can't look whole.
-    told.retry = true;
+    result.retry = true;
     for data in body.lines().filter_map(|line| line.strip_prefix("data: ")) {
         let Ok(event) = serde_json::from_str::<serde_json::Value>(data) else {
             continue;
         };
         match event["choices"][0]["text"].as_str() {
-            Some(piece) => told.text.push_str(piece),
+            Some(piece) => result.text.push_str(piece),
             None => {
-                told.outcome = event["outcome"].as_str().unwrap_or_default().to_owned();
-                told.cause = event["cause"].as_str().unwrap_or_default().to_owned();
+                result.outcome = event["outcome"].as_str().unwrap_or_default().to_owned();
+                result.cause = event["cause"].as_str().unwrap_or_default().to_owned();
             }
         }
     }
-    told
+    result
 }
--- a/src/cli/log_line.rs
+++ b/src/cli/log_line.rs
@@ -3,7 +3,7 @@
 use serde_json::{Map, Value};
 
 /// Days from the first of March of the year 0 to 1970.
-const DAYS_BEFORE_1970: i64 = 719_468;
+const DAYS_TO_UNIX_EPOCH: i64 = 719_468;
 
 /// One JSON log line.
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
     }
 
     /// A field that holds a whole number, bare or as text.
-    pub(super) fn whole(&self, name: &str) -> Option<u64> {
+    pub(super) fn integer(&self, name: &str) -> Option<u64> {
         match self.fields.get(name)? {
             Value::String(text) => text.parse().ok(),
             value => value.as_u64(),
@@ -59,7 +59,7 @@
     }
 
     /// The line as people read it.
-    pub(super) fn show(&self) -> String {
+    pub(super) fn render(&self) -> String {
         let fields = self.fields.iter();
         let shown = fields.map(|(name, value)| match value.as_str() {
             Some(text) => format!("{name}={text:?}"),
@@ -95,5 +95,5 @@
     };
     let leap_days = year / 4 - year / 100 + year / 400;
     let before_month = (153 * month + 2) / 5;
-    Some(year * 365 + leap_days + before_month + day - 1 - DAYS_BEFORE_1970)
+    Some(year * 365 + leap_days + before_month + day - 1 - DAYS_TO_UNIX_EPOCH)
 }
--- a/src/cli/order_audit.rs
+++ b/src/cli/order_audit.rs
@@ -8,7 +8,7 @@
 
 /// One order, seen where it arrived or where it was sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OrderSight {
+pub struct ObservedOrder {
     /// The time, as it was written.
     pub at: String,
     /// Seconds since 1970.
@@ -21,7 +21,7 @@
     pub fence: Option<Term>,
 }
 
-impl OrderSight {
+impl ObservedOrder {
     /// Reads a line of the record of arrivals.
     pub(super) fn arrived(line: &LogLine) -> Self {
         Self {
@@ -29,7 +29,7 @@
             at_s: line.at_s,
             from: line.field("from").map(host_of),
             holder: line.field("holder").map(str::to_owned),
-            fence: line.whole("fence").map(Term),
+            fence: line.integer("fence").map(Term),
         }
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// It names its sender and its fence.
-    pub(super) fn is_whole(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         self.sender().is_some() && self.fence.is_some()
     }
 
@@ -65,7 +65,7 @@
     }
 }
 
-impl fmt::Display for OrderSight {
+impl fmt::Display for ObservedOrder {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.fence {
             Some(fence) => write!(f, "fence {fence}")?,
@@ -83,11 +83,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FindingKind {
     /// Two senders used one fence.
-    OneFence,
+    SharedFence,
     /// A lower fence came after a higher one.
-    LowerFence,
+    FenceRegression,
     /// Orders of two senders came within a lease.
-    WithinLease,
+    LeaseOverlap,
 }
 
 /// Two orders that should not both have been.
@@ -96,17 +96,17 @@
     /// How the promise broke.
     pub kind: FindingKind,
     /// The order that came first.
-    pub earlier: OrderSight,
+    pub earlier: ObservedOrder,
     /// The order that breaks it.
-    pub later: OrderSight,
+    pub later: ObservedOrder,
 }
 
 impl fmt::Display for TargetFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let what = match self.kind {
-            FindingKind::OneFence => "one fence from two senders",
-            FindingKind::LowerFence => "a lower fence after a higher one",
-            FindingKind::WithinLease => "two senders within a lease",
+            FindingKind::SharedFence => "one fence from two senders",
+            FindingKind::FenceRegression => "a lower fence after a higher one",
+            FindingKind::LeaseOverlap => "two senders within a lease",
         };
         let (earlier, later) = (&self.earlier, &self.later);
         let gap_ms = gap_ms(earlier, later);
@@ -115,52 +115,65 @@
 }
 
 /// What is wrong with orders that stand in the order of their times.
-pub(super) fn find(sights: &[OrderSight], lease_ms: u64) -> Vec<TargetFinding> {
+pub(super) fn find_conflicts(orders: &[ObservedOrder], lease_ms: u64) -> Vec<TargetFinding> {
     let mut findings = Vec::new();
-    for (place, later) in sights.iter().enumerate() {
-        let before = &sights[..place];
-        let mut note = |kind, earlier: Option<&OrderSight>| {
+    for (index, later) in orders.iter().enumerate() {
+        let before = &orders[..index];
+        let mut record = |kind, earlier: Option<&ObservedOrder>| {
             findings.extend(earlier.map(|earlier| TargetFinding {
                 kind,
                 earlier: earlier.clone(),
                 later: later.clone(),
             }));
         };
-        note(FindingKind::OneFence, one_fence(before, later));
-        note(FindingKind::LowerFence, higher_fence(before, later));
-        note(FindingKind::WithinLease, turn(before, later, lease_ms));
+        record(FindingKind::SharedFence, shared_fence(before, later));
+        record(FindingKind::FenceRegression, higher_fence(before, later));
+        record(
+            FindingKind::LeaseOverlap,
+            lease_overlap(before, later, lease_ms),
+        );
     }
     findings
 }
 
 /// The first order of another sender with its fence; none where its sender used that before.
-fn one_fence<'a>(before: &'a [OrderSight], later: &OrderSight) -> Option<&'a OrderSight> {
+fn shared_fence<'a>(
+    before: &'a [ObservedOrder],
+    later: &ObservedOrder,
+) -> Option<&'a ObservedOrder> {
     later.fence?;
-    let same = |earlier: &&OrderSight| earlier.fence == later.fence;
+    let same = |earlier: &&ObservedOrder| earlier.fence == later.fence;
     let other = before.iter().filter(same).find(|o| o.differs(later))?;
-    let used = before
+    let known_sender = before
         .iter()
         .filter(same)
         .any(|o| o.sender() == later.sender());
-    (!used).then_some(other)
+    (!known_sender).then_some(other)
 }
 
 /// The last order before it with the highest fence, where that is higher.
-fn higher_fence<'a>(before: &'a [OrderSight], later: &OrderSight) -> Option<&'a OrderSight> {
+fn higher_fence<'a>(
+    before: &'a [ObservedOrder],
+    later: &ObservedOrder,
+) -> Option<&'a ObservedOrder> {
     let highest = before.iter().max_by_key(|earlier| earlier.fence)?;
     let lower = later.fence? < highest.fence?;
     lower.then_some(highest)
 }
 
 /// The order just before it, where another sender's came less than a lease ago.
-fn turn<'a>(before: &'a [OrderSight], later: &OrderSight, lease_ms: u64) -> Option<&'a OrderSight> {
+fn lease_overlap<'a>(
+    before: &'a [ObservedOrder],
+    later: &ObservedOrder,
+    lease_ms: u64,
+) -> Option<&'a ObservedOrder> {
     let mut known = before.iter().filter(|earlier| earlier.sender().is_some());
     let last = known.next_back()?;
-    let turn = last.differs(later) && gap_ms(last, later) < lease_ms as f64;
-    turn.then_some(last)
+    let lease_overlap = last.differs(later) && gap_ms(last, later) < lease_ms as f64;
+    lease_overlap.then_some(last)
 }
 
-fn gap_ms(earlier: &OrderSight, later: &OrderSight) -> f64 {
+fn gap_ms(earlier: &ObservedOrder, later: &ObservedOrder) -> f64 {
     (later.at_s - earlier.at_s) * 1_000.0
 }
 
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -2,7 +2,7 @@
 
 use dunlinspring::cli::daily_summary::daily_summary;
 use dunlinspring::cli::explain::explain;
-use dunlinspring::cli::explain_target::{StoryBasis, TargetStory, explain_target};
+use dunlinspring::cli::explain_target::{EvidenceSource, TargetTimeline, explain_target};
 use dunlinspring::cli::order_audit::FindingKind;
 use dunlinspring::ids::ReplicaId;
 
@@ -60,7 +60,7 @@
 /// Both hosts order `r1`: `c1` stood still while its last order was under way.
 const TWO_HOSTS: &str = include_str!("data/two-hosts.log");
 
-fn story(log: &str) -> TargetStory {
+fn story(log: &str) -> TargetTimeline {
     explain_target(&ReplicaId::from("r1"), 3_000, log.lines()).unwrap()
 }
 
@@ -88,7 +88,7 @@
         + &arrival(2_000, "127.0.0.5", "c1", 7)
         + &arrival(5_000, "127.0.0.6", "c2", 8);
     let told = story(&log);
-    assert_eq!((told.basis, told.judged), (StoryBasis::Arrivals, 3));
+    assert_eq!((told.source, told.checked), (EvidenceSource::Arrivals, 3));
     assert!(told.findings.is_empty(), "{told}");
     assert!(told.to_string().ends_with("no finding\n"), "{told}");
 }
@@ -98,13 +98,13 @@
     let log = arrival(1_000, "127.0.0.5", "c1", 7)
         + &arrival(5_000, "127.0.0.6", "c2", 7)
         + &arrival(6_000, "127.0.0.6", "c2", 7);
-    assert_eq!(kinds(&log), [FindingKind::OneFence]);
+    assert_eq!(kinds(&log), [FindingKind::SharedFence]);
 }
 
 #[test]
 fn two_hosts_with_one_name_are_two_senders() {
     let log = arrival(1_000, "127.0.0.5", "c1", 7) + &arrival(5_000, "127.0.0.6", "c1", 7);
-    assert_eq!(kinds(&log), [FindingKind::OneFence]);
+    assert_eq!(kinds(&log), [FindingKind::SharedFence]);
 }
 
 #[test]
@@ -119,15 +119,15 @@
     let log = arrival(1_000, "127.0.0.5", "c1", 7)
         + &arrival(5_000, "127.0.0.6", "c2", 6)
         + &arrival(6_000, "127.0.0.6", "c2", 6);
-    assert_eq!(kinds(&log), [FindingKind::LowerFence; 2]);
+    assert_eq!(kinds(&log), [FindingKind::FenceRegression; 2]);
     let one_host = arrival(1_000, "127.0.0.5", "c1", 7) + &arrival(1_500, "127.0.0.5", "c1", 6);
-    assert_eq!(kinds(&one_host), [FindingKind::LowerFence]);
+    assert_eq!(kinds(&one_host), [FindingKind::FenceRegression]);
 }
 
 #[test]
 fn two_senders_within_a_lease_are_found() {
     let log = arrival(1_000, "127.0.0.5", "c1", 7) + &arrival(3_999, "127.0.0.6", "c2", 8);
-    assert_eq!(kinds(&log), [FindingKind::WithinLease]);
+    assert_eq!(kinds(&log), [FindingKind::LeaseOverlap]);
     let later = arrival(1_000, "127.0.0.5", "c1", 7) + &arrival(4_000, "127.0.0.6", "c2", 8);
     assert_eq!(kinds(&later), []);
 }
@@ -137,7 +137,7 @@
     let early = arrival(1_000, "127.0.0.6", "c2", 8).replace("2026-01-01T10", "2028-03-01T00");
     let late =
         arrival(59_000, "127.0.0.5", "c1", 7).replace("2026-01-01T10:00", "2028-02-29T23:59");
-    assert_eq!(kinds(&(early + &late)), [FindingKind::WithinLease]);
+    assert_eq!(kinds(&(early + &late)), [FindingKind::LeaseOverlap]);
 }
 
 #[test]
@@ -145,13 +145,13 @@
     let log = arrival(1_000, "127.0.0.5", "c1", 7) + &arrival(5_000, "127.0.0.5", "c2", 7);
     assert_eq!(kinds(&log), []);
     let nameless = log.replace(r#""from":"127.0.0.5","#, "");
-    assert_eq!(kinds(&nameless), [FindingKind::OneFence]);
+    assert_eq!(kinds(&nameless), [FindingKind::SharedFence]);
 }
 
 #[test]
 fn an_arrival_that_tells_too_little_is_counted() {
     let log = arrival(1_000, "127.0.0.5", "c1", 7).replace(r#""fence":7,"#, "");
-    assert_eq!(story(&log).in_part, 1);
+    assert_eq!(story(&log).incomplete, 1);
 }
 
 #[test]
@@ -164,6 +164,6 @@
 #[test]
 fn logs_that_tell_neither_are_not_called_clean() {
     let told = story(LOG);
-    assert_eq!(told.basis, StoryBasis::Nothing);
+    assert_eq!(told.source, EvidenceSource::Missing);
     assert!(told.to_string().ends_with("nothing is judged\n"), "{told}");
 }
