--- a/src/cli/daily_summary.rs
+++ b/src/cli/daily_summary.rs
@@ -1,20 +1,20 @@
-//! Tables of many requests from the logs of all entries: when, on which route, at which
-//! replica and for which model requests were late, refused or lost.
+//! Counts late, refused and lost requests by time, route, reason, replica and model, from the
+//! logs of all entries.
 //!
-//! Pure: log lines in, text out. Entries bound the lines they write each second, so that
-//! counts under heavy load are a part of all requests.
+//! Pure: log lines in, text out. Entries limit the lines they write per second, so the counts
+//! under heavy load cover only some of the requests.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use crate::cli::log_line::LogLine;
 
-/// Time of one row, in seconds.
+/// Time covered by one row, in seconds.
 const BUCKET_S: f64 = 2.0;
-/// Replicas and models that are listed, those with most late requests first.
+/// Maximum number of replicas and of models listed, those with the most late requests first.
 const MAX_LISTED: usize = 15;
 
-/// What became of some requests.
+/// Outcomes of a group of requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct RequestCount {
     total: u32,
@@ -22,7 +22,7 @@
     late_gap: u32,
     late_end: u32,
     refused: u32,
-    /// It may have run, or was broken off.
+    /// Outcome unknown, or response cut off.
     lost: u32,
     client_left: u32,
     waited_ms: f64,
@@ -72,13 +72,14 @@
 fn table(title: &str, rows: impl Iterator<Item = (String, RequestCount)>) -> String {
     let mut text = format!("{title:<24}{HEADINGS}\n");
     for (name, count) in rows {
-        // Writing to a string cannot fail.
+        // Writing to a string does not fail.
         let _ = writeln!(text, "{}", count.row(&name));
     }
     text
 }
 
-/// The rows with most late requests, and among these with most requests, first.
+/// Returns the `MAX_LISTED` rows with the most late requests; ties go to the row with more
+/// requests.
 fn most_late(
     counts: BTreeMap<String, RequestCount>,
 ) -> impl Iterator<Item = (String, RequestCount)> {
@@ -87,7 +88,7 @@
     rows.into_iter().take(MAX_LISTED)
 }
 
-/// The tables of the requests that the lines tell of; none where they tell of none.
+/// Returns the tables of all requests in the lines; `None` if no line records a request.
 pub fn daily_summary<'a>(lines: impl Iterator<Item = &'a str>) -> Option<String> {
     let lines = lines.filter_map(LogLine::parse);
     let mut requests: Vec<LogLine> = lines.filter(|line| line.message == "request").collect();
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,16 +1,16 @@
-//! Tells the story of one request from the logs of all processes.
+//! Reconstructs the timeline of one request from the logs of all processes.
 //!
-//! Pure: log lines in, text out. A request's own lines come with what was logged
-//! of the replicas it went to, and of the configuration and leadership, around it.
+//! Pure: log lines in, text out. The lines of the request are shown together with the lines
+//! near it about its replicas and models, and about configuration and leadership.
 
 use std::collections::BTreeSet;
 
 use crate::cli::log_line::LogLine;
 
-/// How long before and after a request other lines belong to its story, in seconds.
+/// Time before and after a request from which other lines are shown, in seconds.
 const CONTEXT_S: f64 = 5.0;
 
-/// The lines that explain a request, oldest first; none where no line names it.
+/// Returns the lines that explain a request, oldest first. Empty if no line names the request.
 pub fn explain<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Vec<String> {
     let lines: Vec<LogLine> = lines.filter_map(LogLine::parse).collect();
     let own = |line: &&LogLine| line.field("request") == Some(id);
@@ -34,7 +34,7 @@
         .collect();
     let contents = named("content");
     let belongs = |line: &LogLine| {
-        // The ends behind a refusal, however long ago they were.
+        // Crash reports that list this content, of any age: they are why it was refused.
         let ended = line.field("contents").is_some_and(|list| {
             let mut listed = list.split(',');
             listed.any(|content| contents.contains(content))
--- a/src/cli/explain_target.rs
+++ b/src/cli/explain_target.rs
@@ -1,9 +1,9 @@
-//! Tells the story of one target's orders from the logs of all processes and the record
-//! of what arrived at the target.
+//! Reconstructs the timeline of the orders to one target from the logs of all processes,
+//! including the orders logged on arrival at the target.
 //!
-//! Pure: log lines in, text out. The changes of leadership around stand among the orders.
-//! After them come findings, computed from arrivals; where nobody recorded these, from
-//! what the hosts say they sent.
+//! Pure: log lines in, text out. The timeline shows the orders and the changes of leadership
+//! around them, then the findings. Findings are computed from the arrivals, or from the
+//! `order sent` lines of the hosts if no arrivals were logged.
 
 use std::fmt;
 
@@ -11,38 +11,38 @@
 use crate::cli::order_audit::{self, ObservedOrder, TargetFinding};
 use crate::ids::ReplicaId;
 
-/// How long before and after a target's orders leadership belongs to their story, in seconds.
+/// Time before and after a target's orders from which changes of leadership are shown, in seconds.
 const CONTEXT_S: f64 = 5.0;
 const ARRIVED: &str = "order arrived";
 const SENT: &str = "order sent";
 
-/// What the findings rest on.
+/// Log lines from which the findings are computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvidenceSource {
-    /// The record of arrivals at the target.
+    /// Orders logged on arrival at the target.
     Arrivals,
-    /// What the hosts say they sent: how orders travelled is not seen.
+    /// Orders logged by their senders: transit times are unknown.
     Sent,
-    /// Neither was logged: nothing is judged.
+    /// Neither was logged: no order is checked.
     Missing,
 }
 
-/// The story of one target's orders.
+/// Timeline of the orders to one target.
 #[derive(Clone, Debug)]
 pub struct TargetTimeline {
-    /// The target.
+    /// Target that the orders are for.
     pub target: ReplicaId,
-    /// The lines that tell it, oldest first.
+    /// Log lines, oldest first.
     pub lines: Vec<String>,
-    /// What the findings rest on.
+    /// Log lines from which the findings are computed.
     pub source: EvidenceSource,
-    /// Orders that were judged.
+    /// Number of orders checked.
     pub checked: usize,
-    /// Orders that name no sender or no fence, and are judged by the rest or not at all.
+    /// Number of orders without sender or fence. Checks that need the missing value skip them.
     pub incomplete: usize,
-    /// How long an order holds off those of others.
+    /// Time after an order during which no other sender may send one, in milliseconds.
     pub lease_ms: u64,
-    /// What should not have been, oldest first.
+    /// Violations, oldest first.
     pub findings: Vec<TargetFinding>,
 }
 
@@ -61,23 +61,23 @@
         match self.source {
             EvidenceSource::Arrivals => writeln!(
                 f,
-                "judged by {checked} arrivals at {target}, lease {lease_ms} ms"
+                "checked {checked} arrivals at {target}, lease {lease_ms} ms"
             )?,
             EvidenceSource::Sent => writeln!(
                 f,
-                "no arrivals at {target} were recorded: judged by {checked} lines `{SENT}`, \
-                 on the clocks of their hosts, lease {lease_ms} ms; what came late is not seen"
+                "no arrivals at {target} were logged: checked {checked} lines `{SENT}` by the \
+                 clocks of their hosts, lease {lease_ms} ms; late arrivals are not visible"
             )?,
             EvidenceSource::Missing => writeln!(
                 f,
-                "neither arrivals at {target} nor lines `{SENT}`: nothing is judged"
+                "neither arrivals at {target} nor lines `{SENT}` were logged: no order checked"
             )?,
         }
         if self.incomplete > 0 {
             let incomplete = self.incomplete;
             writeln!(
                 f,
-                "not judged in full, sender or fence missing: {incomplete}"
+                "not fully checked, sender or fence missing: {incomplete}"
             )?;
         }
         for finding in &self.findings {
@@ -92,7 +92,7 @@
     }
 }
 
-/// The story of a target's orders; none where no line tells of one.
+/// Returns the timeline of a target's orders; `None` if no line is about an order to it.
 pub fn explain_target<'a>(
     target: &ReplicaId,
     lease_ms: u64,
@@ -131,7 +131,8 @@
     matches!(line.message.as_str(), "leads" | "leads no more")
 }
 
-/// The orders to judge: as they arrived, else as they were sent.
+/// Returns the orders to check: those that arrived, or those that were sent if no arrivals were
+/// logged.
 fn orders(own: &[&LogLine]) -> (EvidenceSource, Vec<ObservedOrder>) {
     let with = |message: &'static str| own.iter().filter(move |line| line.message == message);
     let arrived: Vec<ObservedOrder> = with(ARRIVED).map(|l| ObservedOrder::arrived(l)).collect();
--- a/src/cli/log_line.rs
+++ b/src/cli/log_line.rs
@@ -1,27 +1,26 @@
-//! Reads the JSON lines that all processes write.
+//! Parser for the JSON log lines that all processes write.
 
 use serde_json::{Map, Value};
 
-/// Days from the first of March of the year 0 to 1970.
+/// Days from 0000-03-01 to 1970-01-01.
 const DAYS_TO_UNIX_EPOCH: i64 = 719_468;
 
 /// One JSON log line.
 #[derive(Clone, Debug)]
 pub(super) struct LogLine {
-    /// The time, as it was written.
+    /// Timestamp as logged.
     pub(super) at: String,
-    /// Seconds since 1970.
+    /// Timestamp in seconds since 1970.
     pub(super) at_s: f64,
-    /// The host that wrote it; `?` where the line does not tell.
+    /// Host that wrote the line; `?` if the line has no host.
     pub(super) host: String,
-    /// What it is about.
     pub(super) message: String,
-    /// What it tells besides.
+    /// All other fields.
     pub(super) fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line; text before the JSON is passed over, and so is what is no log line.
+    /// Parses a line, skipping text before the JSON. Returns `None` if it is not a log line.
     pub(super) fn parse(text: &str) -> Option<Self> {
         let json = &text[text.find('{')?..];
         let value: Value = serde_json::from_str(json).ok()?;
@@ -39,18 +38,18 @@
         })
     }
 
-    /// A field that holds text.
+    /// Returns a field that holds a string.
     pub(super) fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 
-    /// A field that holds a number; 0 where there is none.
+    /// Returns a field that holds a number, or 0 if it is missing.
     pub(super) fn number(&self, name: &str) -> f64 {
         let value = self.fields.get(name).and_then(Value::as_f64);
         value.unwrap_or(0.0)
     }
 
-    /// A field that holds a whole number, bare or as text.
+    /// Returns a field that holds an integer, as a number or as a string.
     pub(super) fn integer(&self, name: &str) -> Option<u64> {
         match self.fields.get(name)? {
             Value::String(text) => text.parse().ok(),
@@ -58,7 +57,7 @@
         }
     }
 
-    /// The line as people read it.
+    /// Formats the line for operators.
     pub(super) fn render(&self) -> String {
         let fields = self.fields.iter();
         let shown = fields.map(|(name, value)| match value.as_str() {
@@ -76,7 +75,7 @@
     }
 }
 
-/// Seconds since 1970 of an RFC 3339 time in UTC.
+/// Converts an RFC 3339 time in UTC to seconds since 1970.
 fn seconds(at: &str) -> Option<f64> {
     let (date, clock) = at.split_once('T')?;
     let clock = clock.strip_suffix('Z').or(clock.strip_suffix("+00:00"))?;
@@ -85,7 +84,8 @@
     Some(days(date)? as f64 * 86_400.0 + hours * 3600.0 + minutes * 60.0 + rest)
 }
 
-/// Days since 1970 of a date. Years begin in March here, so that a leap day ends one.
+/// Converts a date to days since 1970. Counts years from March, so that a leap day is the last
+/// day of its year.
 fn days(date: &str) -> Option<i64> {
     let mut parts = date.split('-').map(|part| part.parse::<i64>().ok());
     let (year, month, day) = (parts.next()??, parts.next()??, parts.next()??);
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,5 +1,5 @@
-//! The `dunlinspring` program: operators' commands, `explain`, the load tool and the demo
-//! site. May use every other folder.
+//! The `dunlinspring` program: operators' commands, `explain`, the load generator and the demo
+//! site. May use every other module.
 
 pub mod accounts;
 pub mod commands;
--- a/src/cli/order_audit.rs
+++ b/src/cli/order_audit.rs
@@ -1,4 +1,4 @@
-//! Judges the orders that were seen at one target: whether one leader at a time sent them.
+//! Checks whether the orders to one target were sent by one leader at a time.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,23 +6,23 @@
 use crate::cli::log_line::LogLine;
 use crate::ids::Term;
 
-/// One order, seen where it arrived or where it was sent.
+/// One order, as logged where it arrived or where it was sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservedOrder {
-    /// The time, as it was written.
+    /// Timestamp as logged.
     pub at: String,
-    /// Seconds since 1970.
+    /// Timestamp in seconds since 1970.
     pub at_s: f64,
-    /// The host that it came from.
+    /// Host that sent the order.
     pub from: Option<String>,
-    /// The name that it was sent in.
+    /// Name of the sender as given in the order.
     pub holder: Option<String>,
-    /// The term of the leader that sent it.
+    /// Fence of the order: the term of the leader that sent it.
     pub fence: Option<Term>,
 }
 
 impl ObservedOrder {
-    /// Reads a line of the record of arrivals.
+    /// Reads an `order arrived` line.
     pub(super) fn arrived(line: &LogLine) -> Self {
         Self {
             at: line.at.clone(),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Reads the line of an order that was sent; its number begins with the term.
+    /// Reads an `order sent` line. The id of the order begins with the term.
     pub(super) fn sent(line: &LogLine) -> Self {
         let order = line.field("order").and_then(|order| order.split_once('-'));
         let term = order.and_then(|(term, _)| term.parse().ok());
@@ -46,7 +46,7 @@
         }
     }
 
-    /// It names its sender and its fence.
+    /// Returns whether both the sender and the fence are known.
     pub(super) fn is_complete(&self) -> bool {
         self.sender().is_some() && self.fence.is_some()
     }
@@ -55,7 +55,8 @@
         self.from.as_deref().or(self.holder.as_deref())
     }
 
-    /// Both are known to be of different senders. A host counts before the name it carries.
+    /// Returns whether the two orders are known to have different senders. Hosts are compared if
+    /// both are known, else the holder names.
     fn differs(&self, other: &Self) -> bool {
         match (&self.from, &other.from, &self.holder, &other.holder) {
             (Some(one), Some(two), _, _) => one != two,
@@ -79,25 +80,25 @@
     }
 }
 
-/// How a promise broke.
+/// Rule that a pair of orders violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FindingKind {
-    /// Two senders used one fence.
+    /// Two senders used the same fence.
     SharedFence,
-    /// A lower fence came after a higher one.
+    /// An order had a lower fence than an earlier one.
     FenceRegression,
-    /// Orders of two senders came within a lease.
+    /// Orders of two senders were less than a lease apart.
     LeaseOverlap,
 }
 
-/// Two orders that should not both have been.
+/// Two orders that violate a rule together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetFinding {
-    /// How the promise broke.
+    /// Violated rule.
     pub kind: FindingKind,
-    /// The order that came first.
+    /// Order that came first.
     pub earlier: ObservedOrder,
-    /// The order that breaks it.
+    /// Order that violates the rule.
     pub later: ObservedOrder,
 }
 
@@ -114,7 +115,7 @@
     }
 }
 
-/// What is wrong with orders that stand in the order of their times.
+/// Returns the violations among orders that are sorted by time.
 pub(super) fn find_conflicts(orders: &[ObservedOrder], lease_ms: u64) -> Vec<TargetFinding> {
     let mut findings = Vec::new();
     for (index, later) in orders.iter().enumerate() {
@@ -136,7 +137,8 @@
     findings
 }
 
-/// The first order of another sender with its fence; none where its sender used that before.
+/// Returns the first earlier order of another sender with the fence of `later`. Returns `None` if
+/// the sender of `later` has used that fence before, so that each sender is reported once.
 fn shared_fence<'a>(
     before: &'a [ObservedOrder],
     later: &ObservedOrder,
@@ -151,7 +153,7 @@
     (!known_sender).then_some(other)
 }
 
-/// The last order before it with the highest fence, where that is higher.
+/// Returns the last earlier order with the highest fence, if that fence is above that of `later`.
 fn higher_fence<'a>(
     before: &'a [ObservedOrder],
     later: &ObservedOrder,
@@ -161,7 +163,8 @@
     lower.then_some(highest)
 }
 
-/// The order just before it, where another sender's came less than a lease ago.
+/// Returns the previous order of a known sender, if that sender is another one and the order came
+/// less than a lease before `later`.
 fn lease_overlap<'a>(
     before: &'a [ObservedOrder],
     later: &ObservedOrder,
@@ -177,7 +180,7 @@
     (later.at_s - earlier.at_s) * 1_000.0
 }
 
-/// The host of an address; a port, another for each connection, is no part of it.
+/// Returns the host of an address without the port, which differs for each connection.
 fn host_of(address: &str) -> String {
     match address.parse::<SocketAddr>() {
         Ok(address) => address.ip().to_string(),
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -165,5 +165,5 @@
 fn logs_that_tell_neither_are_not_called_clean() {
     let told = story(LOG);
     assert_eq!(told.source, EvidenceSource::Missing);
-    assert!(told.to_string().ends_with("nothing is judged\n"), "{told}");
+    assert!(told.to_string().ends_with("no order checked\n"), "{told}");
 }
