--- a/src/bin/dunlinspring-agent.rs
+++ b/src/bin/dunlinspring-agent.rs
@@ -1,4 +1,4 @@
-//! The agent daemon: keeps one target.
+//! The agent daemon: manages one target.
 
 use dunlinspring::agent::shell::AgentDaemon;
 use dunlinspring::process::settings::AgentSettings;
--- a/src/bin/dunlinspring-control.rs
+++ b/src/bin/dunlinspring-control.rs
@@ -1,4 +1,4 @@
-//! The control daemon: the replicated log and the leader's duties.
+//! The control daemon: runs a voter of the replicated log and, on the leader, the controllers.
 
 use dunlinspring::control::bootstrap;
 use dunlinspring::control::shell::ControlDaemon;
--- a/src/bin/dunlinspring-standin.rs
+++ b/src/bin/dunlinspring-standin.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform's side as processes of their own.
+//! Stand-ins for an engine or a plain service, each run as a separate process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,7 +24,7 @@
     options.optopt(
         "",
         "service-ms",
-        "be a plain service with calls of this time",
+        "run a plain service; each call takes this time",
         "MS",
     );
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -57,7 +57,7 @@
             }
             Err(error) => arguments::fail(PROGRAM, format!("--service-ms: {error}")),
         },
-        (None, None) => arguments::fail(PROGRAM, "--traits or --service-ms is needed"),
+        (None, None) => arguments::fail(PROGRAM, "--traits or --service-ms is missing"),
     };
     match address {
         Ok(address) => daemon::announce(announce.as_deref(), &[("listen", address)]),
--- a/src/bin/dunlinspring.rs
+++ b/src/bin/dunlinspring.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, the demo and the load tool.
+//! The operators' command line, including the demo and the load generator.
 
 use dunlinspring::cli::{accounts, commands, contents, halls};
 use dunlinspring::process::arguments;
@@ -27,7 +27,7 @@
             println!("{}", commands::USAGE);
             Ok(0)
         }
-        Some(other) => Err(format!("no command '{other}'\n{}", commands::USAGE)),
+        Some(other) => Err(format!("unknown command '{other}'\n{}", commands::USAGE)),
         None => Err(commands::USAGE.to_owned()),
     };
     match ended {
--- a/src/cli/accounts.rs
+++ b/src/cli/accounts.rs
@@ -1,14 +1,14 @@
-//! The `accounts` command: limits of client accounts, and what is drawn of them.
+//! The `accounts` command: limits and usage of client accounts.
 
 use crate::cli::{commands, control};
 use crate::process::wire::{AccountStatus, ControlWireClient};
 use crate::table::accounts::QuotaUnit;
 
-/// `accounts`: asks a control host for what the leader knows.
+/// `accounts`: prints the accounts as the leader knows them.
 pub async fn accounts(args: &[String]) -> Result<i32, String> {
     let matches = commands::parse(&control::options(), args)?;
     if let Some(word) = matches.free.first() {
-        return Err(format!("accounts: '{word}' is not an option"));
+        return Err(format!("accounts: unexpected argument '{word}'"));
     }
     let link = control::link(&matches)?;
     let call = |client: ControlWireClient, context| async move { client.accounts(context).await };
@@ -23,7 +23,7 @@
     Ok(0)
 }
 
-/// A line an account.
+/// Formats one line per account.
 pub fn table(accounts: &[AccountStatus]) -> String {
     let mut text = format!(
         "{:<24} {:>4} {:>4} {:>10} {:>12} {:>12} {:>10} {:>10} {:>10} {:>7} {}\n",
--- a/src/cli/commands.rs
+++ b/src/cli/commands.rs
@@ -1,5 +1,5 @@
-//! The subcommands of the `dunlinspring` program. Each returns the exit status,
-//! or why its command line is not usable.
+//! Subcommands of the `dunlinspring` program. Each returns the exit status, or an error that says
+//! why it could not run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::IsTerminal;
@@ -18,46 +18,46 @@
     self, AgentSettings, ControlSettings, EntrySettings, ValidatedSettings,
 };
 
-/// The commands.
+/// Help text.
 pub const USAGE: &str = "\
 Usage: dunlinspring COMMAND [OPTIONS]
 
-  table get [--csv]                  read the table back
+  table get [--csv]                  print the table
   table put ID --version N FILE      create (version 0) or replace a row
   table delete ID --version N        remove a row
   status                             control hosts and this entry
   accounts --control IP:PORT --secret-file FILE [--json]
-                                     limits of client accounts, and what is drawn
+                                     limits and usage of client accounts
   contents --control IP:PORT --secret-file FILE [--json]
-                                     contents under which replicas ended
+                                     contents whose requests crashed replicas
   contents lift DIGEST --control IP:PORT --secret-file FILE
-                                     let a barred one be tried again
+                                     allow a barred content to be sent again
   halls --control IP:PORT --secret-file FILE [--json]
                                      data halls, and which are evacuated
   halls evacuate NAME --control IP:PORT --secret-file FILE
   halls restore NAME --control IP:PORT --secret-file FILE
-                                     send nothing there, or again
-  explain ID FILE...                 a request's story, from the logs of all processes
-  explain --day FILE...              when and where requests were late, refused or lost
+                                     stop or resume sending requests to a data hall
+  explain ID FILE...                 timeline of a request, from the logs of all processes
+  explain --day FILE...              counts of late, refused and lost requests
   explain --target ID [--lease-ms N] FILE...
-                                     who ordered a target, and who should not have
+                                     orders to a target, and rules they violate
   check --role ROLE FILE             check settings: control, entry, agent, load
   demo [--seconds N] [--seed N] [--json] [--serve]
-                                     a whole small site in this process
+                                     run a small complete site in one process
   load --mix FILE [--seconds N] [--seed N] [--json] [--check-standin]
-                                     send a mix of requests, check the answers
+                                     send a mix of requests, check the responses
 
 table, status and load take --entry IP:PORT, and table and status --key-file FILE.";
 
-/// Longest answer read, in bytes.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
-/// How long an order holds off those of others, where the command line does not tell.
+/// Default of `--lease-ms`: time after an order during which no other sender may send one.
 const DEFAULT_LEASE_MS: u64 = 3_000;
 const EXPLAIN_USAGE: &str =
     "explain ID FILE..., explain --day FILE..., or explain --target ID FILE...";
 
-/// `explain`: prints the story of one request or of one target, or the tables of all.
+/// `explain`: prints the timeline of one request or of one target, or the tables of all requests.
 pub fn explain(args: &[String]) -> CommandResult {
     if args.iter().any(|arg| is_target_option(arg)) {
         return explain_target(args);
@@ -68,7 +68,7 @@
     let text = read_logs(files)?;
     if id == "--day" {
         let tables = crate::cli::daily_summary::daily_summary(text.lines());
-        println!("{}", tables.ok_or("no line tells of a request")?);
+        println!("{}", tables.ok_or("no line records a request")?);
         return Ok(0);
     }
     let timeline = crate::cli::explain::explain(id, text.lines());
@@ -86,15 +86,15 @@
     matches!(name, "--target" | "--lease-ms")
 }
 
-/// Prints the story of one target's orders; status 1 where there are findings.
+/// Prints the timeline of one target's orders. The exit status is 1 if there are findings.
 fn explain_target(args: &[String]) -> CommandResult {
     let mut options = Options::new();
     options.reqopt("", "target", "a target's id", "ID");
-    options.optopt("", "lease-ms", "how long an order holds off others", "N");
+    options.optopt("", "lease-ms", "time between orders of two senders", "N");
     let matches = parse(&options, args)?;
     let target = matches.opt_str("target").unwrap_or_default();
     let lease_ms = match number(&matches, "lease-ms", DEFAULT_LEASE_MS)? {
-        0 => return Err("--lease-ms: 0 is no lease".to_owned()),
+        0 => return Err("--lease-ms must be at least 1".to_owned()),
         lease_ms => lease_ms,
     };
     let files = &matches.free;
@@ -106,14 +106,14 @@
     let timeline = explain_target::explain_target(&target, lease_ms, text.lines());
     let no_order = || {
         let files = files.join(", ");
-        format!("--target: no line of {files} tells of an order of '{target}'")
+        format!("--target: no line of {files} is about an order to '{target}'")
     };
     let timeline = timeline.ok_or_else(no_order)?;
     print!("{timeline}");
     Ok(i32::from(!timeline.findings.is_empty()))
 }
 
-/// The lines of all files, one file after the other.
+/// Reads all files and concatenates their lines.
 fn read_logs(files: &[String]) -> Result<String, String> {
     let mut text = String::new();
     for file in files {
@@ -167,7 +167,7 @@
         format!("{}{path}", self.base)
     }
 
-    /// Prints the answer; status 1 where it is a refusal.
+    /// Sends a request and prints the response. The exit status is 1 if the response is an error.
     async fn show(&self, call: ClientRequest, body: Option<String>) -> CommandResult {
         let call = call.bearer_auth(&self.key);
         let sent = match body {
@@ -192,7 +192,12 @@
     let mut options = entry_options();
     options.optflag("", "csv", "as comma-separated values");
     options.optopt("v", "version", "the row's version, 0 for a new row", "N");
-    options.optopt("i", "edit-id", "the edit's id, the same for a resend", "ID");
+    options.optopt(
+        "i",
+        "edit-id",
+        "the edit's id; a resend must repeat it",
+        "ID",
+    );
     let matches = parse(&options, args)?;
     let call = EntryClient::new(&matches).await?;
     let words: Vec<&str> = matches.free.iter().map(String::as_str).collect();
@@ -222,7 +227,7 @@
 }
 
 fn edit_headers(call: ClientRequest, matches: &Matches) -> Result<ClientRequest, String> {
-    let version = matches.opt_str("version").ok_or("--version is needed")?;
+    let version = matches.opt_str("version").ok_or("--version is missing")?;
     let fresh = || format!("{:032x}", rand::random::<u128>());
     let id = matches.opt_str("edit-id").unwrap_or_else(fresh);
     eprintln!("edit id {id}");
@@ -266,15 +271,15 @@
 /// `load`.
 pub async fn load(args: &[String]) -> CommandResult {
     let mut options = Options::new();
-    options.reqopt("e", "entry", "entries, with commas between", "IP:PORT");
-    options.reqopt("m", "mix", "the mix, JSON with comments", "FILE");
-    options.optopt("", "seconds", "for how long", "N");
+    options.reqopt("e", "entry", "entries, separated by commas", "IP:PORT");
+    options.reqopt("m", "mix", "request mix, JSON with comments", "FILE");
+    options.optopt("", "seconds", "duration of the run", "N");
     options.optopt("", "seed", "seed of arrivals", "N");
     options.optflag("", "json", "as JSON");
     options.optflag(
         "",
         "check-standin",
-        "compare texts with the stand-in engine's",
+        "compare texts with those of the stand-in",
     );
     let matches = parse(&options, args)?;
     let path = matches.opt_str("mix").unwrap_or_default();
@@ -301,10 +306,10 @@
 /// `demo`.
 pub async fn demo(args: &[String]) -> CommandResult {
     let mut options = Options::new();
-    options.optopt("", "seconds", "for how long requests are sent", "N");
+    options.optopt("", "seconds", "time during which requests are sent", "N");
     options.optopt("", "seed", "seed of arrivals", "N");
     options.optflag("", "json", "as JSON");
-    options.optflag("", "serve", "stay up and print addresses");
+    options.optflag("", "serve", "print addresses and run until stopped");
     let matches = parse(&options, args)?;
     let seconds: f64 = number(&matches, "seconds", 10.0)?;
     let seed = number(&matches, "seed", 1)?;
@@ -365,10 +370,10 @@
         eprint!("\r{second} of {seconds} s ");
         tokio::time::sleep(PROGRESS_INTERVAL).await;
     }
-    eprintln!("\rwaiting for the last answers");
+    eprintln!("\rwaiting for the last responses");
 }
 
-/// Both partners edit rows of their own while requests run.
+/// Edits each row as its partner while requests run. Returns the number of edits accepted.
 async fn edit_rows(site: &DemoSite, seconds: f64) -> usize {
     let Some(table) = site.table().await else {
         return 0;
@@ -390,7 +395,7 @@
     edits
 }
 
-/// Compares what callers were told with what the targets recorded.
+/// Compares the outcomes reported to callers with the records of the targets.
 pub fn find_violations(site: &DemoSite, report: &LoadReport) -> Vec<String> {
     let mut violations = report.violations.clone();
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
@@ -412,8 +417,8 @@
     for request in &report.records {
         let count = runs.get(&request.prompt).copied().unwrap_or(0);
         let violation = match request.outcome.as_str() {
-            "not-run" if count > 0 => Some("told not run, but it ran"),
-            "done" if count == 0 => Some("told done, but no target ran it"),
+            "not-run" if count > 0 => Some("reported as not run, but ran"),
+            "done" if count == 0 => Some("reported as done, but no target ran it"),
             _ if once.contains(request.class.as_str()) && count > 1 => Some("ran more than once"),
             _ => None,
         };
@@ -446,11 +451,11 @@
         return;
     }
     print!("{}", report.text());
-    println!("edits accepted meanwhile: {edits}; one engine was killed");
-    println!("done within patience, per accelerator: {per_accelerator:.1}");
+    println!("edits accepted during the run: {edits}; one engine was killed");
+    println!("done before their deadlines, per accelerator: {per_accelerator:.1}");
     println!("moves: {moves}");
     match violations {
-        [] => println!("every answer agrees with what the targets recorded"),
+        [] => println!("every response agrees with the records of the targets"),
         lines => lines.iter().for_each(|line| println!("broken: {line}")),
     }
 }
--- a/src/cli/contents.rs
+++ b/src/cli/contents.rs
@@ -1,4 +1,5 @@
-//! The `contents` command: contents under which replicas ended, and the lifting of a bar.
+//! The `contents` command: lists contents whose requests crashed replicas, and lifts the
+//! quarantine of a content.
 
 use crate::cli::{commands, control};
 use crate::consensus::crashes::{ContentRecord, ContentStanding, CrashStore};
@@ -7,14 +8,14 @@
 use crate::process::peers::ControlLink;
 use crate::process::wire::ControlWireClient;
 
-/// `contents` and `contents lift DIGEST`: asks a control host for what the log holds.
+/// `contents` and `contents lift DIGEST`: reads or changes the crash records of the log.
 pub async fn contents(args: &[String]) -> Result<i32, String> {
     let matches = commands::parse(&control::options(), args)?;
     let link = control::link(&matches)?;
     match matches.free.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         [] => list(&link, matches.opt_present("json")).await,
         ["lift", digest] => lift(&link, digest).await,
-        _ => Err("contents takes nothing, or lift DIGEST".to_owned()),
+        _ => Err("contents takes no argument, or lift DIGEST".to_owned()),
     }
 }
 
@@ -43,14 +44,14 @@
         .await;
     match reply.map_err(|error| error.to_string())? {
         (_, Reply::Lifted(true)) => {
-            println!("{digest} may be tried again; one more crash bars it");
+            println!("{digest} may be sent again; one more crash bars it");
             Ok(0)
         }
         _ => Err(format!("lift: {digest} is not barred")),
     }
 }
 
-/// One content, as operators read it.
+/// Row of the `contents` table.
 #[derive(serde::Serialize)]
 struct ContentRow {
     content: String,
@@ -77,7 +78,7 @@
     }
 }
 
-/// The contents, those with the most crashes first.
+/// Returns the contents, those with the most crashes first.
 fn rows(store: &CrashStore) -> Vec<ContentRow> {
     let records = store.records().iter();
     let mut rows: Vec<ContentRow> = records
@@ -87,10 +88,10 @@
     rows
 }
 
-/// A line a content.
+/// Formats one line per content.
 pub fn table(store: &CrashStore) -> String {
     let mut text = format!(
-        "{:<32} {:<8} {:>14} replicas that ended under it\n",
+        "{:<32} {:<8} {:>14} replicas that crashed while running it\n",
         "content", "state", "last, ms"
     );
     for row in rows(store) {
--- a/src/cli/control.rs
+++ b/src/cli/control.rs
@@ -1,4 +1,4 @@
-//! What commands have in common that ask the leader through a control host.
+//! Options and connection shared by the commands that query the leader through a control host.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
 use crate::process::peers::ControlLink;
 use crate::process::settings;
 
-/// Time in which a leader must be found.
+/// Time limit of a call to the leader, over all attempts.
 pub(super) const LEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The options of such a command.
+/// Returns the options shared by these commands.
 pub(super) fn options() -> Options {
     let mut options = Options::new();
     options.reqopt("c", "control", "a control host", "IP:PORT");
     options.reqopt("s", "secret-file", "file with the site's secret", "FILE");
-    options.optflag("j", "json", "as JSON");
+    options.optflag("j", "json", "print JSON");
     options
 }
 
-/// The way to the leader.
+/// Creates a link to the control host named by the options.
 pub(super) fn link(matches: &Matches) -> Result<ControlLink, String> {
     let file = matches.opt_str("secret-file").unwrap_or_default();
     let secret = settings::load_secret(file.as_ref()).map_err(|error| error.to_string())?;
@@ -28,7 +28,7 @@
     Ok(ControlLink::new(secret, vec![control]))
 }
 
-/// A value as JSON.
+/// Formats a value as indented JSON.
 pub(super) fn json(value: &impl Serialize) -> Result<String, String> {
     serde_json::to_string_pretty(value).map_err(|error| error.to_string())
 }
--- a/src/cli/halls.rs
+++ b/src/cli/halls.rs
@@ -1,4 +1,4 @@
-//! The `halls` command: data halls, and whether their replicas may get requests.
+//! The `halls` command: lists data halls, and stops or resumes requests to their replicas.
 
 use std::collections::BTreeMap;
 
@@ -17,24 +17,24 @@
         [] => list(&link, matches.opt_present("json")).await,
         ["evacuate", name] => propose(&link, name, Command::Evacuate(name.into())).await,
         ["restore", name] => propose(&link, name, Command::Restore(name.into())).await,
-        _ => Err("halls takes nothing, evacuate NAME, or restore NAME".to_owned()),
+        _ => Err("halls takes no argument, evacuate NAME, or restore NAME".to_owned()),
     }
 }
 
-/// One data hall, as operators read it.
+/// Row of the `halls` table.
 #[derive(Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct HallRow {
-    /// Nothing is sent to its replicas.
+    /// Whether the hall is evacuated: no requests are sent to its replicas.
     pub evacuated: bool,
-    /// Replicas that registered themselves there.
+    /// Number of replicas registered in the hall.
     pub replicas: usize,
-    /// Those of them that warm up.
+    /// Number of those replicas that are warming up.
     pub cold: usize,
-    /// Members there: entries and agents.
+    /// Number of members in the hall: entries and agents.
     pub members: usize,
 }
 
-/// The data halls that anything tells of.
+/// Returns all data halls that have replicas or members, or are evacuated.
 pub fn rows(view: &SiteView) -> BTreeMap<HallName, HallRow> {
     let mut rows: BTreeMap<HallName, HallRow> = BTreeMap::new();
     for record in view.replicas.values() {
@@ -51,7 +51,7 @@
     rows
 }
 
-/// A line a data hall.
+/// Formats one line per data hall.
 pub fn table(rows: &BTreeMap<HallName, HallRow>) -> String {
     let mut text = format!(
         "{:<24} {:<10} {:>8} {:>6} {:>8}\n",
@@ -95,9 +95,7 @@
     if !rows.contains_key(&HallName::from(name)) {
         let known: Vec<&str> = rows.keys().map(HallName::as_str).collect();
         let known = known.join(", ");
-        return Err(format!(
-            "halls: there is no data hall '{name}'; there are {known}"
-        ));
+        return Err(format!("halls: unknown data hall '{name}'; known: {known}"));
     }
     let call = |client: ControlWireClient, context| {
         let command = command.clone();
@@ -107,6 +105,6 @@
         .call_leader("halls", control::LEADER_TIMEOUT, call)
         .await;
     reply.map_err(|error| error.to_string())?;
-    println!("{name}: taken");
+    println!("{name}: accepted");
     Ok(0)
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -48,7 +48,7 @@
     let log = folder.path().join("log");
     std::fs::write(&log, "no log line\n").unwrap();
     let log = log.to_str().unwrap();
-    let no_order = format!("--target: no line of {log} tells of an order of 'r9'");
+    let no_order = format!("--target: no line of {log} is about an order to 'r9'");
     let cases: [(&[&str], &str); 7] = [
         (&["--target", "r9", log], &no_order),
         (&["--target", "r9"], "explain --target r9: no FILE to read"),
@@ -61,7 +61,7 @@
         ),
         (
             &["--target", "r9", "--lease-ms=0", log],
-            "--lease-ms: 0 is no lease",
+            "--lease-ms must be at least 1",
         ),
     ];
     for (args, told) in cases {
