--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -1,4 +1,4 @@
-//! A whole small site in one process over loopback: for the demo and for measuring.
+//! Small complete site in one process over loopback, for the demo and for benchmarks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,40 +31,40 @@
 
 const HALLS: [&str; 3] = ["north", "south", "east"];
 const SECRET: &str = "the-secret-of-a-demo-site";
-/// Loopback, with the port chosen by the system.
+/// Loopback address with a port chosen by the system.
 const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 const TARGET_MIB: u64 = 16_000;
 const KV_FLOOR_MIB: u64 = 4_000;
 const BASE_MIB: u64 = 5_500;
 const ADAPTER_MIB: u64 = 200;
-/// The service's target.
+/// Target of the plain service.
 const SERVICE_TARGET: &str = "seals";
-/// Longest wait for a site to get ready.
+/// Maximum time for a site to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The partners' example keys: callers', then operators'.
+/// Partners with their caller and operator keys.
 pub const KEYS: [(&str, &str, &str); 2] = [
     ("fiji", "fiji-caller-key", "fiji-operator-key"),
     ("heredia", "heredia-caller-key", "heredia-operator-key"),
 ];
 
-/// What varies between small sites.
+/// Parameters of a demo site.
 #[derive(Clone, Debug)]
 pub struct DemoConfig {
-    /// Engine targets.
+    /// Number of engine targets.
     pub targets: usize,
-    /// Base models.
+    /// Number of base models.
     pub models: usize,
-    /// Adapters, each on the base model of its number.
+    /// Number of adapters. Adapter `n` belongs to base model `n`.
     pub adapters: usize,
-    /// The engines.
+    /// Traits of all engines.
     pub engine: EngineTraits,
-    /// Routing and retries.
+    /// Routing and retry settings.
     pub route: RouteSettings,
-    /// Queues.
+    /// Queue settings.
     pub queue: QueueSettings,
-    /// Leases and placement.
+    /// Lease and placement settings.
     pub duties: ControllerSettings,
 }
 
@@ -91,11 +91,11 @@
     }
 }
 
-/// A running small site.
+/// Running demo site.
 pub struct DemoSite {
-    /// The entries' addresses.
+    /// Addresses of the entries.
     pub entries: Vec<SocketAddr>,
-    /// The shape it was made with.
+    /// Parameters of the site.
     pub config: DemoConfig,
     folder: PathBuf,
     controls: Vec<ControlDaemon>,
@@ -106,7 +106,7 @@
     platform: PlatformStandin,
 }
 
-/// One kind of request that the partners make.
+/// Kind of request that a partner sends.
 struct DemoKind {
     partner: usize,
     class: &'static str,
@@ -141,10 +141,10 @@
     }
 }
 
-/// Base models that the kinds name, from the first on.
+/// Number of base models that the kinds use, `m0` to `m5`.
 const KIND_MODELS: usize = 6;
 
-/// The nine kinds of the two partners.
+/// Request kinds of the two partners.
 const KINDS: [DemoKind; 9] = [
     kind(0, "filing-review", "m0", Urgency::Standard, 60, 3_000, 30.0),
     kind(0, "batch-review", "m1", Urgency::Batch, 80, 20_000, 20.0),
@@ -201,7 +201,7 @@
     },
 ];
 
-/// The mix of the nine kinds, each with its usual rate times `factor`.
+/// Returns the mix of all kinds, each at its base rate times `factor`.
 pub fn mix(factor: f64) -> LoadMix {
     let classes = KINDS.iter().map(|kind| {
         let service = kind.tokens == 0;
@@ -297,8 +297,8 @@
 }
 
 impl DemoSite {
-    /// Starts everything; returns once both partners' rows are in force and
-    /// every model has a home.
+    /// Starts all processes of the site. Returns once the rows of both partners are in force on
+    /// all members and the model of every row has a home.
     pub async fn start(config: DemoConfig) -> Result<Self, DaemonError> {
         let name = format!(
             "dunlinspring-{}-{:x}",
@@ -417,7 +417,7 @@
             self.put_row(kind.partner, kind.class, 0, &json!(fields))
                 .await?;
         }
-        // More models than the kinds need, as the partners have.
+        // Rows for more models than the kinds use, as the tables of the partners have.
         for number in KIND_MODELS..self.config.models {
             let fields = json!({
                 "model": format!("m{number}"), "class": format!("spare-{number}"),
@@ -430,7 +430,7 @@
         self.wait_ready().await
     }
 
-    /// Puts a row by its partner; returns the version, or the refusal as text.
+    /// Puts a row as the given partner. Returns the new version, or the refusal as an error.
     pub async fn put_row(
         &self,
         partner: usize,
@@ -463,7 +463,7 @@
         version.ok_or_else(|| failed(format!("status {status}: {body}")))
     }
 
-    /// The table as its operators read it.
+    /// Returns the table as operators read it.
     pub async fn table(&self) -> Option<Value> {
         let client = Client::new().await;
         let url = format!("http://{}/v1/table", self.entries[0]);
@@ -493,43 +493,43 @@
         let late = |_| DaemonError::Http {
             step: "wait for the homes of",
             url: self.entries[0].to_string(),
-            reason: "not every model has a home in time".to_owned(),
+            reason: "some row has no home or is not in force on all members after 30 s".to_owned(),
         };
         tokio::time::timeout(READY_TIMEOUT, poll)
             .await
             .map_err(late)
     }
 
-    /// Kills an engine: its agent lives on and finds it gone.
+    /// Kills an engine. Its agent keeps running and detects the loss.
     pub async fn kill_engine(&self, name: &str) {
         if let Some(engine) = self.engines.get(name) {
             engine.kill().await;
         }
     }
 
-    /// Has the platform name a host as leaving.
+    /// Makes the platform report a host as leaving.
     pub fn leave(&self, name: &str) {
         self.platform.leave(HostName::from(name));
     }
 
-    /// What each engine recorded.
+    /// Returns the record of each engine.
     pub fn engine_records(&self) -> BTreeMap<String, EngineRecord> {
         let engines = self.engines.iter();
         let records = engines.map(|(name, engine)| (name.clone(), engine.record()));
         records.collect()
     }
 
-    /// What the service recorded.
+    /// Returns the calls that the plain service recorded.
     pub fn service_record(&self) -> Vec<ServiceRecord> {
         self.service.record()
     }
 
-    /// Accelerators in use.
+    /// Returns the number of accelerators.
     pub fn accelerators(&self) -> usize {
         self.config.targets
     }
 
-    /// Moves ordered so far.
+    /// Returns the number of placement moves ordered so far.
     pub async fn moves(&self) -> u64 {
         let mut moves = 0;
         for control in &self.controls {
@@ -539,7 +539,7 @@
         moves
     }
 
-    /// Removes the site's files. The process is about to end.
+    /// Removes the files of the site. To be called right before the process exits.
     pub fn clean_up(&self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
--- a/src/cli/load.rs
+++ b/src/cli/load.rs
@@ -1,5 +1,5 @@
-//! The load tool: open-loop arrivals of a mix of request classes, with every
-//! answer checked against what its caller may expect.
+//! Load generator: sends a mix of request classes with open-loop arrivals and checks every
+//! response against the guarantees given to callers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,44 +19,44 @@
 use crate::process::settings::{SettingsError, ValidatedSettings};
 use crate::standin;
 
-/// Most requests in flight; arrivals beyond it are counted as not sent.
+/// Maximum number of requests in flight. Arrivals beyond it are counted as not sent.
 const MAX_IN_FLIGHT: usize = 20_000;
-/// Longest answer read, in bytes.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// Time beyond the last patience that the tool waits for answers.
+/// Time to wait for responses after the longest `patience_ms` of the mix has passed.
 const RESPONSE_GRACE: Duration = Duration::from_secs(5);
-/// Longest recorded time: an hour, in microseconds.
+/// Maximum recorded latency: one hour, in microseconds.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
-/// Connections to the entries.
+/// Maximum number of connections to the entries.
 const MAX_CONNECTIONS: usize = 4096;
 
-/// One class of the mix.
+/// Request class of a mix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadClass {
-    /// The caller's key.
+    /// Key of the caller.
     pub key: String,
-    /// The request class.
+    /// Name of the request class.
     pub class: String,
-    /// Model, adapter or, with `service_path`, plain service.
+    /// Model or adapter; with `service_path`, a plain service.
     pub model: ModelName,
-    /// Requests a second.
+    /// Mean request rate, in requests per second.
     pub rate: f64,
-    /// Pieces asked for.
+    /// Number of output tokens requested.
     #[serde(default)]
     pub tokens: u32,
-    /// How long the caller waits, in milliseconds.
+    /// Deadline for a response, in milliseconds.
     pub patience_ms: u64,
-    /// Send an idempotency key.
+    /// Whether to send an idempotency key.
     #[serde(default)]
     pub at_most_once: bool,
-    /// The path of a plain service's call.
+    /// Path of the call to a plain service.
     #[serde(default)]
     pub service_path: Option<String>,
-    /// Ask for a stream.
+    /// Whether to request a streamed response.
     #[serde(default)]
     pub stream: bool,
-    /// Prompts share one of this many beginnings.
+    /// Number of distinct prompt prefixes. Each prompt begins with one of them.
     #[serde(default = "one")]
     pub prefixes: u32,
 }
@@ -65,23 +65,23 @@
     1
 }
 
-/// A time of the run in which some rates are multiplied.
+/// Phase of the run in which some request rates are multiplied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadPhase {
-    /// From this second of the run on.
+    /// Start of the phase, in seconds since the start of the run.
     pub from_s: f64,
-    /// Factors by class; 1 where a class is not named.
+    /// Factors by class; 1 for a class that is not listed.
     pub factors: BTreeMap<String, f64>,
 }
 
-/// What is sent.
+/// Request mix to send.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadMix {
-    /// The classes.
+    /// Request classes.
     pub classes: Vec<LoadClass>,
-    /// Phases in order of their start.
+    /// Phases, sorted by start. The last one that has started applies.
     #[serde(default)]
     pub phases: Vec<LoadPhase>,
 }
@@ -109,61 +109,61 @@
             {
                 invalid("classes.tokens", "must be at least 1")
             }
-            _ if !sorted => invalid("phases.from_s", "must rise"),
+            _ if !sorted => invalid("phases.from_s", "must be sorted"),
             _ => Ok(()),
         }
     }
 }
 
-/// Reads and checks a mix.
+/// Loads and validates a mix.
 pub fn load_mix(path: &Path) -> Result<LoadMix, SettingsError> {
     crate::process::settings::load(path)
 }
 
-/// How the tool runs.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     /// Entries, as `ip:port`.
     pub entries: Vec<String>,
-    /// What is sent.
+    /// Request mix to send.
     pub mix: LoadMix,
-    /// For how long, in seconds.
+    /// Time during which requests are sent, in seconds.
     pub seconds: f64,
-    /// Seed of arrivals and prompts.
+    /// Random seed of arrivals and prompts.
     pub seed: u64,
-    /// Answers are the stand-in engine's, so that their text can be checked.
+    /// Whether to compare response texts with those of the stand-in engine.
     pub check_standin_text: bool,
 }
 
-/// What one caller asked and was told.
+/// Outcome of one request, as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LoadRecord {
-    /// The class.
+    /// Name of the request class.
     pub class: String,
-    /// The prompt or document: no two are the same.
+    /// Prompt, or body of a service call; unique within a run.
     pub prompt: String,
-    /// `done`, `not-run`, `unknown`, or empty where no answer came.
+    /// `done`, `not-run` or `unknown`; empty if no complete response came.
     pub outcome: String,
-    /// The cause, where there is one.
+    /// Cause of the outcome; may be empty.
     pub cause: String,
 }
 
-/// One class's sums.
+/// Results of one class.
 #[derive(Clone, Debug)]
 pub struct ClassStats {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Done, whole and correct.
+    /// Number of requests with outcome `done`.
     pub done: u64,
-    /// Of these, within patience.
+    /// Number of those completed before their deadline.
     pub within: u64,
-    /// Told not run, by cause.
+    /// Number of requests with outcome `not-run`, by cause.
     pub not_run: BTreeMap<String, u64>,
-    /// Told unknown, by cause.
+    /// Number of requests with outcome `unknown`, by cause.
     pub unknown: BTreeMap<String, u64>,
-    /// No answer.
+    /// Number of requests without a complete response.
     pub lost: u64,
-    /// Times to the end of done answers, in microseconds.
+    /// Time until the end of the response of `done` requests, in microseconds.
     pub latencies_us: Histogram<u64>,
 }
 
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Part of the requests sent that were done within patience.
+    /// Returns the fraction of sent requests that were done before their deadline.
     pub fn attainment(&self) -> f64 {
         match self.sent {
             0 => 1.0,
@@ -189,32 +189,32 @@
         }
     }
 
-    /// A quantile of the times of done answers, in milliseconds.
+    /// Returns a quantile of the latency of `done` requests, in milliseconds.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.latencies_us.value_at_quantile(quantile) as f64 / 1000.0
     }
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Debug, Default)]
 pub struct LoadReport {
-    /// Sums by class.
+    /// Results by class.
     pub classes: BTreeMap<String, ClassStats>,
-    /// Answers that broke a promise.
+    /// Descriptions of responses that violate a guarantee.
     pub violations: Vec<String>,
-    /// Every request.
+    /// Outcomes of all requests.
     pub records: Vec<LoadRecord>,
-    /// Arrivals that were not sent, as too many were in flight.
+    /// Number of arrivals not sent because too many requests were in flight.
     pub unsent: u64,
 }
 
 impl LoadReport {
-    /// Requests done within patience.
+    /// Returns the number of requests done before their deadline, over all classes.
     pub fn within(&self) -> u64 {
         self.classes.values().map(|stats| stats.within).sum()
     }
 
-    /// As a table for people.
+    /// Formats the results as a table.
     pub fn text(&self) -> String {
         let mut text = format!(
             "{:<22} {:>6} {:>6} {:>7} {:>7} {:>5} {:>8} {:>8} {:>8} {:>7}\n",
@@ -248,7 +248,7 @@
         text
     }
 
-    /// As JSON for programs.
+    /// Formats the results as JSON.
     pub fn json(&self) -> serde_json::Value {
         let classes = self.classes.iter().map(|(class, stats)| {
             let value = json!({
@@ -273,7 +273,7 @@
     in_flight: RefCell<usize>,
 }
 
-/// Sends the mix, and waits for the answers. Runs on the current thread.
+/// Sends the mix and waits for the responses. Runs on the current thread.
 pub async fn run(plan: LoadPlan) -> LoadReport {
     let connector = Connector::new().limit(MAX_CONNECTIONS);
     let client = Client::builder()
@@ -317,7 +317,7 @@
     factor.copied().unwrap_or(1.0)
 }
 
-/// Arrivals of one class, at exponential times.
+/// Sends the requests of one class, with exponentially distributed gaps.
 async fn generate_arrivals(state: Rc<LoadState>, class: usize, started: Instant) {
     let plan = &state.plan;
     let spec = &plan.mix.classes[class];
@@ -326,7 +326,7 @@
     let mut number = 0;
     loop {
         let rate = spec.rate * factor_at(&plan.mix, &spec.class, due);
-        // A quiet class looks again for its next phase.
+        // At rate zero, checks every 0.1 s whether a phase has raised the rate.
         let gap = match rate > 0.0 {
             true => -rng.random::<f64>().max(f64::MIN_POSITIVE).ln() / rate,
             false => 0.1,
@@ -401,7 +401,7 @@
     });
 }
 
-/// What is wrong with an answer, if anything is.
+/// Returns how a response violates the guarantees, if it does.
 fn find_violation(
     plan: &LoadPlan,
     spec: &LoadClass,
@@ -503,7 +503,7 @@
 
 fn read_stream(body: &str) -> CallResult {
     let mut result = no_response();
-    // A cut stream has no outcome, so it can't look whole.
+    // A stream that was cut off has no outcome event, so it does not count as done.
     result.retry = true;
     for data in body.lines().filter_map(|line| line.strip_prefix("data: ")) {
         let Ok(event) = serde_json::from_str::<serde_json::Value>(data) else {
