--- a/benches/core.rs
+++ b/benches/core.rs
@@ -1,4 +1,4 @@
-//! Slopes of the core's decisions, each at three or more sizes.
+//! Benchmarks of the decisions of the pure core, each at several sizes to show how its cost grows.
 //!
 //! `cargo bench --bench core`
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// A state with all rows, agents and, after planning, homes.
+/// Returns a state with all rows and agents, and three loads ordered on each target.
 fn populated_state(models: usize, targets: usize) -> SiteState {
     let mut state = SiteState::default();
     let run = |state: &mut SiteState, command: Command| {
@@ -221,9 +221,9 @@
         };
         let service = ModelName::from("service");
         let fixed = BTreeSet::from([service.clone()]);
-        let mut gate = AdmissionController::new(Incarnation(1), policy, fixed, 0);
+        let mut controller = AdmissionController::new(Incarnation(1), policy, fixed, 0);
         let mut number = 0;
-        let mut cycle = |gate: &mut AdmissionController| {
+        let mut cycle = |controller: &mut AdmissionController| {
             number += 1;
             let attempt = AttemptId {
                 entry: Incarnation(1),
@@ -249,14 +249,14 @@
                 call,
                 content: ContentDigest([0; ContentDigest::LEN]),
             };
-            gate.start(1, request);
-            gate.next_run(1);
-            gate.on_run_event(1, attempt, RunEvent::Ended);
-            black_box(gate.pull(1, attempt, Incarnation(1), 0));
+            controller.start(1, request);
+            controller.next_run(1);
+            controller.on_run_event(1, attempt, RunEvent::Ended);
+            black_box(controller.pull(1, attempt, Incarnation(1), 0));
         };
-        (0..remembered).for_each(|_| cycle(&mut gate));
+        (0..remembered).for_each(|_| cycle(&mut controller));
         group.bench_function(BenchmarkId::from_parameter(remembered), |b| {
-            b.iter(|| cycle(&mut gate));
+            b.iter(|| cycle(&mut controller));
         });
     }
     group.finish();
@@ -284,7 +284,7 @@
     group.finish();
 }
 
-/// Accounts that one entry has demand for.
+/// Number of accounts that each entry requests units for.
 const REQUESTED_ACCOUNTS: usize = 8;
 
 fn account_list(accounts: usize) -> AccountList {
@@ -305,7 +305,7 @@
     }
 }
 
-/// An ask for the large accounts, which all entries ask for.
+/// Returns a request for the first accounts, which all entries request units for.
 fn quota_request(entry: usize, number: u64) -> QuotaRequest {
     let claim = QuotaClaim {
         balance: 1_000,
@@ -327,9 +327,9 @@
     }
 }
 
-/// One ask for eight accounts that all entries ask for. Where an ask summed over all entries
-/// it took 2.6 us at 10 entries and 10 accounts, 7.1 us at 100 and 100, 56.4 us at 960 and
-/// 1,000; with kept sums 3.2, 3.5 and 3.0 us.
+/// Grants one request for eight accounts that all entries request units for. When each request
+/// summed over all entries, it took 2.6 us at 10 entries and 10 accounts, 7.1 us at 100 and 100,
+/// 56.4 us at 960 and 1,000; with maintained totals 3.2, 3.5 and 3.0 us.
 fn grant_quota(c: &mut Criterion) {
     let mut group = c.benchmark_group("grant_quota");
     for (entries, accounts) in [(10, 10), (100, 100), (960, 1_000)] {
@@ -388,7 +388,7 @@
         };
         let heartbeat = bincode::serialize(&heartbeat).unwrap().len();
         let orders = bincode::serialize(&orders).unwrap().len();
-        println!("bytes at {models} models: beat {heartbeat}, orders {orders}");
+        println!("bytes at {models} models: heartbeat {heartbeat}, orders {orders}");
     }
     for (models, targets) in [(26, 20), (260, 1000), (260, 10_000)] {
         let state = populated_state(models, targets);
--- a/benches/figures.rs
+++ b/benches/figures.rs
@@ -1,7 +1,7 @@
-//! Figures of real daemons on this machine, as CSV rows on standard output.
+//! Measurements of real daemons on this machine, as CSV rows on standard output.
 //!
 //! `cargo bench --bench figures -- NAME`, with NAME one of `latency`, `cost`,
-//! `failover`, `commits`, `sync`; without one, all of them.
+//! `failover`, `commits`, `sync`; without NAME, all of them.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -52,7 +52,7 @@
     site
 }
 
-/// Latency through entry and agent against a direct call to the same engine.
+/// Measures the latency through entry and agent, and of direct calls to the same engine.
 async fn latency() {
     let site = review_site(500).await;
     let (mut direct, mut through) = (Vec::new(), Vec::new());
@@ -91,7 +91,7 @@
     println!("latency_ratio_p50,{ratio:.3}");
 }
 
-/// Processor time and memory of a process, in seconds and KiB.
+/// Returns the processor time of a process in seconds, and its resident memory in KiB.
 fn usage(pid: u32) -> (f64, u64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let fields: Vec<&str> = stat
@@ -110,7 +110,8 @@
     (ticks / 100.0, kib)
 }
 
-/// Processor time a request and a piece, and memory, idle and under load.
+/// Measures processor time and memory of each process when idle, and per request under load. The
+/// response lengths of 1, 20 and 100 tokens give the cost per token.
 async fn cost() {
     let site = review_site(1000).await;
     let names = ["e1", "t1", "t2", "t3", "c1", "c2", "c3", "s1"];
@@ -147,7 +148,7 @@
     }
 }
 
-/// From the loss of the leader to the next accepted edit.
+/// Measures the time from the loss of the leader to the next accepted edit.
 async fn failover() {
     let mut site = TestSite::start().await;
     let mut times = Vec::new();
@@ -203,7 +204,7 @@
     })
 }
 
-/// Edits and claims a second, each synced on a quorum.
+/// Measures edits and claims per second, each synced to disk on a quorum.
 async fn commits() {
     let site = TestSite::start().await;
     let link = link(&site);
@@ -244,7 +245,8 @@
     }
 }
 
-/// From acceptance to in force on all members, for three ways of distribution.
+/// Measures the time from the acceptance of an edit until it is in force on all members, for three
+/// methods of distribution.
 async fn sync() {
     let site = TestSite::start().await;
     let first = link(&site);
@@ -345,7 +347,7 @@
     }
 }
 
-/// Bytes of the page that one edit costs a member.
+/// Returns the bytes that a member receives for one edit.
 async fn page_bytes(link: &ControlLink, method: &str) -> usize {
     let whole = link
         .call_leader(
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,7 +1,7 @@
-//! The policy beside the plain ways, as CSV rows on standard output.
+//! Comparison of the policies with simpler baselines, as CSV rows on standard output.
 //!
 //! `cargo bench --bench policy -- decisions` measures each decision by itself.
-//! `cargo bench --bench policy -- site SCENARIO VARIANT SEED` runs the small site.
+//! `cargo bench --bench policy -- site SCENARIO VARIANT SEED` runs a demo site.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,8 +29,9 @@
     println!("{name},median={median:.3},least={least:.3},most={most:.3}");
 }
 
-/// Requests of mixed length to homes that report their load late: the part
-/// that waits behind another.
+/// Simulates requests of mixed length to homes whose load reports arrive `lag_ms` late. Returns the
+/// fraction of requests that wait for another one. With `own`, the entry corrects the reports by
+/// its own requests.
 fn simulate_routing(policy: &RoutePolicy, lag_ms: u64, own: bool, seed: u64) -> f64 {
     let names: Vec<TargetName> = (0..8).map(|n| TargetName(format!("t{n}"))).collect();
     let hall = HallName::from("hall");
@@ -122,8 +123,8 @@
     }
 }
 
-/// One target under 1.3 times its capacity: the part done within patience,
-/// for people who wait and for all.
+/// Simulates one target at 1.3 times its capacity. Returns the fraction of requests done before
+/// their deadlines: interactive, standard, and all.
 fn simulate_queue(policy: QueuePolicy, seed: u64) -> (f64, f64, f64) {
     let classes = [
         (Urgency::Interactive, 300u64, 40u64, 0.35),
@@ -216,7 +217,8 @@
     }
 }
 
-/// A hall of three is lost for a while: attempts for each request.
+/// Measures attempts per request, with up to three retries, while 90 % of the attempts are refused,
+/// as after the loss of one of three data halls.
 fn measure_retries() {
     for (name, budget) in [
         ("no_budget", None),
@@ -285,8 +287,8 @@
     }
 }
 
-/// Demand moves between models every 30 rounds: moves, and the part of demand
-/// that finds its homes crowded beyond 16 requests.
+/// Simulates demand that shifts between models every 30 rounds. Returns the number of moves after
+/// the first 31 rounds, and the fraction of demand above 16 requests per home.
 fn simulate_placement(policy: &PlacementPolicy, seed: u64) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut state = SiteState::default();
@@ -433,7 +435,7 @@
             config.queue.refuse_early = false;
         }
         "static" => config.duties.by_demand = false,
-        other => panic!("no variant {other}"),
+        other => panic!("unknown variant {other}"),
     }
     config
 }
@@ -463,7 +465,7 @@
         }
         "tenfold" => mix.phases = vec![phase(3.0, &[("filing-review", 10.0)])],
         "late_reports" => config.engine.report_lag_ms = 2000,
-        other => panic!("no scenario {other}"),
+        other => panic!("unknown scenario {other}"),
     }
     let site = DemoSite::start(config).await.unwrap();
     let before = site.moves().await;
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Takes one mechanism out at a time, on a scratch copy, and shows that its proof
-# fails: prints the mechanism, the test and after how many sound cases it was seen.
+# Mutation tests: removes one mechanism at a time from a scratch copy and checks that the
+# named test then fails. Prints the mutant, the result, the test and, for property tests,
+# the number of cases that passed before the failure.
 # Not part of CI. Usage: tests/mutants.sh [NAME ...]
 set -u
 cd "$(dirname "$0")/.."
