--- a/benches/core.rs
+++ b/benches/core.rs
@@ -1,4 +1,4 @@
-//! Slopes of the core's decisions, each at three or more sizes.
+//! Benchmarks of the decisions of the pure core, each at several sizes to show how its cost grows.
 //!
 //! `cargo bench --bench core`
 
@@ -74,8 +74,8 @@
     }
 }
 
-/// A state with all rows, agents and, after planning, homes.
-fn filled(models: usize, targets: usize) -> SiteState {
+/// Returns a state with all rows and agents, and three loads ordered on each target.
+fn populated_state(models: usize, targets: usize) -> SiteState {
     let mut state = SiteState::default();
     let run = |state: &mut SiteState, command: Command| {
         let position = Position(state.position.0 + 1);
@@ -125,7 +125,7 @@
                 hall: &hall,
             })
             .collect();
-        let ask = RouteRequest {
+        let req = RouteRequest {
             entry: 1,
             hall: &hall,
             prefix: "the beginning of a prompt",
@@ -133,7 +133,7 @@
         let book = LoadTracker::default();
         let mut rng = SmallRng::seed_from_u64(1);
         group.bench_with_input(BenchmarkId::from_parameter(homes), &homes, |b, _| {
-            b.iter(|| black_box(route::choose(&policy, &ask, &choices, &book, 1, &mut rng)));
+            b.iter(|| black_box(route::choose(&policy, &req, &choices, &book, 1, &mut rng)));
         });
     }
     group.finish();
@@ -143,7 +143,7 @@
     let mut group = c.benchmark_group("accept_edit");
     group.sample_size(20);
     for (models, targets) in [(26, 100), (260, 1000), (260, 10_000)] {
-        let state = filled(models, targets);
+        let state = populated_state(models, targets);
         let name = format!("{models}x{targets}");
         group.bench_function(BenchmarkId::from_parameter(name), |b| {
             let mut table = state.table.clone();
@@ -169,7 +169,7 @@
         by_demand: true,
     };
     for (models, targets) in [(26, 20), (260, 200), (260, 1000), (260, 10_000)] {
-        let state = filled(models, targets);
+        let state = populated_state(models, targets);
         let demand = DemandTracker::default();
         let name = format!("{models}x{targets}");
         group.bench_function(BenchmarkId::from_parameter(name), |b| {
@@ -183,7 +183,7 @@
     let mut group = c.benchmark_group("sync_page");
     group.sample_size(20);
     for (models, targets) in [(26, 20), (260, 1000), (260, 10_000)] {
-        let state = filled(models, targets);
+        let state = populated_state(models, targets);
         let behind = Position(state.changed().0 - 500.min(state.changed().0 - 1));
         let whole = bincode::serialize(&view::page_after(&state, Position(0))).unwrap();
         let tail = bincode::serialize(&view::page_after(&state, behind)).unwrap();
@@ -221,9 +221,9 @@
         };
         let service = ModelName::from("service");
         let fixed = BTreeSet::from([service.clone()]);
-        let mut gate = AdmissionController::new(Incarnation(1), policy, fixed, 0);
+        let mut controller = AdmissionController::new(Incarnation(1), policy, fixed, 0);
         let mut number = 0;
-        let mut cycle = |gate: &mut AdmissionController| {
+        let mut cycle = |controller: &mut AdmissionController| {
             number += 1;
             let attempt = AttemptId {
                 entry: Incarnation(1),
@@ -237,7 +237,7 @@
                 given: 0,
                 kv_mib: 0,
             };
-            let ask = RunRequest {
+            let request = RunRequest {
                 attempt,
                 incarnation: Incarnation(1),
                 row: RowId::from("row"),
@@ -249,14 +249,14 @@
                 call,
                 content: ContentDigest([0; ContentDigest::LEN]),
             };
-            gate.start(1, ask);
-            gate.next_run(1);
-            gate.on_run_event(1, attempt, RunEvent::Ended);
-            black_box(gate.pull(1, attempt, Incarnation(1), 0));
+            controller.start(1, request);
+            controller.next_run(1);
+            controller.on_run_event(1, attempt, RunEvent::Ended);
+            black_box(controller.pull(1, attempt, Incarnation(1), 0));
         };
-        (0..remembered).for_each(|_| cycle(&mut gate));
+        (0..remembered).for_each(|_| cycle(&mut controller));
         group.bench_function(BenchmarkId::from_parameter(remembered), |b| {
-            b.iter(|| cycle(&mut gate));
+            b.iter(|| cycle(&mut controller));
         });
     }
     group.finish();
@@ -272,22 +272,22 @@
         let mut grantor = ShareGrantor::new(policy, 0);
         let row = RowId::from("row");
         let claim = LimitClaim { held: 1, wanted: 3 };
-        let mut ask =
+        let mut request =
             |entry: u64| grantor.grant(10_000, Incarnation(entry), &row, 5000, 1000, claim);
         (0..entries).for_each(|entry| {
-            ask(entry);
+            request(entry);
         });
         group.bench_function(BenchmarkId::from_parameter(entries), |b| {
-            b.iter(|| black_box(ask(1)));
+            b.iter(|| black_box(request(1)));
         });
     }
     group.finish();
 }
 
-/// Accounts that one entry has demand for.
-const ASKED_ACCOUNTS: usize = 8;
+/// Number of accounts that each entry requests units for.
+const REQUESTED_ACCOUNTS: usize = 8;
 
-fn quota_book(accounts: usize) -> AccountList {
+fn account_list(accounts: usize) -> AccountList {
     let account = |number: usize| AccountSpec {
         name: AccountName(format!("account-{number}")),
         keys: Vec::new(),
@@ -305,8 +305,8 @@
     }
 }
 
-/// An ask for the large accounts, which all entries ask for.
-fn quota_ask(entry: usize, number: u64) -> QuotaRequest {
+/// Returns a request for the first accounts, which all entries request units for.
+fn quota_request(entry: usize, number: u64) -> QuotaRequest {
     let claim = QuotaClaim {
         balance: 1_000,
         cheapest: 100,
@@ -315,7 +315,8 @@
         demand: 1_000,
         ..QuotaClaim::default()
     };
-    let claims = (0..ASKED_ACCOUNTS).map(|place| (AccountName(format!("account-{place}")), claim));
+    let claims =
+        (0..REQUESTED_ACCOUNTS).map(|place| (AccountName(format!("account-{place}")), claim));
     QuotaRequest {
         entry: EntryIncarnation {
             host: HostName(format!("entry-{entry}")),
@@ -326,23 +327,23 @@
     }
 }
 
-/// One ask for eight accounts that all entries ask for. Where an ask summed over all entries
-/// it took 2.6 us at 10 entries and 10 accounts, 7.1 us at 100 and 100, 56.4 us at 960 and
-/// 1,000; with kept sums 3.2, 3.5 and 3.0 us.
+/// Grants one request for eight accounts that all entries request units for. When each request
+/// summed over all entries, it took 2.6 us at 10 entries and 10 accounts, 7.1 us at 100 and 100,
+/// 56.4 us at 960 and 1,000; with maintained totals 3.2, 3.5 and 3.0 us.
 fn grant_quota(c: &mut Criterion) {
     let mut group = c.benchmark_group("grant_quota");
     for (entries, accounts) in [(10, 10), (100, 100), (960, 1_000)] {
         let mut grantor = QuotaGrantor::new(0);
-        grantor.set_limits(1, Some(&quota_book(accounts)));
+        grantor.set_limits(1, Some(&account_list(accounts)));
         for entry in 0..entries {
-            grantor.grant(10_000, &quota_ask(entry, 1));
+            grantor.grant(10_000, &quota_request(entry, 1));
         }
-        let mut ask = quota_ask(1, 1);
+        let mut request = quota_request(1, 1);
         let name = BenchmarkId::new(entries.to_string(), accounts);
         group.bench_function(name, |b| {
             b.iter(|| {
-                ask.number += 1;
-                black_box(grantor.grant(10_000, &ask))
+                request.number += 1;
+                black_box(grantor.grant(10_000, &request))
             });
         });
     }
@@ -364,7 +365,7 @@
         let busy = (0..models)
             .map(|number| (ModelName(format!("model-{number}")), 3))
             .collect();
-        let beat = dunlinspring::placement::target_controller::AgentHeartbeat {
+        let heartbeat = dunlinspring::placement::target_controller::AgentHeartbeat {
             host: HostName::from("target-00001"),
             incarnation: Incarnation(1),
             position: Position(1),
@@ -385,12 +386,12 @@
             }),
             position: Position(1),
         };
-        let beat = bincode::serialize(&beat).unwrap().len();
+        let heartbeat = bincode::serialize(&heartbeat).unwrap().len();
         let orders = bincode::serialize(&orders).unwrap().len();
-        println!("bytes at {models} models: beat {beat}, orders {orders}");
+        println!("bytes at {models} models: heartbeat {heartbeat}, orders {orders}");
     }
     for (models, targets) in [(26, 20), (260, 1000), (260, 10_000)] {
-        let state = filled(models, targets);
+        let state = populated_state(models, targets);
         let page = view::page_after(&state, Position(0));
         let before = resident_kib();
         let mut copy = view::SiteView::default();
--- a/src/cli/commands.rs
+++ b/src/cli/commands.rs
@@ -1,5 +1,5 @@
-//! The subcommands of the `dunlinspring` program. Each returns the exit status,
-//! or why its command line is not usable.
+//! Subcommands of the `dunlinspring` program. Each returns the exit status, or an error that says
+//! why it could not run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::IsTerminal;
@@ -10,7 +10,7 @@
 use ntex::client::{Client, ClientRequest};
 use serde_json::{Value, json};
 
-use crate::cli::demo::{self, DemoShape, DemoSite, KEYS};
+use crate::cli::demo::{self, DemoConfig, DemoSite, KEYS};
 use crate::cli::explain_target;
 use crate::cli::load::{self, LoadMix, LoadPlan, LoadReport};
 use crate::ids::ReplicaId;
@@ -18,64 +18,64 @@
     self, AgentSettings, ControlSettings, EntrySettings, ValidatedSettings,
 };
 
-/// The commands.
+/// Help text.
 pub const USAGE: &str = "\
 Usage: dunlinspring COMMAND [OPTIONS]
 
-  table get [--csv]                  read the table back
+  table get [--csv]                  print the table
   table put ID --version N FILE      create (version 0) or replace a row
   table delete ID --version N        remove a row
   status                             control hosts and this entry
   accounts --control IP:PORT --secret-file FILE [--json]
-                                     limits of client accounts, and what is drawn
+                                     limits and usage of client accounts
   contents --control IP:PORT --secret-file FILE [--json]
-                                     contents under which replicas ended
+                                     contents whose requests crashed replicas
   contents lift DIGEST --control IP:PORT --secret-file FILE
-                                     let a barred one be tried again
+                                     allow a barred content to be sent again
   halls --control IP:PORT --secret-file FILE [--json]
                                      data halls, and which are evacuated
   halls evacuate NAME --control IP:PORT --secret-file FILE
   halls restore NAME --control IP:PORT --secret-file FILE
-                                     send nothing there, or again
-  explain ID FILE...                 a request's story, from the logs of all processes
-  explain --day FILE...              when and where requests were late, refused or lost
+                                     stop or resume sending requests to a data hall
+  explain ID FILE...                 timeline of a request, from the logs of all processes
+  explain --day FILE...              counts of late, refused and lost requests
   explain --target ID [--lease-ms N] FILE...
-                                     who ordered a target, and who should not have
+                                     orders to a target, and rules they violate
   check --role ROLE FILE             check settings: control, entry, agent, load
   demo [--seconds N] [--seed N] [--json] [--serve]
-                                     a whole small site in this process
+                                     run a small complete site in one process
   load --mix FILE [--seconds N] [--seed N] [--json] [--check-standin]
-                                     send a mix of requests, check the answers
+                                     send a mix of requests, check the responses
 
 table, status and load take --entry IP:PORT, and table and status --key-file FILE.";
 
-/// Longest answer read, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
-const PROGRESS: Duration = Duration::from_secs(1);
-/// How long an order holds off those of others, where the command line does not tell.
-const LEASE_MS: u64 = 3_000;
-const EXPLAIN_FORMS: &str =
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
+/// Default of `--lease-ms`: time after an order during which no other sender may send one.
+const DEFAULT_LEASE_MS: u64 = 3_000;
+const EXPLAIN_USAGE: &str =
     "explain ID FILE..., explain --day FILE..., or explain --target ID FILE...";
 
-/// `explain`: prints the story of one request or of one target, or the tables of all.
-pub fn explain(args: &[String]) -> Ended {
+/// `explain`: prints the timeline of one request or of one target, or the tables of all requests.
+pub fn explain(args: &[String]) -> CommandResult {
     if args.iter().any(|arg| is_target_option(arg)) {
         return explain_target(args);
     }
     let [id, files @ ..] = args else {
-        return Err(EXPLAIN_FORMS.to_owned());
+        return Err(EXPLAIN_USAGE.to_owned());
     };
     let text = read_logs(files)?;
     if id == "--day" {
-        let tables = crate::cli::day_table::day_table(text.lines());
-        println!("{}", tables.ok_or("no line tells of a request")?);
+        let tables = crate::cli::daily_summary::daily_summary(text.lines());
+        println!("{}", tables.ok_or("no line records a request")?);
         return Ok(0);
     }
-    let story = crate::cli::explain::explain(id, text.lines());
-    for line in &story {
+    let timeline = crate::cli::explain::explain(id, text.lines());
+    for line in &timeline {
         println!("{line}");
     }
-    match story.is_empty() {
+    match timeline.is_empty() {
         true => Err(format!("no line names request {id}")),
         false => Ok(0),
     }
@@ -86,15 +86,15 @@
     matches!(name, "--target" | "--lease-ms")
 }
 
-/// Prints the story of one target's orders; status 1 where there are findings.
-fn explain_target(args: &[String]) -> Ended {
+/// Prints the timeline of one target's orders. The exit status is 1 if there are findings.
+fn explain_target(args: &[String]) -> CommandResult {
     let mut options = Options::new();
     options.reqopt("", "target", "a target's id", "ID");
-    options.optopt("", "lease-ms", "how long an order holds off others", "N");
+    options.optopt("", "lease-ms", "time between orders of two senders", "N");
     let matches = parse(&options, args)?;
     let target = matches.opt_str("target").unwrap_or_default();
-    let lease_ms = match number(&matches, "lease-ms", LEASE_MS)? {
-        0 => return Err("--lease-ms: 0 is no lease".to_owned()),
+    let lease_ms = match number(&matches, "lease-ms", DEFAULT_LEASE_MS)? {
+        0 => return Err("--lease-ms must be at least 1".to_owned()),
         lease_ms => lease_ms,
     };
     let files = &matches.free;
@@ -103,17 +103,17 @@
     }
     let text = read_logs(files)?;
     let target = ReplicaId(target);
-    let story = explain_target::explain_target(&target, lease_ms, text.lines());
-    let nothing = || {
+    let timeline = explain_target::explain_target(&target, lease_ms, text.lines());
+    let no_order = || {
         let files = files.join(", ");
-        format!("--target: no line of {files} tells of an order of '{target}'")
+        format!("--target: no line of {files} is about an order to '{target}'")
     };
-    let story = story.ok_or_else(nothing)?;
-    print!("{story}");
-    Ok(i32::from(!story.findings.is_empty()))
+    let timeline = timeline.ok_or_else(no_order)?;
+    print!("{timeline}");
+    Ok(i32::from(!timeline.findings.is_empty()))
 }
 
-/// The lines of all files, one file after the other.
+/// Reads all files and concatenates their lines.
 fn read_logs(files: &[String]) -> Result<String, String> {
     let mut text = String::new();
     for file in files {
@@ -124,7 +124,7 @@
     Ok(text)
 }
 
-type Ended = Result<i32, String>;
+type CommandResult = Result<i32, String>;
 
 pub(super) fn parse(options: &Options, args: &[String]) -> Result<Matches, String> {
     options.parse(args).map_err(|error| error.to_string())
@@ -146,13 +146,13 @@
     options
 }
 
-struct EntryCall {
+struct EntryClient {
     client: Client,
     base: String,
     key: String,
 }
 
-impl EntryCall {
+impl EntryClient {
     async fn new(matches: &Matches) -> Result<Self, String> {
         let file = matches.opt_str("key-file").unwrap_or_default();
         let key = std::fs::read_to_string(&file).map_err(|error| format!("{file}: {error}"))?;
@@ -167,16 +167,16 @@
         format!("{}{path}", self.base)
     }
 
-    /// Prints the answer; status 1 where it is a refusal.
-    async fn show(&self, call: ClientRequest, body: Option<String>) -> Ended {
+    /// Sends a request and prints the response. The exit status is 1 if the response is an error.
+    async fn show(&self, call: ClientRequest, body: Option<String>) -> CommandResult {
         let call = call.bearer_auth(&self.key);
         let sent = match body {
             Some(body) => call.content_type("application/json").send_body(body).await,
             None => call.send().await,
         };
-        let answer = sent.map_err(|error| format!("{}: {error}", self.base))?;
-        let status = answer.status();
-        let body = answer.body().limit(MAX_ANSWER).await;
+        let response = sent.map_err(|error| format!("{}: {error}", self.base))?;
+        let status = response.status();
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|error| format!("{}: {error}", self.base))?;
         let text = String::from_utf8_lossy(&body);
         match serde_json::from_str::<Value>(&text) {
@@ -188,13 +188,18 @@
 }
 
 /// `table get`, `put` and `delete`.
-pub async fn table(args: &[String]) -> Ended {
+pub async fn table(args: &[String]) -> CommandResult {
     let mut options = entry_options();
     options.optflag("", "csv", "as comma-separated values");
     options.optopt("v", "version", "the row's version, 0 for a new row", "N");
-    options.optopt("i", "edit-id", "the edit's id, the same for a resend", "ID");
+    options.optopt(
+        "i",
+        "edit-id",
+        "the edit's id; a resend must repeat it",
+        "ID",
+    );
     let matches = parse(&options, args)?;
-    let call = EntryCall::new(&matches).await?;
+    let call = EntryClient::new(&matches).await?;
     let words: Vec<&str> = matches.free.iter().map(String::as_str).collect();
     match words.as_slice() {
         ["get"] => {
@@ -202,26 +207,27 @@
                 true => "text/csv",
                 false => "application/json",
             };
-            let ask = call.client.get(call.url("/v1/table"));
-            call.show(ask.header("accept", form), None).await
+            let request = call.client.get(call.url("/v1/table"));
+            call.show(request.header("accept", form), None).await
         }
         ["put", id, file] => {
             let fields = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
-            let ask = call.client.put(call.url(&format!("/v1/table/rows/{id}")));
-            call.show(edit_headers(ask, &matches)?, Some(fields)).await
+            let request = call.client.put(call.url(&format!("/v1/table/rows/{id}")));
+            call.show(edit_headers(request, &matches)?, Some(fields))
+                .await
         }
         ["delete", id] => {
-            let ask = call
+            let request = call
                 .client
                 .delete(call.url(&format!("/v1/table/rows/{id}")));
-            call.show(edit_headers(ask, &matches)?, None).await
+            call.show(edit_headers(request, &matches)?, None).await
         }
         _ => Err(format!("table get, put ID FILE or delete ID\n{USAGE}")),
     }
 }
 
 fn edit_headers(call: ClientRequest, matches: &Matches) -> Result<ClientRequest, String> {
-    let version = matches.opt_str("version").ok_or("--version is needed")?;
+    let version = matches.opt_str("version").ok_or("--version is missing")?;
     let fresh = || format!("{:032x}", rand::random::<u128>());
     let id = matches.opt_str("edit-id").unwrap_or_else(fresh);
     eprintln!("edit id {id}");
@@ -231,15 +237,15 @@
 }
 
 /// `status`.
-pub async fn status(args: &[String]) -> Ended {
+pub async fn status(args: &[String]) -> CommandResult {
     let matches = parse(&entry_options(), args)?;
-    let call = EntryCall::new(&matches).await?;
-    let ask = call.client.get(call.url("/v1/status"));
-    call.show(ask, None).await
+    let call = EntryClient::new(&matches).await?;
+    let request = call.client.get(call.url("/v1/status"));
+    call.show(request, None).await
 }
 
 /// `check`: prints the effective settings.
-pub fn check(args: &[String]) -> Ended {
+pub fn check(args: &[String]) -> CommandResult {
     let mut options = Options::new();
     options.reqopt("r", "role", "control, entry, agent or load", "ROLE");
     let matches = parse(&options, args)?;
@@ -248,32 +254,32 @@
     };
     let path = Path::new(file);
     match matches.opt_str("role").as_deref() {
-        Some("control") => show_checked::<ControlSettings>(path),
-        Some("entry") => show_checked::<EntrySettings>(path),
-        Some("agent") => show_checked::<AgentSettings>(path),
-        Some("load") => show_checked::<LoadMix>(path),
+        Some("control") => print_settings::<ControlSettings>(path),
+        Some("entry") => print_settings::<EntrySettings>(path),
+        Some("agent") => print_settings::<AgentSettings>(path),
+        Some("load") => print_settings::<LoadMix>(path),
         _ => Err("--role is control, entry, agent or load".to_owned()),
     }
 }
 
-fn show_checked<S: ValidatedSettings>(path: &Path) -> Ended {
+fn print_settings<S: ValidatedSettings>(path: &Path) -> CommandResult {
     let settings: S = settings::load(path).map_err(|error| error.to_string())?;
     println!("{}", settings::show(&settings));
     Ok(0)
 }
 
 /// `load`.
-pub async fn load(args: &[String]) -> Ended {
+pub async fn load(args: &[String]) -> CommandResult {
     let mut options = Options::new();
-    options.reqopt("e", "entry", "entries, with commas between", "IP:PORT");
-    options.reqopt("m", "mix", "the mix, JSON with comments", "FILE");
-    options.optopt("", "seconds", "for how long", "N");
+    options.reqopt("e", "entry", "entries, separated by commas", "IP:PORT");
+    options.reqopt("m", "mix", "request mix, JSON with comments", "FILE");
+    options.optopt("", "seconds", "duration of the run", "N");
     options.optopt("", "seed", "seed of arrivals", "N");
     options.optflag("", "json", "as JSON");
     options.optflag(
         "",
         "check-standin",
-        "compare texts with the stand-in engine's",
+        "compare texts with those of the stand-in",
     );
     let matches = parse(&options, args)?;
     let path = matches.opt_str("mix").unwrap_or_default();
@@ -284,30 +290,30 @@
         mix,
         seconds: number(&matches, "seconds", 10.0)?,
         seed: number(&matches, "seed", 1)?,
-        standin_text: matches.opt_present("check-standin"),
+        check_standin_text: matches.opt_present("check-standin"),
     })
     .await;
     match matches.opt_present("json") {
         true => println!("{:#}", report.json()),
         false => print!("{}", report.text()),
     }
-    for broken in &report.broken {
-        eprintln!("broken: {broken}");
+    for violation in &report.violations {
+        eprintln!("broken: {violation}");
     }
-    Ok(i32::from(!report.broken.is_empty()))
+    Ok(i32::from(!report.violations.is_empty()))
 }
 
 /// `demo`.
-pub async fn demo(args: &[String]) -> Ended {
+pub async fn demo(args: &[String]) -> CommandResult {
     let mut options = Options::new();
-    options.optopt("", "seconds", "for how long requests are sent", "N");
+    options.optopt("", "seconds", "time during which requests are sent", "N");
     options.optopt("", "seed", "seed of arrivals", "N");
     options.optflag("", "json", "as JSON");
-    options.optflag("", "serve", "stay up and print addresses");
+    options.optflag("", "serve", "print addresses and run until stopped");
     let matches = parse(&options, args)?;
     let seconds: f64 = number(&matches, "seconds", 10.0)?;
     let seed = number(&matches, "seed", 1)?;
-    let site = DemoSite::start(DemoShape::default()).await;
+    let site = DemoSite::start(DemoConfig::default()).await;
     let site = site.map_err(|error| error.to_string())?;
     if matches.opt_present("serve") {
         serve(&site).await;
@@ -319,28 +325,28 @@
         mix: demo::mix(1.0),
         seconds,
         seed,
-        standin_text: true,
+        check_standin_text: true,
     };
     let before = site.moves().await;
-    let trouble = async {
+    let disturbance = async {
         tokio::time::sleep(Duration::from_secs_f64(seconds * 0.3)).await;
         let edits = edit_rows(&site, seconds * 0.3).await;
         site.kill_engine("t0").await;
         edits
     };
-    let (report, edits, ()) = futures::join!(load::run(plan), trouble, show_progress(seconds));
+    let (report, edits, ()) = futures::join!(load::run(plan), disturbance, show_progress(seconds));
     let moves = site.moves().await - before;
-    let broken = find_broken(&site, &report);
+    let violations = find_violations(&site, &report);
     print_demo(
         &site,
         &report,
-        &broken,
+        &violations,
         edits,
         moves,
         matches.opt_present("json"),
     );
     site.clean_up();
-    Ok(i32::from(!broken.is_empty()))
+    Ok(i32::from(!violations.is_empty()))
 }
 
 async fn serve(site: &DemoSite) {
@@ -362,12 +368,12 @@
     }
     for second in 0..seconds as u64 {
         eprint!("\r{second} of {seconds} s ");
-        tokio::time::sleep(PROGRESS).await;
+        tokio::time::sleep(PROGRESS_INTERVAL).await;
     }
-    eprintln!("\rwaiting for the last answers");
+    eprintln!("\rwaiting for the last responses");
 }
 
-/// Both partners edit rows of their own while requests run.
+/// Edits each row as its partner while requests run. Returns the number of edits accepted.
 async fn edit_rows(site: &DemoSite, seconds: f64) -> usize {
     let Some(table) = site.table().await else {
         return 0;
@@ -389,13 +395,13 @@
     edits
 }
 
-/// Compares what callers were told with what the targets recorded.
-pub fn find_broken(site: &DemoSite, report: &LoadReport) -> Vec<String> {
-    let mut broken = report.broken.clone();
+/// Compares the outcomes reported to callers with the records of the targets.
+pub fn find_violations(site: &DemoSite, report: &LoadReport) -> Vec<String> {
+    let mut violations = report.violations.clone();
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for (name, record) in site.engine_records() {
         if record.overcommits > 0 {
-            broken.push(format!(
+            violations.push(format!(
                 "{name}: memory was overcommitted {} times",
                 record.overcommits
             ));
@@ -408,25 +414,28 @@
         *runs.entry(call.body).or_default() += 1;
     }
     let once: BTreeSet<&str> = ["notice-draft", "timestamp-seal"].into();
-    for told in &report.records {
-        let count = runs.get(&told.prompt).copied().unwrap_or(0);
-        let fault = match told.outcome.as_str() {
-            "not-run" if count > 0 => Some("told not run, but it ran"),
-            "done" if count == 0 => Some("told done, but no target ran it"),
-            _ if once.contains(told.class.as_str()) && count > 1 => Some("ran more than once"),
+    for request in &report.records {
+        let count = runs.get(&request.prompt).copied().unwrap_or(0);
+        let violation = match request.outcome.as_str() {
+            "not-run" if count > 0 => Some("reported as not run, but ran"),
+            "done" if count == 0 => Some("reported as done, but no target ran it"),
+            _ if once.contains(request.class.as_str()) && count > 1 => Some("ran more than once"),
             _ => None,
         };
-        if let Some(fault) = fault {
-            broken.push(format!("{}: {fault}: {}", told.class, told.prompt));
+        if let Some(violation) = violation {
+            violations.push(format!(
+                "{}: {violation}: {}",
+                request.class, request.prompt
+            ));
         }
     }
-    broken
+    violations
 }
 
 fn print_demo(
     site: &DemoSite,
     report: &LoadReport,
-    broken: &[String],
+    violations: &[String],
     edits: usize,
     moves: u64,
     as_json: bool,
@@ -437,16 +446,16 @@
         value["edits"] = json!(edits);
         value["moves"] = json!(moves);
         value["attained_per_accelerator"] = json!(per_accelerator);
-        value["broken"] = json!(broken);
+        value["broken"] = json!(violations);
         println!("{value:#}");
         return;
     }
     print!("{}", report.text());
-    println!("edits accepted meanwhile: {edits}; one engine was killed");
-    println!("done within patience, per accelerator: {per_accelerator:.1}");
+    println!("edits accepted during the run: {edits}; one engine was killed");
+    println!("done before their deadlines, per accelerator: {per_accelerator:.1}");
     println!("moves: {moves}");
-    match broken {
-        [] => println!("every answer agrees with what the targets recorded"),
-        broken => broken.iter().for_each(|line| println!("broken: {line}")),
+    match violations {
+        [] => println!("every response agrees with the records of the targets"),
+        lines => lines.iter().for_each(|line| println!("broken: {line}")),
     }
 }
--- a/src/cli/contents.rs
+++ b/src/cli/contents.rs
@@ -1,4 +1,5 @@
-//! The `contents` command: contents under which replicas ended, and the lifting of a bar.
+//! The `contents` command: lists contents whose requests crashed replicas, and lifts the
+//! quarantine of a content.
 
 use crate::cli::{commands, control};
 use crate::consensus::crashes::{ContentRecord, ContentStanding, CrashStore};
@@ -7,24 +8,26 @@
 use crate::process::peers::ControlLink;
 use crate::process::wire::ControlWireClient;
 
-/// `contents` and `contents lift DIGEST`: asks a control host for what the log holds.
+/// `contents` and `contents lift DIGEST`: reads or changes the crash records of the log.
 pub async fn contents(args: &[String]) -> Result<i32, String> {
     let matches = commands::parse(&control::options(), args)?;
     let link = control::link(&matches)?;
     match matches.free.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         [] => list(&link, matches.opt_present("json")).await,
         ["lift", digest] => lift(&link, digest).await,
-        _ => Err("contents takes nothing, or lift DIGEST".to_owned()),
+        _ => Err("contents takes no argument, or lift DIGEST".to_owned()),
     }
 }
 
 async fn list(link: &ControlLink, as_json: bool) -> Result<i32, String> {
     let call = |client: ControlWireClient, context| async move { client.contents(context).await };
-    let asked = link.call_leader("contents", control::PATIENCE, call).await;
-    let book = asked.map_err(|error| error.to_string())?;
+    let reply = link
+        .call_leader("contents", control::LEADER_TIMEOUT, call)
+        .await;
+    let store = reply.map_err(|error| error.to_string())?;
     match as_json {
-        true => println!("{}", control::json(&rows(&book))?),
-        false => print!("{}", table(&book)),
+        true => println!("{}", control::json(&rows(&store))?),
+        false => print!("{}", table(&store)),
     }
     Ok(0)
 }
@@ -36,17 +39,19 @@
         let command = Command::ContentLifted(digest);
         client.propose(context, command).await
     };
-    let asked = link.call_leader("lift", control::PATIENCE, call).await;
-    match asked.map_err(|error| error.to_string())? {
+    let reply = link
+        .call_leader("lift", control::LEADER_TIMEOUT, call)
+        .await;
+    match reply.map_err(|error| error.to_string())? {
         (_, Reply::Lifted(true)) => {
-            println!("{digest} may be tried again; one more crash bars it");
+            println!("{digest} may be sent again; one more crash bars it");
             Ok(0)
         }
         _ => Err(format!("lift: {digest} is not barred")),
     }
 }
 
-/// One content, as operators read it.
+/// Row of the `contents` table.
 #[derive(serde::Serialize)]
 struct ContentRow {
     content: String,
@@ -73,9 +78,9 @@
     }
 }
 
-/// The contents, those with the most crashes first.
-fn rows(book: &CrashStore) -> Vec<ContentRow> {
-    let records = book.records().iter();
+/// Returns the contents, those with the most crashes first.
+fn rows(store: &CrashStore) -> Vec<ContentRow> {
+    let records = store.records().iter();
     let mut rows: Vec<ContentRow> = records
         .map(|(id, record)| ContentRow::new(id, record))
         .collect();
@@ -83,16 +88,18 @@
     rows
 }
 
-/// A line a content.
-pub fn table(book: &CrashStore) -> String {
+/// Formats one line per content.
+pub fn table(store: &CrashStore) -> String {
     let mut text = format!(
-        "{:<32} {:<8} {:>14} replicas that ended under it\n",
+        "{:<32} {:<8} {:>14} replicas that crashed while running it\n",
         "content", "state", "last, ms"
     );
-    for row in rows(book) {
-        let lives = row.crashes.join(" ");
+    for row in rows(store) {
+        let incarnations = row.crashes.join(" ");
         let (content, state, last_ms) = (&row.content, row.state, row.last_ms);
-        text.push_str(&format!("{content:<32} {state:<8} {last_ms:>14} {lives}\n"));
+        text.push_str(&format!(
+            "{content:<32} {state:<8} {last_ms:>14} {incarnations}\n"
+        ));
     }
     text
 }
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -1,4 +1,4 @@
-//! A whole small site in one process over loopback: for the demo and for measuring.
+//! Small complete site in one process over loopback, for the demo and for benchmarks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,43 +31,44 @@
 
 const HALLS: [&str; 3] = ["north", "south", "east"];
 const SECRET: &str = "the-secret-of-a-demo-site";
-/// Loopback, with the port chosen by the system.
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+/// Loopback address with a port chosen by the system.
+const ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 const TARGET_MIB: u64 = 16_000;
 const KV_FLOOR_MIB: u64 = 4_000;
 const BASE_MIB: u64 = 5_500;
 const ADAPTER_MIB: u64 = 200;
-/// The service's target.
+/// Target of the plain service.
 const SERVICE_TARGET: &str = "seals";
-/// Longest wait for a site to get ready.
-const READY_TIME: Duration = Duration::from_secs(30);
+/// Maximum time for a site to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The partners' example keys: callers', then operators'.
+/// Partners with their caller and operator keys.
 pub const KEYS: [(&str, &str, &str); 2] = [
     ("fiji", "fiji-caller-key", "fiji-operator-key"),
     ("heredia", "heredia-caller-key", "heredia-operator-key"),
 ];
 
-/// What varies between small sites.
+/// Parameters of a demo site.
 #[derive(Clone, Debug)]
-pub struct DemoShape {
-    /// Engine targets.
+pub struct DemoConfig {
+    /// Number of engine targets.
     pub targets: usize,
-    /// Base models.
+    /// Number of base models.
     pub models: usize,
-    /// Adapters, each on the base model of its number.
+    /// Number of adapters. Adapter `n` belongs to base model `n`.
     pub adapters: usize,
-    /// The engines.
+    /// Traits of all engines.
     pub engine: EngineTraits,
-    /// Routing and retries.
+    /// Routing and retry settings.
     pub route: RouteSettings,
-    /// Queues.
+    /// Queue settings.
     pub queue: QueueSettings,
-    /// Leases and placement.
+    /// Lease and placement settings.
     pub duties: ControllerSettings,
 }
 
-impl Default for DemoShape {
+impl Default for DemoConfig {
     fn default() -> Self {
         Self {
             targets: 8,
@@ -90,12 +91,12 @@
     }
 }
 
-/// A running small site.
+/// Running demo site.
 pub struct DemoSite {
-    /// The entries' addresses.
+    /// Addresses of the entries.
     pub entries: Vec<SocketAddr>,
-    /// The shape it was made with.
-    pub shape: DemoShape,
+    /// Parameters of the site.
+    pub config: DemoConfig,
     folder: PathBuf,
     controls: Vec<ControlDaemon>,
     entry_daemons: Vec<EntryDaemon>,
@@ -105,7 +106,7 @@
     platform: PlatformStandin,
 }
 
-/// One kind of request that the partners make.
+/// Kind of request that a partner sends.
 struct DemoKind {
     partner: usize,
     class: &'static str,
@@ -140,10 +141,10 @@
     }
 }
 
-/// Base models that the kinds name, from the first on.
+/// Number of base models that the kinds use, `m0` to `m5`.
 const KIND_MODELS: usize = 6;
 
-/// The nine kinds of the two partners.
+/// Request kinds of the two partners.
 const KINDS: [DemoKind; 9] = [
     kind(0, "filing-review", "m0", Urgency::Standard, 60, 3_000, 30.0),
     kind(0, "batch-review", "m1", Urgency::Batch, 80, 20_000, 20.0),
@@ -200,7 +201,7 @@
     },
 ];
 
-/// The mix of the nine kinds, each with its usual rate times `factor`.
+/// Returns the mix of all kinds, each at its base rate times `factor`.
 pub fn mix(factor: f64) -> LoadMix {
     let classes = KINDS.iter().map(|kind| {
         let service = kind.tokens == 0;
@@ -223,17 +224,17 @@
     }
 }
 
-fn site_spec(shape: &DemoShape) -> SiteSpec {
+fn site_spec(config: &DemoConfig) -> SiteSpec {
     let mut models = BTreeMap::new();
     let base = ModelSpec {
         kind: ModelKind::Base,
         weights_mib: BASE_MIB,
         kv_kib_per_token: 128,
     };
-    for number in 0..shape.models {
+    for number in 0..config.models {
         models.insert(ModelName(format!("m{number}")), base.clone());
     }
-    for number in 0..shape.adapters {
+    for number in 0..config.adapters {
         let spec = ModelSpec {
             kind: ModelKind::Adapter(ModelName(format!("m{number}"))),
             weights_mib: ADAPTER_MIB,
@@ -253,7 +254,7 @@
         kv_floor_mib: KV_FLOOR_MIB,
         accelerators: 1,
     };
-    let targets = 0..shape.targets;
+    let targets = 0..config.targets;
     let targets = targets.map(|number| (TargetName(format!("t{number}")), engine(number)));
     let mut targets: BTreeMap<TargetName, TargetSpec> = targets.collect();
     let service = TargetSpec {
@@ -288,7 +289,7 @@
         host: HostName::from(host),
         hall: hall(number),
         listen,
-        watch: ANY,
+        watch: ANY_PORT,
         control: control.to_vec(),
         secret_file: PathBuf::new(),
         log: LogSettings::default(),
@@ -296,9 +297,9 @@
 }
 
 impl DemoSite {
-    /// Starts everything; returns once both partners' rows are in force and
-    /// every model has a home.
-    pub async fn start(shape: DemoShape) -> Result<Self, DaemonError> {
+    /// Starts all processes of the site. Returns once the rows of both partners are in force on
+    /// all members and the model of every row has a home.
+    pub async fn start(config: DemoConfig) -> Result<Self, DaemonError> {
         let name = format!(
             "dunlinspring-{}-{:x}",
             std::process::id(),
@@ -310,10 +311,10 @@
             read_ms: 20,
             max_reads: 4,
         };
-        let store = StoreStandin::start(ANY, store).await?;
-        let platform = PlatformStandin::start(ANY, 500).await?;
-        let (voters, controls) = start_controls(&shape, &folder, &secret, &platform).await?;
-        let service = ServiceStandin::start(ANY, Duration::from_millis(4)).await?;
+        let store = StoreStandin::start(ANY_PORT, store).await?;
+        let platform = PlatformStandin::start(ANY_PORT, 500).await?;
+        let (voters, controls) = start_controls(&config, &folder, &secret, &platform).await?;
+        let service = ServiceStandin::start(ANY_PORT, Duration::from_millis(4)).await?;
         let mut site = Self {
             entries: Vec::new(),
             folder,
@@ -323,11 +324,11 @@
             engines: BTreeMap::new(),
             service,
             platform,
-            shape,
+            config,
         };
         site.start_targets(&voters, &secret, &store).await?;
         site.start_entries(&voters, &secret).await?;
-        site.add_rows().await?;
+        site.create_rows().await?;
         Ok(site)
     }
 
@@ -337,19 +338,19 @@
         secret: &SiteSecret,
         store: &StoreStandin,
     ) -> Result<(), DaemonError> {
-        for number in 0..self.shape.targets {
-            let mut traits = self.shape.engine.clone();
+        for number in 0..self.config.targets {
+            let mut traits = self.config.engine.clone();
             traits.store_url = Some(format!("http://{}", store.address));
-            let engine = EngineStandin::start(ANY, traits).await?;
+            let engine = EngineStandin::start(ANY_PORT, traits).await?;
             let name = format!("t{number}");
             let settings = AgentSettings {
-                common: common(&name, number, ANY, voters),
+                common: common(&name, number, ANY_PORT, voters),
                 target_url: format!("http://{}", engine.address),
                 check: OrderCheck::Fenced,
                 services: Vec::new(),
                 memory_mib: TARGET_MIB,
-                queue: self.shape.queue.clone(),
-                lease_ms: self.shape.duties.lease_ms,
+                queue: self.config.queue.clone(),
+                lease_ms: self.config.duties.lease_ms,
                 report_ms: 100,
             };
             let agent = AgentDaemon::start(settings, secret.clone()).await?;
@@ -357,13 +358,13 @@
             self.engines.insert(name, engine);
         }
         let settings = AgentSettings {
-            common: common(SERVICE_TARGET, 0, ANY, voters),
+            common: common(SERVICE_TARGET, 0, ANY_PORT, voters),
             target_url: format!("http://{}", self.service.address),
             check: OrderCheck::LateBound(500),
             services: vec![ModelName::from("seal")],
             memory_mib: 0,
-            queue: self.shape.queue.clone(),
-            lease_ms: self.shape.duties.lease_ms,
+            queue: self.config.queue.clone(),
+            lease_ms: self.config.duties.lease_ms,
             report_ms: 100,
         };
         let agent = AgentDaemon::start(settings, secret.clone()).await?;
@@ -386,13 +387,13 @@
                 (PartnerName::from(*name), partner)
             });
             let settings = EntrySettings {
-                common: common(&format!("e{number}"), number, ANY, voters),
-                callers: ANY,
+                common: common(&format!("e{number}"), number, ANY_PORT, voters),
+                callers: ANY_PORT,
                 workers: 1,
                 stale_ms: 4000,
                 max_body: 1 << 20,
                 partners: partners.collect(),
-                route: self.shape.route.clone(),
+                route: self.config.route.clone(),
             };
             let entry = EntryDaemon::start(settings, secret.clone()).await?;
             self.entries.push(entry.callers);
@@ -401,7 +402,7 @@
         Ok(())
     }
 
-    async fn add_rows(&self) -> Result<(), DaemonError> {
+    async fn create_rows(&self) -> Result<(), DaemonError> {
         for kind in &KINDS {
             let fields = RowFields {
                 model: ModelName::from(kind.model),
@@ -416,8 +417,8 @@
             self.put_row(kind.partner, kind.class, 0, &json!(fields))
                 .await?;
         }
-        // More models than the kinds need, as the partners have.
-        for number in KIND_MODELS..self.shape.models {
+        // Rows for more models than the kinds use, as the tables of the partners have.
+        for number in KIND_MODELS..self.config.models {
             let fields = json!({
                 "model": format!("m{number}"), "class": format!("spare-{number}"),
                 "urgency": "standard", "weight": 1, "max_running": 10, "patience_ms": 5000,
@@ -429,7 +430,7 @@
         self.wait_ready().await
     }
 
-    /// Puts a row by its partner; returns the version, or the refusal as text.
+    /// Puts a row as the given partner. Returns the new version, or the refusal as an error.
     pub async fn put_row(
         &self,
         partner: usize,
@@ -444,7 +445,7 @@
             reason,
         };
         let client = Client::new().await;
-        let answer = client
+        let response = client
             .put(&url)
             .bearer_auth(KEYS[partner].2)
             .header("if-match", version.to_string())
@@ -452,8 +453,8 @@
             .send_json(fields)
             .await
             .map_err(|error| failed(error.to_string()))?;
-        let status = answer.status();
-        let body = answer
+        let status = response.status();
+        let body = response
             .body()
             .await
             .map_err(|error| failed(error.to_string()))?;
@@ -462,12 +463,12 @@
         version.ok_or_else(|| failed(format!("status {status}: {body}")))
     }
 
-    /// The table as its operators read it.
+    /// Returns the table as operators read it.
     pub async fn table(&self) -> Option<Value> {
         let client = Client::new().await;
         let url = format!("http://{}/v1/table", self.entries[0]);
-        let answer = client.get(url).bearer_auth(KEYS[0].2).send().await.ok()?;
-        let body = answer.body().limit(16 << 20).await.ok()?;
+        let response = client.get(url).bearer_auth(KEYS[0].2).send().await.ok()?;
+        let body = response.body().limit(16 << 20).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 
@@ -492,41 +493,43 @@
         let late = |_| DaemonError::Http {
             step: "wait for the homes of",
             url: self.entries[0].to_string(),
-            reason: "not every model has a home in time".to_owned(),
+            reason: "some row has no home or is not in force on all members after 30 s".to_owned(),
         };
-        tokio::time::timeout(READY_TIME, poll).await.map_err(late)
+        tokio::time::timeout(READY_TIMEOUT, poll)
+            .await
+            .map_err(late)
     }
 
-    /// Kills an engine: its agent lives on and finds it gone.
+    /// Kills an engine. Its agent keeps running and detects the loss.
     pub async fn kill_engine(&self, name: &str) {
         if let Some(engine) = self.engines.get(name) {
             engine.kill().await;
         }
     }
 
-    /// Has the platform name a host as leaving.
+    /// Makes the platform report a host as leaving.
     pub fn leave(&self, name: &str) {
         self.platform.leave(HostName::from(name));
     }
 
-    /// What each engine recorded.
+    /// Returns the record of each engine.
     pub fn engine_records(&self) -> BTreeMap<String, EngineRecord> {
         let engines = self.engines.iter();
         let records = engines.map(|(name, engine)| (name.clone(), engine.record()));
         records.collect()
     }
 
-    /// What the service recorded.
+    /// Returns the calls that the plain service recorded.
     pub fn service_record(&self) -> Vec<ServiceRecord> {
         self.service.record()
     }
 
-    /// Accelerators in use.
+    /// Returns the number of accelerators.
     pub fn accelerators(&self) -> usize {
-        self.shape.targets
+        self.config.targets
     }
 
-    /// Moves ordered so far.
+    /// Returns the number of placement moves ordered so far.
     pub async fn moves(&self) -> u64 {
         let mut moves = 0;
         for control in &self.controls {
@@ -536,14 +539,14 @@
         moves
     }
 
-    /// Removes the site's files. The process is about to end.
+    /// Removes the files of the site. To be called right before the process exits.
     pub fn clean_up(&self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 async fn start_controls(
-    shape: &DemoShape,
+    config: &DemoConfig,
     folder: &std::path::Path,
     secret: &SiteSecret,
     platform: &PlatformStandin,
@@ -551,7 +554,7 @@
     let mut voters = Vec::new();
     let mut listeners: Vec<TcpListener> = Vec::new();
     for number in 0..3 {
-        let listener = daemon::bind("listen", ANY).await?;
+        let listener = daemon::bind("listen", ANY_PORT).await?;
         let address = daemon::address_of("listen", &listener)?;
         let host = HostName(format!("c{number}"));
         voters.push(VoterSettings { host, address });
@@ -567,12 +570,12 @@
                 election_ms: 500,
                 heartbeat_ms: 100,
             },
-            duties: shape.duties.clone(),
+            duties: config.duties.clone(),
             compact_after: 2000,
             platform_url: Some(format!("http://{}/hosts", platform.address)),
             open_membership: false,
             fleet: Default::default(),
-            site: site_spec(shape),
+            site: site_spec(config),
         };
         bootstrap::bootstrap(&settings)?;
         let daemon = ControlDaemon::start_on(listener, settings, secret.clone()).await?;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,15 +1,15 @@
-//! The `dunlinspring` program: operators' commands, `explain`, the load tool and the demo
-//! site. May use every other folder.
+//! The `dunlinspring` program: operators' commands, `explain`, the load generator and the demo
+//! site. May use every other module.
 
 pub mod accounts;
 pub mod commands;
 pub mod contents;
 mod control;
-pub mod day_table;
+pub mod daily_summary;
 pub mod demo;
 pub mod explain;
 pub mod explain_target;
 pub mod halls;
 pub mod load;
 mod log_line;
-pub mod order_sight;
+pub mod order_audit;
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,9 +1,9 @@
 //! Explanations of a request and of a target, from the logs of several processes.
 
-use dunlinspring::cli::day_table::day_table;
+use dunlinspring::cli::daily_summary::daily_summary;
 use dunlinspring::cli::explain::explain;
-use dunlinspring::cli::explain_target::{StoryBasis, TargetStory, explain_target};
-use dunlinspring::cli::order_sight::FindingKind;
+use dunlinspring::cli::explain_target::{EvidenceSource, TargetTimeline, explain_target};
+use dunlinspring::cli::order_audit::FindingKind;
 use dunlinspring::ids::ReplicaId;
 
 const LOG: &str = r#"
@@ -53,14 +53,14 @@
 
 #[test]
 fn a_day_is_summarized_by_time_route_reason_replica_and_model() {
-    insta::assert_snapshot!(day_table(DAY_LOG.lines()).unwrap());
-    assert_eq!(day_table("nothing".lines()), None);
+    insta::assert_snapshot!(daily_summary(DAY_LOG.lines()).unwrap());
+    assert_eq!(daily_summary("nothing".lines()), None);
 }
 
 /// Log of two hosts that both order `r1`: `c1` was suspended while its last order was in transit.
 const TWO_HOSTS: &str = include_str!("data/two-hosts.log");
 
-fn story(log: &str) -> TargetStory {
+fn story(log: &str) -> TargetTimeline {
     explain_target(&ReplicaId::from("r1"), 3_000, log.lines()).unwrap()
 }
 
@@ -93,8 +93,8 @@
         + &arrival(5_000, "127.0.0.6", "c2", 8);
     let target_story = story(&log);
     assert_eq!(
-        (target_story.basis, target_story.judged),
-        (StoryBasis::Arrivals, 3)
+        (target_story.source, target_story.checked),
+        (EvidenceSource::Arrivals, 3)
     );
     assert!(target_story.findings.is_empty(), "{target_story}");
     assert!(
@@ -108,13 +108,13 @@
     let log = arrival(1_000, "127.0.0.5", "c1", 7)
         + &arrival(5_000, "127.0.0.6", "c2", 7)
         + &arrival(6_000, "127.0.0.6", "c2", 7);
-    assert_eq!(kinds(&log), [FindingKind::OneFence]);
+    assert_eq!(kinds(&log), [FindingKind::SharedFence]);
 }
 
 #[test]
 fn two_hosts_with_one_name_are_two_senders() {
     let log = arrival(1_000, "127.0.0.5", "c1", 7) + &arrival(5_000, "127.0.0.6", "c1", 7);
-    assert_eq!(kinds(&log), [FindingKind::OneFence]);
+    assert_eq!(kinds(&log), [FindingKind::SharedFence]);
 }
 
 #[test]
@@ -129,15 +129,15 @@
     let log = arrival(1_000, "127.0.0.5", "c1", 7)
         + &arrival(5_000, "127.0.0.6", "c2", 6)
         + &arrival(6_000, "127.0.0.6", "c2", 6);
-    assert_eq!(kinds(&log), [FindingKind::LowerFence; 2]);
+    assert_eq!(kinds(&log), [FindingKind::FenceRegression; 2]);
     let one_host = arrival(1_000, "127.0.0.5", "c1", 7) + &arrival(1_500, "127.0.0.5", "c1", 6);
-    assert_eq!(kinds(&one_host), [FindingKind::LowerFence]);
+    assert_eq!(kinds(&one_host), [FindingKind::FenceRegression]);
 }
 
 #[test]
 fn two_senders_within_a_lease_are_found() {
     let log = arrival(1_000, "127.0.0.5", "c1", 7) + &arrival(3_999, "127.0.0.6", "c2", 8);
-    assert_eq!(kinds(&log), [FindingKind::WithinLease]);
+    assert_eq!(kinds(&log), [FindingKind::LeaseOverlap]);
     let later = arrival(1_000, "127.0.0.5", "c1", 7) + &arrival(4_000, "127.0.0.6", "c2", 8);
     assert_eq!(kinds(&later), []);
 }
@@ -147,7 +147,7 @@
     let early = arrival(1_000, "127.0.0.6", "c2", 8).replace("2026-01-01T10", "2028-03-01T00");
     let late =
         arrival(59_000, "127.0.0.5", "c1", 7).replace("2026-01-01T10:00", "2028-02-29T23:59");
-    assert_eq!(kinds(&(early + &late)), [FindingKind::WithinLease]);
+    assert_eq!(kinds(&(early + &late)), [FindingKind::LeaseOverlap]);
 }
 
 #[test]
@@ -155,13 +155,13 @@
     let log = arrival(1_000, "127.0.0.5", "c1", 7) + &arrival(5_000, "127.0.0.5", "c2", 7);
     assert_eq!(kinds(&log), []);
     let without_address = log.replace(r#""from":"127.0.0.5","#, "");
-    assert_eq!(kinds(&without_address), [FindingKind::OneFence]);
+    assert_eq!(kinds(&without_address), [FindingKind::SharedFence]);
 }
 
 #[test]
 fn an_incomplete_arrival_is_counted() {
     let log = arrival(1_000, "127.0.0.5", "c1", 7).replace(r#""fence":7,"#, "");
-    assert_eq!(story(&log).in_part, 1);
+    assert_eq!(story(&log).incomplete, 1);
 }
 
 #[test]
@@ -174,9 +174,9 @@
 #[test]
 fn logs_without_arrivals_or_sent_orders_are_not_reported_clean() {
     let target_story = story(LOG);
-    assert_eq!(target_story.basis, StoryBasis::Nothing);
+    assert_eq!(target_story.source, EvidenceSource::Missing);
     assert!(
-        target_story.to_string().ends_with("nothing is judged\n"),
+        target_story.to_string().ends_with("no order checked\n"),
         "{target_story}"
     );
 }
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Takes one mechanism out at a time, on a scratch copy, and shows that its proof
-# fails: prints the mechanism, the test and after how many sound cases it was seen.
+# Mutation tests: removes one mechanism at a time from a scratch copy and checks that the
+# named test then fails. Prints the mutant, the result, the test and, for property tests,
+# the number of cases that passed before the failure.
 # Not part of CI. Usage: tests/mutants.sh [NAME ...]
 set -u
 cd "$(dirname "$0")/.."
@@ -73,7 +74,7 @@
 mutant shrink-at-once src/table/limits.rs 's/counted: share\.max\(claim\.held\),/counted: share,/' fuzz $limit
 place=every_model_keeps_or_regains_a_home
 mutant unloads-last-home src/placement/moves.rs 's/ready\.count\(\) <= 1/ready.count() <= 0/' fuzz $place
-mutant spares-before-repair src/placement/moves.rs 's/if homeless\.is_empty\(\) \{/if true || homeless.is_empty() {/' fuzz $place
+mutant spares-before-repair src/placement/moves.rs 's/let claimed = !homeless\.is_empty\(\)\n/let claimed = false\n/' fuzz $place
 mutant no-ejection src/placement/moves.rs 's/None if self\.relocate_sole_home\(model, wanted, moves\) => \{\}//; s/None => self\.step_to_packing\(wanted, moves\),/None => {}/' fuzz $place
 mutant unloading-memory-reused src/placement/moves.rs 's/let taken: u64 = homes\n                \.keys\(\)/let taken: u64 = homes\n                .iter().filter(|(_, h)| h.phase != HomePhase::Unloading).map(|(m, _)| m)/' fuzz $place
 view=copies_follow_the_log_and_never_go_back
@@ -84,9 +85,9 @@
 mutant entry-never-stale src/entry/shell.rs 's/confirmed \+ self\.settings\.stale_ms < clock::monotonic_ms\(\)/false \&\& confirmed + self.settings.stale_ms < clock::monotonic_ms()/' failures an_entry_that_is_cut_off
 mutant leaving-target-takes-work 'src/admission/controller.rs src/routing/view.rs' 's/_ if self\.draining => Some\(RefuseCause::Leaving\),/_ if false \&\& self.draining => Some(RefuseCause::Leaving),/; s/!member\.leaving\)/!member.leaving || true)/' failures a_draining_target_gets_no_new_work
 mutant silence-of-a-freeze-is-loss src/placement/target_controller.rs 's/self\.decided_ms \+ self\.policy\.loss_ms \/ 2 < now_ms/false \&\& self.decided_ms < now_ms/' duties a_leader_that_was_frozen
-mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.outstanding\(\) as f64\)\.max\(0\.0\)/depth/' quota units_held_by_entries_count_in_the_bucket
+mutant drawn-quota-not-counted src/table/quota.rs 's/\(depth - self\.drawn\.outstanding as f64\)\.max\(0\.0\)/depth/' quota units_held_by_entries_count_in_the_bucket
 mutant quota-never-lapses src/table/quota.rs 's/if now_ms >= self\.expires_ms \{/if now_ms == u64::MAX {/' quota held_units_expire_and_units_of_requests_not_run_are_refunded
-mutant doubled-ask-draws-twice src/table/quota.rs 's/let known = ask\.number <= newest\.0;/let known = false;/' quota a_duplicated_request_draws_once_and_a_late_reply_is_dropped
+mutant doubled-ask-draws-twice src/table/quota.rs 's/let newer = request\.number > known\.number;/let newer = true;/' quota a_duplicated_request_draws_once_and_a_late_reply_is_dropped
 mutant proof-without-age src/routing/freshness.rs 's/requested_ms\.saturating_sub\(proof\.age_ms\)/requested_ms/' accounts a_proof_counts_for_its_version_and_all_later_ones
 mutant keys-obeyed-without-word src/forward/daemon.rs 's/age_ms < self\.settings\.authority_ms/age_ms < u64::MAX/' forwarding no_key_is_accepted_for_long_without_newer_state
 mutant key-passed-on src/forward/request/wire_heads.rs 's/drop\.extend\(\[names\.key, names\.account\]\);//' forwarding an_api_key_is_not_forwarded_but_its_account_is
@@ -118,7 +119,7 @@
 mutant no-last-look src/forward/request.rs 's/Err\(_\) => \{\n                core\.pool\.borrow_mut\(\)\.put\(replica, connection\);\n                return AttemptOutcome::NotSent;\n            \}/Err(_) => None,/' forwarding a_request_with_a_slow_connection
 mutant refusals-not-kept src/entry/request_driver.rs 's/state\.refusals\.record\([^;]*;//' overload a_home_that_refused_a_row
 limits=no_window_exceeds_the_advertised_limit
-mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(named_us\)/cold_us/' replica_limits $limits
+mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(rate\.map\(\|rate\| rate\.gap_us\)\)/cold_us/' replica_limits $limits
 mutant permit-outside-of-the-known-term src/placement/replica_rates.rs 's/if request\.is_limited && !self\.limits/if false \&\& !self.limits/' replica_limits a_new_leader_grants_no_permit
 mutant limit-ended-by-any-answer src/placement/named_limits.rs 's/ && granted_ms > record\.observed_ms//' replica_limits a_late_older_response
 mutant bucket-full-at-a-new-limit src/placement/rate_limit.rs 's/bucket\.due_us = bucket\.due_us\.max\(next_us\);/let _ = next_us;/' replica_limits $limits
