--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -1,4 +1,4 @@
-//! Cases of the leader's target controller that the fuzz tests do not reach.
+//! Cases of the leader's target controller that no other test suite reaches.
 
 use std::collections::BTreeMap;
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -582,8 +582,8 @@
     }
 }
 
-/// On a site with a third of the usual memory, models that had eight homes kept only their first
-/// one, and none of them could get a second.
+/// On a site with a third of the places for models, models that had had eight homes kept only their
+/// first one, and none of them could get a second.
 #[test]
 fn models_without_demand_are_unloaded_when_memory_is_scarce() {
     let models = plan_models(&[("cold", 0.0), ("hot", 30.0), ("lost", 0.0), ("off", 0.0)]);
