--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -16,7 +16,7 @@
     assert_eq!(load_wait(LOAD, seconds(0), seconds(10)), seconds(0));
 }
 
-/// On a site with more models than model slots, requests with a deadline of 15 s were rejected
+/// On a site with more models than fit at once, requests with a deadline of 15 s were rejected
 /// after 6 s, 2 s before the load that they waited for was done.
 #[test]
 fn a_request_with_enough_time_waits_until_the_load_should_be_done() {
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -185,7 +185,8 @@
     let folder = tempfile::tempdir().unwrap();
     let (_voter, first) = only_voter(folder.path()).await;
     let [(listener, own), (other, second)] = two_listeners().await;
-    // Both relays have only relays as seeds, as after a change of seeds and a power loss of all.
+    // Both relays have only relays as seeds, as if the seeds were changed and all hosts then lost
+    // power.
     let one = relay(listener, own, &[own, second]).await;
     let _two = relay(other, second, &[own, second]).await;
     let registry = Registry::new(LogAccess::Remote, one.link().clone(), BTreeSet::new());
--- a/tests/separation.rs
+++ b/tests/separation.rs
@@ -27,7 +27,7 @@
     let (long, short) = (need(2_000, 170), need(2_000, 25));
     assert_eq!(mix.homes_for(&long, 2), HomeRange::All);
     assert_eq!(mix.homes_for(&short, 2), HomeRange::All);
-    // An eighth of the prompt tokens, on 2 of the 9 homes.
+    // Long responses have an eighth of the prompt tokens and get about a quarter of the homes.
     assert_eq!(mix.homes_for(&long, 9), HomeRange::Before(2));
     assert_eq!(mix.homes_for(&short, 9), HomeRange::From(2));
 }
