--- a/benches/core.rs
+++ b/benches/core.rs
@@ -185,11 +185,11 @@
     for (models, targets) in [(26, 20), (260, 1000), (260, 10_000)] {
         let state = populated_state(models, targets);
         let behind = Position(state.changed().0 - 500.min(state.changed().0 - 1));
-        let whole = bincode::serialize(&view::page_after(&state, Position(0))).unwrap();
+        let full_page = bincode::serialize(&view::page_after(&state, Position(0))).unwrap();
         let tail = bincode::serialize(&view::page_after(&state, behind)).unwrap();
         println!(
             "page bytes {models}x{targets}: whole {}, 500 behind {}",
-            whole.len(),
+            full_page.len(),
             tail.len()
         );
         let name = format!("{models}x{targets}");
--- a/benches/figures.rs
+++ b/benches/figures.rs
@@ -349,7 +349,7 @@
 
 /// Returns the bytes that a member receives for one edit.
 async fn page_bytes(link: &ControlLink, method: &str) -> usize {
-    let whole = link
+    let snapshot = link
         .call_leader(
             "sync",
             Duration::from_secs(5),
@@ -358,9 +358,9 @@
         .await
         .unwrap();
     match method {
-        "whole_table" => bincode::serialize(&whole).unwrap().len(),
+        "whole_table" => bincode::serialize(&snapshot).unwrap().len(),
         _ => {
-            let rows = whole.changes.iter();
+            let rows = snapshot.changes.iter();
             let row = rows.filter(|change| {
                 matches!(
                     change,
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -152,7 +152,7 @@
                     pick < 0.0
                 })
                 .unwrap_or(2);
-            let (urgency, patience, service_ms, _) = classes[class];
+            let (urgency, limit_ms, service_ms, _) = classes[class];
             number += 1;
             sent[class] += 1.0;
             let run = QueuedRun {
@@ -164,7 +164,7 @@
                 urgency,
                 weight: 1,
                 model: ModelName::from("m"),
-                deadline_ms: now + patience,
+                deadline_ms: now + limit_ms,
                 service_ms,
                 kv_mib: 0,
             };
--- a/src/cli/load.rs
+++ b/src/cli/load.rs
@@ -142,7 +142,8 @@
     pub class: String,
     /// Prompt, or body of a service call; unique within a run.
     pub prompt: String,
-    /// `done`, `not-run` or `unknown`; empty if no complete response came.
+    /// `done`, `not-run` or `unknown`; empty if there was no complete
+    /// response or it had no outcome.
     pub outcome: String,
     /// Cause of the outcome; may be empty.
     pub cause: String,
@@ -161,7 +162,7 @@
     pub not_run: BTreeMap<String, u64>,
     /// Number of requests with outcome `unknown`, by cause.
     pub unknown: BTreeMap<String, u64>,
-    /// Number of requests without a complete response.
+    /// Number of requests without one of these outcomes.
     pub lost: u64,
     /// Time until the end of the response of `done` requests, in microseconds.
     pub latencies_us: Histogram<u64>,
@@ -181,7 +182,8 @@
         }
     }
 
-    /// Returns the fraction of sent requests that were done before their deadline.
+    /// Returns the fraction of sent requests that were done before their deadline; 1 if none was
+    /// sent.
     pub fn attainment(&self) -> f64 {
         match self.sent {
             0 => 1.0,
@@ -290,14 +292,14 @@
     let classes = 0..state.plan.mix.classes.len();
     let generators = classes.map(|class| generate_arrivals(state.clone(), class, started));
     futures::future::join_all(generators).await;
-    let patience = state
+    let longest_ms = state
         .plan
         .mix
         .classes
         .iter()
         .map(|class| class.patience_ms)
         .max();
-    let until = Instant::now() + Duration::from_millis(patience.unwrap_or(0)) + RESPONSE_GRACE;
+    let until = Instant::now() + Duration::from_millis(longest_ms.unwrap_or(0)) + RESPONSE_GRACE;
     while *state.in_flight.borrow() > 0 && Instant::now() < until {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
