--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -118,7 +118,7 @@
 impl ControlEvent {
     /// Returns whether the event reads or checks the newest state. Such an event waits until
     /// this voter has applied all that is committed.
-    pub(super) fn is_linearizable(&self) -> bool {
+    pub(super) fn needs_newest(&self) -> bool {
         match self {
             Self::Configuration(_)
             | Self::Table(_)
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -221,9 +221,7 @@
     fn handle(&mut self, event: ControlEvent) {
         let now_ms = clock::monotonic_ms();
         match event {
-            event if event.is_linearizable() && self.replica.is_behind() => {
-                self.deferred.push(event)
-            }
+            event if event.needs_newest() && self.replica.is_behind() => self.deferred.push(event),
             ControlEvent::Raft(from, host, message) => {
                 self.hosts.insert(from, host);
                 self.replica.receive(now_ms, from, message);
--- a/src/forward/crashes.rs
+++ b/src/forward/crashes.rs
@@ -213,9 +213,7 @@
         Some(record) if record.incarnation() == at.incarnation => false,
         _ => {
             let mut others = view.replicas.values();
-            others.any(|record| {
-                record.address == at.address && record.incarnation() != at.incarnation
-            })
+            others.any(|other| other.address == at.address && other.incarnation() != at.incarnation)
         }
     }
 }
--- a/src/forward/replica_state.rs
+++ b/src/forward/replica_state.rs
@@ -166,7 +166,7 @@
 
     /// Resets the state after a restart of the replica under the same id. Only this entry's
     /// outstanding requests are kept.
-    pub(super) fn restart(&mut self, record: &ReplicaRecord) {
+    pub(super) fn reset(&mut self, record: &ReplicaRecord) {
         *self = Self {
             waiting: self.waiting,
             running: self.running,
--- a/src/forward/replica_table.rs
+++ b/src/forward/replica_table.rs
@@ -194,9 +194,7 @@
                 self.warm_ups.record_report(now_ms, id, record.cold_ms);
             }
             match state {
-                Some(state) if state.record.started_ms != record.started_ms => {
-                    state.restart(record)
-                }
+                Some(state) if state.record.started_ms != record.started_ms => state.reset(record),
                 Some(state) => state.record = record.clone(),
                 None => {
                     let state = ReplicaState::new(record.clone());
