--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -7,8 +7,8 @@
 use crate::clock;
 use crate::forward::daemon::EntryCore;
 use crate::ids::ReplicaIncarnation;
-use crate::placement::named_limits::{LimitPage, PermitStamp};
-use crate::placement::named_rate::AdvertisedRate;
+use crate::placement::advertised_limits::{LimitPage, PermitStamp};
+use crate::placement::advertised_rate::AdvertisedRate;
 
 /// Shortest time between two reports.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -7,7 +7,7 @@
 use crate::consensus::directory::ReplicaRecord;
 use crate::forward::daemon::EntryCore;
 use crate::ids::{ReplicaId, ReplicaIncarnation};
-use crate::placement::named_limits::PermitStamp;
+use crate::placement::advertised_limits::PermitStamp;
 use crate::placement::rate_limit::PERMIT_VALIDITY_MS;
 use crate::placement::replica_rates::{PermitRefusal, PermitReply, PermitRequest};
 use crate::process::peers::PeerError;
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -10,8 +10,8 @@
 use crate::forward::permits::RatePermit;
 use crate::forward::replica_table::SendBlock;
 use crate::ids::ReplicaId;
-use crate::placement::named_limits::PermitStamp;
-use crate::placement::named_rate::AdvertisedRate;
+use crate::placement::advertised_limits::PermitStamp;
+use crate::placement::advertised_rate::AdvertisedRate;
 use crate::routing::backoff::{RequestedBackoff, SendSlot, SlotOutcome};
 
 use super::ForwardedRequest;
--- a/src/forward/request/attempt_guard.rs
+++ b/src/forward/request/attempt_guard.rs
@@ -6,7 +6,7 @@
 use crate::forward::daemon::EntryCore;
 use crate::forward::replica_table::{AttemptResult, Need};
 use crate::ids::ReplicaId;
-use crate::placement::named_limits::PermitStamp;
+use crate::placement::advertised_limits::PermitStamp;
 use crate::routing::backoff::{SendSlot, SlotOutcome};
 
 /// Reports the end of an attempt to the replica table, even if the request is dropped midway.
--- a/src/placement/named_limits.rs
+++ b/src/placement/advertised_limits.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{ReplicaIncarnation, Term};
-use crate::placement::named_rate::AdvertisedRate;
+use crate::placement::advertised_rate::AdvertisedRate;
 
 /// Time for which an ended limit is kept, and a limit of a replica that the log does not know, in
 /// milliseconds. Older observations are ignored, as their end may have been removed.
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -6,13 +6,13 @@
 //! replicas. Uses `table`, `consensus` and `admission`.
 
 pub mod adapters;
+pub mod advertised_limits;
+pub mod advertised_rate;
 pub mod congestion;
 pub mod demand;
 pub mod fleet;
 pub mod fleet_plan;
 pub mod moves;
-pub mod named_limits;
-pub mod named_rate;
 pub mod order;
 pub mod preload;
 pub mod rate_limit;
--- a/src/placement/replica_rates.rs
+++ b/src/placement/replica_rates.rs
@@ -2,16 +2,16 @@
 //! replicas advertise. If both apply, the lower rate counts.
 //!
 //! This is the state of one leader; see [`crate::placement::rate_limit`] and
-//! [`crate::placement::named_limits`].
+//! [`crate::placement::advertised_limits`].
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{ReplicaIncarnation, ServiceName, Term};
-use crate::placement::named_limits::{
+use crate::placement::advertised_limits::{
     AdvertisedLimits, IncarnationState, LimitCursor, LimitObservation, LimitPage, LimitReport,
     PermitStamp,
 };
-use crate::placement::named_rate::AdvertisedRate;
+use crate::placement::advertised_rate::AdvertisedRate;
 use crate::placement::rate_limit::RateLimiter;
 use crate::table::configuration::WarmupSpec;
 
--- a/src/placement/report.rs
+++ b/src/placement/report.rs
@@ -6,7 +6,7 @@
 use snafu::Snafu;
 
 use crate::ids::ModelName;
-use crate::placement::named_limits::{LimitCursor, LimitPage};
+use crate::placement::advertised_limits::{LimitCursor, LimitPage};
 use crate::placement::order::AdapterPlacement;
 
 /// Periodic report of an entry to the leader.
--- a/src/process/wire.rs
+++ b/src/process/wire.rs
@@ -15,8 +15,8 @@
     AccountName, AttemptId, HallName, HostName, Incarnation, NodeId, Position, ReplicaId, RowId,
     Term,
 };
+use crate::placement::advertised_limits::{LimitPage, LimitReport};
 use crate::placement::congestion::{QueueReport, QueuedTokens};
-use crate::placement::named_limits::{LimitPage, LimitReport};
 use crate::placement::order::AdapterPlacement;
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
--- a/src/routing/limited_peers.rs
+++ b/src/routing/limited_peers.rs
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 
 use crate::ids::ReplicaIncarnation;
-use crate::placement::named_limits::{
+use crate::placement::advertised_limits::{
     LimitCursor, LimitEnd, LimitObservation, LimitPage, LimitReport, LimitState, PermitStamp,
 };
-use crate::placement::named_rate::AdvertisedRate;
+use crate::placement::advertised_rate::AdvertisedRate;
 
 /// Limit advertised in a response.
 #[derive(Clone, Copy, Debug)]
--- a/src/routing/permit_throttle.rs
+++ b/src/routing/permit_throttle.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::placement::named_rate::AdvertisedRate;
+use crate::placement::advertised_rate::AdvertisedRate;
 use crate::placement::replica_rates::PermitRefusal;
 
 /// Timeout of a permit request, in milliseconds.
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -121,6 +121,6 @@
 limits=no_window_exceeds_the_advertised_limit
 mutant limit-not-adopted src/placement/replica_rates.rs 's/cold_us\.max\(rate\.map\(\|rate\| rate\.gap_us\)\)/cold_us/' replica_limits $limits
 mutant permit-outside-of-the-known-term src/placement/replica_rates.rs 's/if request\.is_limited && !self\.limits/if false \&\& !self.limits/' replica_limits a_new_leader_grants_no_permit
-mutant limit-ended-by-any-answer src/placement/named_limits.rs 's/ && granted_ms > record\.observed_ms//' replica_limits a_late_older_response
+mutant limit-ended-by-any-answer src/placement/advertised_limits.rs 's/ && granted_ms > record\.observed_ms//' replica_limits a_late_older_response
 mutant bucket-full-at-a-new-limit src/placement/rate_limit.rs 's/bucket\.due_us = bucket\.due_us\.max\(next_us\);/let _ = next_us;/' replica_limits $limits
-mutant limit-heard-by-one-entry src/placement/named_limits.rs 's/let changes = self\.changes\.range\(from \+ 1\.\.\);/let changes = self.changes.range(u64::MAX..);/' replica_limits after_a_response_without
+mutant limit-heard-by-one-entry src/placement/advertised_limits.rs 's/let changes = self\.changes\.range\(from \+ 1\.\.\);/let changes = self.changes.range(u64::MAX..);/' replica_limits after_a_response_without
--- a/tests/replica_limits/main.rs
+++ b/tests/replica_limits/main.rs
@@ -6,11 +6,11 @@
 mod world;
 
 use dunlinspring::ids::{ReplicaIncarnation, Term};
-use dunlinspring::placement::named_limits::{
+use dunlinspring::placement::advertised_limits::{
     AdvertisedLimits, IncarnationState, LimitCursor, LimitEnd, LimitObservation, LimitReport,
     PermitStamp,
 };
-use dunlinspring::placement::named_rate::AdvertisedRate;
+use dunlinspring::placement::advertised_rate::AdvertisedRate;
 use dunlinspring::routing::limited_peers::LimitedPeers;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
--- a/tests/replica_limits/world.rs
+++ b/tests/replica_limits/world.rs
@@ -3,8 +3,10 @@
 use std::collections::BTreeMap;
 
 use dunlinspring::ids::{ReplicaId, ReplicaIncarnation, ServiceName, Term};
-use dunlinspring::placement::named_limits::{LimitCursor, LimitPage, LimitReport, PermitStamp};
-use dunlinspring::placement::named_rate::AdvertisedRate;
+use dunlinspring::placement::advertised_limits::{
+    LimitCursor, LimitPage, LimitReport, PermitStamp,
+};
+use dunlinspring::placement::advertised_rate::AdvertisedRate;
 use dunlinspring::placement::rate_limit::PERMIT_VALIDITY_MS;
 use dunlinspring::placement::replica_rates::{
     PermitRefusal, PermitReply, PermitRequest, ReplicaRateLimits,
