--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -13,7 +13,7 @@
 use crate::ids::{HostName, NodeId, Position, ReplicaId, Term};
 use crate::placement::advertised_limits::{LimitPage, LimitReport};
 use crate::placement::congestion::{QueueReport, QueuedTokens};
-use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
+use crate::placement::order::{AdapterPlacement, OrderOutcome, ReplicaOrder};
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::suspect_leases::{
@@ -108,7 +108,7 @@
     /// Requests a permit to send an order of that term.
     OrderPermit(Term, ReplySender<SendPermit>),
     /// An order of this leader has ended with that outcome.
-    OrderDone(EngineOrder, OrderOutcome),
+    OrderDone(ReplicaOrder, OrderOutcome),
     /// Compares a replica's heartbeat with the state that is committed here.
     Compare(Box<ReplicaRecord>, ReplySender<HeartbeatStatus>),
     /// Hands over the leadership and stops.
--- a/src/control/order_dispatcher.rs
+++ b/src/control/order_dispatcher.rs
@@ -24,7 +24,7 @@
 use crate::forward::head;
 use crate::forward::upstream::{Connection, Exchange, ExchangeError, OutgoingRequest};
 use crate::ids::{ModelName, ReplicaId, ReplicaIncarnation};
-use crate::placement::order::{EngineOrder, OrderKind, OrderOutcome};
+use crate::placement::order::{OrderKind, OrderOutcome, ReplicaOrder};
 use crate::process::daemon;
 
 /// Timeout of one call to an engine.
@@ -69,7 +69,7 @@
 
 impl EngineReport {
     /// Returns whether the engine is in the state that an order requests.
-    fn is_fulfilled(&self, order: &EngineOrder) -> bool {
+    fn is_fulfilled(&self, order: &ReplicaOrder) -> bool {
         let held = self.models.get(&order.model);
         let there = match &order.adapter {
             Some(adapter) => held.is_some_and(|adapters| adapters.contains(adapter)),
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy)]
 pub struct EngineDialect {
     /// Builds the request of an order that expects a count of orders.
-    pub order: fn(&EngineOrder, u64) -> EngineCall,
+    pub order: fn(&ReplicaOrder, u64) -> EngineCall,
     /// Builds the request for a report.
     pub report: fn(&ReplicaId) -> EngineCall,
     /// Parses a report.
@@ -97,7 +97,7 @@
 
 /// Sends orders until the channel closes.
 pub async fn run(
-    mut orders: mpsc::UnboundedReceiver<EngineOrder>,
+    mut orders: mpsc::UnboundedReceiver<ReplicaOrder>,
     handle: ControlHandle,
     dialect: EngineDialect,
 ) {
@@ -133,7 +133,7 @@
 }
 
 async fn deliver(
-    order: &EngineOrder,
+    order: &ReplicaOrder,
     count: &mut Option<u64>,
     handle: &ControlHandle,
     dialect: &EngineDialect,
@@ -244,7 +244,7 @@
     }
 }
 
-async fn query_report(order: &EngineOrder, dialect: &EngineDialect) -> Option<EngineReport> {
+async fn query_report(order: &ReplicaOrder, dialect: &EngineDialect) -> Option<EngineReport> {
     let call = (dialect.report)(&order.replica);
     match exchange(order.address, &call, None).await {
         Ok((200, body)) => (dialect.read_report)(&body),
@@ -274,7 +274,7 @@
 #[derive(Clone, Copy)]
 struct PermitClient<'a> {
     handle: &'a ControlHandle,
-    order: &'a EngineOrder,
+    order: &'a ReplicaOrder,
     /// Number of the attempt, from 1.
     number: u32,
 }
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -27,7 +27,7 @@
 use crate::ids::{HostName, NodeId, Position, ReplicaId};
 use crate::placement::advertised_limits::{LimitPage, LimitReport};
 use crate::placement::congestion::{QueueReport, QueuedTokens};
-use crate::placement::order::{AdapterPlacement, EngineOrder};
+use crate::placement::order::{AdapterPlacement, ReplicaOrder};
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::suspect_leases::{
@@ -74,7 +74,7 @@
     /// Address that serves metrics and health.
     pub watch: SocketAddr,
     handle: ControlHandle,
-    orders: Option<mpsc::UnboundedReceiver<EngineOrder>>,
+    orders: Option<mpsc::UnboundedReceiver<ReplicaOrder>>,
     ended: oneshot::Receiver<Result<(), DaemonError>>,
 }
 
@@ -171,7 +171,7 @@
 
     /// Takes the channel of the orders that this host issues to engines while it leads; `None`
     /// after the first call.
-    pub fn take_orders(&mut self) -> Option<mpsc::UnboundedReceiver<EngineOrder>> {
+    pub fn take_orders(&mut self) -> Option<mpsc::UnboundedReceiver<ReplicaOrder>> {
         self.orders.take()
     }
 
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -19,7 +19,7 @@
 use crate::ids::{HostName, NodeId, Position, ReplicaIncarnation, TargetName, Term};
 use crate::placement::advertised_limits::{IncarnationState, LimitPage, LimitReport};
 use crate::placement::fleet::FleetController;
-use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
+use crate::placement::order::{AdapterPlacement, OrderOutcome, ReplicaOrder};
 use crate::placement::replica_rates::{PermitReply, PermitRequest, ReplicaRateLimits};
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeases};
@@ -102,7 +102,7 @@
     /// Version of the newest configuration that a leader confirmed, and when this host queried
     /// it.
     confirmed: Option<(u64, u64)>,
-    orders: Option<mpsc::UnboundedSender<EngineOrder>>,
+    orders: Option<mpsc::UnboundedSender<ReplicaOrder>>,
     pending_proposals: BTreeMap<Position, (Term, ReplySender<(Position, Reply)>)>,
     waiters: Vec<SyncWaiter>,
     /// When members were last notified of a change.
@@ -175,7 +175,7 @@
     }
 
     /// Sets the channel for the orders of this leader.
-    pub fn send_orders(&mut self, orders: mpsc::UnboundedSender<EngineOrder>) {
+    pub fn send_orders(&mut self, orders: mpsc::UnboundedSender<ReplicaOrder>) {
         self.orders = Some(orders);
     }
 
@@ -556,7 +556,7 @@
         }
     }
 
-    fn send_order(&self, now_ms: u64, order: EngineOrder) {
+    fn send_order(&self, now_ms: u64, order: ReplicaOrder) {
         let lease_left_ms = self
             .replica
             .raft()
@@ -571,7 +571,7 @@
         }
     }
 
-    fn on_order_done(&mut self, now_ms: u64, order: &EngineOrder, outcome: OrderOutcome) {
+    fn on_order_done(&mut self, now_ms: u64, order: &ReplicaOrder, outcome: OrderOutcome) {
         let Some(fleet) = &mut self.fleet else {
             return;
         };
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -17,7 +17,7 @@
 use crate::placement::congestion::{CongestionThreshold, QueueReport, QueueTotals, QueuedTokens};
 use crate::placement::demand::DemandTracker;
 use crate::placement::fleet_plan::{self, PlanModel, PlanReplica, PlanStep};
-use crate::placement::order::{AdapterPlacement, EngineOrder, OrderKind, OrderOutcome};
+use crate::placement::order::{AdapterPlacement, OrderKind, OrderOutcome, ReplicaOrder};
 use crate::placement::report::EntryReport;
 use crate::table::configuration::EngineSpec;
 
@@ -77,7 +77,7 @@
     /// Commands to propose.
     pub commands: Vec<Command>,
     /// Orders to send to engines.
-    pub orders: Vec<EngineOrder>,
+    pub orders: Vec<ReplicaOrder>,
 }
 
 #[derive(Clone, Debug)]
@@ -266,7 +266,7 @@
         state: &SiteState,
         now_ms: u64,
         request: &AdapterPlacement,
-    ) -> (bool, Option<EngineOrder>) {
+    ) -> (bool, Option<ReplicaOrder>) {
         let record = state.replicas.records().get(&request.replica);
         let configuration = state.configuration.as_ref().map(|held| &held.configuration);
         let (Some(record), Some(configuration)) = (record, configuration) else {
@@ -306,7 +306,7 @@
     pub fn on_outcome(
         &mut self,
         now_ms: u64,
-        order: &EngineOrder,
+        order: &ReplicaOrder,
         outcome: OrderOutcome,
     ) -> Vec<Command> {
         if outcome == OrderOutcome::Fenced {
@@ -342,7 +342,7 @@
     fn on_model_outcome(
         &mut self,
         now_ms: u64,
-        order: &EngineOrder,
+        order: &ReplicaOrder,
         outcome: OrderOutcome,
     ) -> Vec<Command> {
         let id = &order.replica;
@@ -514,7 +514,7 @@
     }
 
     /// Returns the orders that are due and whose commands are committed.
-    fn send_due(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<EngineOrder> {
+    fn send_due(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<ReplicaOrder> {
         let mut due = Vec::new();
         for (id, order) in &mut self.pending {
             let is_due = order.send_ms.is_some_and(|at_ms| at_ms <= now_ms);
@@ -544,9 +544,9 @@
         kind: OrderKind,
         model: &ModelName,
         adapter: Option<&str>,
-    ) -> EngineOrder {
+    ) -> ReplicaOrder {
         self.orders_issued += 1;
-        EngineOrder {
+        ReplicaOrder {
             number: self.orders_issued,
             replica: record.id.clone(),
             started_ms: record.started_ms,
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -31,9 +31,9 @@
     }
 }
 
-/// An order to an engine.
+/// An order to the engine of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineOrder {
+pub struct ReplicaOrder {
     /// Number of the order within the leader's term, from 1.
     pub number: u64,
     /// The replica that the order is for.
@@ -54,7 +54,7 @@
     pub adapter: Option<String>,
 }
 
-impl EngineOrder {
+impl ReplicaOrder {
     /// Returns the incarnation of the replica that the order is for.
     pub fn incarnation(&self) -> ReplicaIncarnation {
         ReplicaIncarnation {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -13,7 +13,7 @@
 use dunlinspring::placement::adapters::{AdapterDecision, AdapterOrders};
 use dunlinspring::placement::fleet::{FleetController, FleetPolicy};
 use dunlinspring::placement::fleet_plan::{PlanModel, PlanReplica, plan};
-use dunlinspring::placement::order::{AdapterPlacement, EngineOrder, OrderKind, OrderOutcome};
+use dunlinspring::placement::order::{AdapterPlacement, OrderKind, OrderOutcome, ReplicaOrder};
 use dunlinspring::placement::report::EntryReport;
 use dunlinspring::table::configuration::{
     Configuration, ConfigurationRecord, EngineModel, EngineSpec, ServiceSpec,
@@ -46,7 +46,7 @@
 struct TestFleet {
     state: SiteState,
     controller: FleetController,
-    orders: Vec<EngineOrder>,
+    orders: Vec<ReplicaOrder>,
 }
 
 fn engine(models: &[&str]) -> EngineSpec {
@@ -268,13 +268,13 @@
         fleet.controller.on_report(now_ms, busy("c", 1.0));
         fleet.round(now_ms);
         let is_load =
-            |other: &EngineOrder| other.replica == order.replica && other.kind == OrderKind::Load;
+            |other: &ReplicaOrder| other.replica == order.replica && other.kind == OrderKind::Load;
         assert!(!fleet.orders.iter().any(is_load), "at {now_ms}");
     }
     // The unload is ordered again instead of dropped.
-    let same = |other: &&EngineOrder| {
+    let same = |other: &&ReplicaOrder| {
         let number = order.number;
-        EngineOrder {
+        ReplicaOrder {
             number,
             ..(*other).clone()
         } == order
--- a/tests/orderer.rs
+++ b/tests/orderer.rs
@@ -11,7 +11,7 @@
 use dunlinspring::control::event::{ControlEvent, ControlHandle, SendPermit};
 use dunlinspring::control::order_dispatcher::{self, EngineCall, EngineDialect, EngineReport};
 use dunlinspring::ids::{HostName, ModelName, ReplicaId, Term};
-use dunlinspring::placement::order::{EngineOrder, OrderKind, OrderOutcome};
+use dunlinspring::placement::order::{OrderKind, OrderOutcome, ReplicaOrder};
 use dunlinspring::process::wire::ControlRefusal;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -82,8 +82,8 @@
 }
 
 /// Returns an order of term 7 to one incarnation of an engine.
-fn order_of(started_ms: u64, address: SocketAddr) -> EngineOrder {
-    EngineOrder {
+fn order_of(started_ms: u64, address: SocketAddr) -> ReplicaOrder {
+    ReplicaOrder {
         number: 1,
         replica: ReplicaId::from("r"),
         started_ms,
