--- a/src/admission/lost_runs.rs
+++ b/src/admission/lost_runs.rs
@@ -54,8 +54,8 @@
                 false
             }
         });
-        let lives = ended.into_iter();
-        lives
+        let incarnations = ended.into_iter();
+        incarnations
             .map(|(boot, contents)| CrashedIncarnation { boot, contents })
             .collect()
     }
--- a/src/control/bootstrap.rs
+++ b/src/control/bootstrap.rs
@@ -148,15 +148,15 @@
 /// Returns a known control host that has a log with voters, which means that the site exists.
 pub async fn find_bootstrapped_host(link: &ControlLink) -> Option<String> {
     let addresses = link.addresses();
-    let asked = addresses.iter().map(|address| {
+    let requests = addresses.iter().map(|address| {
         let context = peers::within(QUERY_TIMEOUT);
         let call = move |client: ControlWireClient| async move { client.status(context).await };
         link.call_at(address, "status", call)
     });
-    let replies = future::join_all(asked).await;
+    let replies = future::join_all(requests).await;
     let mut replies = addresses.iter().zip(replies);
-    let founded = replies.find(|(_, reply)| reply.as_ref().is_ok_and(has_voters));
-    founded.map(|(address, _)| address.clone())
+    let bootstrapped = replies.find(|(_, reply)| reply.as_ref().is_ok_and(has_voters));
+    bootstrapped.map(|(address, _)| address.clone())
 }
 
 fn has_voters(status: &ControlStatus) -> bool {
@@ -170,13 +170,13 @@
     others: &[String],
     request: &PaxosRequest,
 ) -> Vec<PaxosReply> {
-    let asked = others.iter().map(|address| {
+    let requests = others.iter().map(|address| {
         let (context, request) = (peers::within(QUERY_TIMEOUT), request.clone());
         let call =
             move |client: ControlWireClient| async move { client.naming(context, request).await };
         link.call_at(address, "naming", call)
     });
-    let replies = future::join_all(asked).await.into_iter();
+    let replies = future::join_all(requests).await.into_iter();
     replies
         .map(|reply| reply.unwrap_or(PaxosReply::Abstained))
         .collect()
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -80,7 +80,7 @@
         /// The version; 0 for none.
         version: u64,
         /// When the leader was queried, in milliseconds of this host's monotonic clock.
-        asked_ms: u64,
+        sent_ms: u64,
     },
     /// An entry draws from quotas; for the leader.
     Quota(QuotaRequest, ReplySender<QuotaGrants>),
--- a/src/control/journal.rs
+++ b/src/control/journal.rs
@@ -181,7 +181,7 @@
     }
 
     /// Installs a check before each write, for tests of failing disks.
-    pub fn check_writes(&mut self, check: WriteCheck) {
+    pub fn set_write_check(&mut self, check: WriteCheck) {
         self.write_check = Some(check);
     }
 
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -232,13 +232,13 @@
                 stale_ms if stale_ms > 2 * WATCH_WAIT_MS => Position(0),
                 _ => Position(u64::MAX),
             };
-            let asked_ms = clock::monotonic_ms();
+            let requested_ms = clock::monotonic_ms();
             match hosts.query(&address, cursor).await {
-                Ok(notice) => {
-                    for host in &notice.hosts {
+                Ok(update) => {
+                    for host in &update.hosts {
                         hosts.watch(host.as_str());
                     }
-                    let leader_seen_ms = asked_ms.saturating_sub(notice.leaderless_ms);
+                    let leader_seen_ms = requested_ms.saturating_sub(update.leaderless_ms);
                     hosts
                         .leader_seen_ms
                         .fetch_max(leader_seen_ms, Ordering::SeqCst);
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -308,8 +308,8 @@
                     client.enroll(context, node, own).await
                 };
                 let answer = pool.call(&peer, "enroll", call).await;
-                if let (Ok(Ok(notice)), true) = (answer, open) {
-                    let hosts = notice.hosts.into_iter();
+                if let (Ok(Ok(update)), true) = (answer, open) {
+                    let hosts = update.hosts.into_iter();
                     peers::lock(&known).extend(hosts.map(|host| host.0));
                 }
             });
@@ -327,11 +327,11 @@
         else {
             continue;
         };
-        let asked_ms = clock::monotonic_ms();
+        let sent_ms = clock::monotonic_ms();
         let context = peers::within(MESSAGE_TIMEOUT);
         let call = |client: ControlWireClient| async move { client.confirm(context).await };
         match pool.call(&leader, "confirm", call).await {
-            Ok(Ok(version)) => handle.notify(ControlEvent::Confirmed { version, asked_ms }),
+            Ok(Ok(version)) => handle.notify(ControlEvent::Confirmed { version, sent_ms }),
             Ok(Err(refusal)) => tracing::debug!(?refusal, peer = %leader, "version not confirmed"),
             Err(error) => tracing::debug!(%error, "version not confirmed"),
         }
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -180,8 +180,8 @@
     }
 
     /// Installs a check before each write to the disk, for tests of failing disks.
-    pub fn check_writes(&mut self, check: WriteCheck) {
-        self.journal.check_writes(check);
+    pub fn set_write_check(&mut self, check: WriteCheck) {
+        self.journal.set_write_check(check);
     }
 
     /// Returns the identity of this voter's disk.
@@ -237,8 +237,8 @@
                 fresh,
                 answer,
             } => self.on_sync(now_ms, cursor, wait_ms, fresh, answer),
-            ControlEvent::AgentHeartbeat(beat, answer) => self.on_agent(now_ms, &beat, answer),
-            ControlEvent::EntryHeartbeat(beat, answer) => self.on_entry(now_ms, &beat, answer),
+            ControlEvent::AgentHeartbeat(agent, answer) => self.on_agent(now_ms, &agent, answer),
+            ControlEvent::EntryHeartbeat(entry, answer) => self.on_entry(now_ms, &entry, answer),
             ControlEvent::Table(answer) => {
                 let _ = answer.send(self.read_table(now_ms));
             }
@@ -274,8 +274,8 @@
                 let version = newest.map(configured_version);
                 let _ = answer.send(version.ok_or_else(|| self.not_leader()));
             }
-            ControlEvent::Confirmed { version, asked_ms } => {
-                self.confirmed = Some((version, asked_ms));
+            ControlEvent::Confirmed { version, sent_ms } => {
+                self.confirmed = Some((version, sent_ms));
             }
             ControlEvent::Accounts(answer) => {
                 let _ = answer.send(self.account_statuses(now_ms));
@@ -603,19 +603,19 @@
     fn on_agent(
         &mut self,
         now_ms: u64,
-        beat: &AgentHeartbeat,
+        heartbeat: &AgentHeartbeat,
         answer: ReplySender<AgentHeartbeatReply>,
     ) {
         let (Some(state), Some(targets)) = (self.replica.newest(now_ms), &mut self.targets) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let commands = targets.on_agent_heartbeat(state, now_ms, beat);
-        let target = TargetName(beat.host.0.clone());
-        let member = state.members.get(&beat.host);
-        let current = member.is_some_and(|member| member.incarnation == beat.incarnation);
+        let commands = targets.on_agent_heartbeat(state, now_ms, heartbeat);
+        let target = TargetName(heartbeat.host.0.clone());
+        let member = state.members.get(&heartbeat.host);
+        let current = member.is_some_and(|member| member.incarnation == heartbeat.incarnation);
         let orders = AgentHeartbeatReply {
-            plan: current.then(|| targets.target_plan(state, &target, beat)),
+            plan: current.then(|| targets.target_plan(state, &target, heartbeat)),
             position: state.changed(),
         };
         let _ = answer.send(Ok(orders));
@@ -627,18 +627,18 @@
     fn on_entry(
         &mut self,
         now_ms: u64,
-        beat: &EntryHeartbeat,
+        heartbeat: &EntryHeartbeat,
         answer: ReplySender<EntryHeartbeatReply>,
     ) {
         let (Some(state), Some(targets)) = (self.replica.newest(now_ms), &mut self.targets) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let (grants, commands) = targets.on_entry_heartbeat(state, now_ms, beat);
-        let member = state.members.get(&beat.host);
+        let (grants, commands) = targets.on_entry_heartbeat(state, now_ms, heartbeat);
+        let member = state.members.get(&heartbeat.host);
         let orders = EntryHeartbeatReply {
             grants,
-            rejoin: member.is_none_or(|member| member.incarnation != beat.incarnation),
+            rejoin: member.is_none_or(|member| member.incarnation != heartbeat.incarnation),
             position: state.changed(),
         };
         let _ = answer.send(Ok(orders));
@@ -865,9 +865,9 @@
                 version: configured_version(state),
                 age_ms: 0,
             }),
-            (_, Some((version, asked_ms))) => Some(FreshnessProof {
+            (_, Some((version, sent_ms))) => Some(FreshnessProof {
                 version,
-                age_ms: now_ms.saturating_sub(asked_ms),
+                age_ms: now_ms.saturating_sub(sent_ms),
             }),
             _ => None,
         }
--- a/src/entry/request_driver.rs
+++ b/src/entry/request_driver.rs
@@ -560,7 +560,7 @@
 
     fn address_of(&self, attempt: &TargetAttempt) -> Option<String> {
         let view = self.entry.follower.view();
-        view.agent_of(&attempt.target)
+        view.member_of(&attempt.target)
             .map(|agent| agent.address.clone())
     }
 
--- a/src/entry/shell.rs
+++ b/src/entry/shell.rs
@@ -329,7 +329,9 @@
 fn prune_state(entry: &EntryShared) {
     let view = entry.follower.view();
     let mut state = entry.state();
-    state.loads.retain(|target| view.agent_of(target).is_some());
+    state
+        .loads
+        .retain(|target| view.member_of(target).is_some());
     state.retries.retain(|row| view.rows.contains_key(row));
     state.refusals.prune(clock::monotonic_ms());
     drop(state);
--- a/src/forward/daemon.rs
+++ b/src/forward/daemon.rs
@@ -603,7 +603,7 @@
         let control: Vec<String> = settings.control.iter().map(ToString::to_string).collect();
         let link = Arc::new(ControlLink::new(secret, control.clone()));
         let follower = Arc::new(ControlFollower::new(link, settings.hall.clone()));
-        let life = EntryIncarnation {
+        let incarnation = EntryIncarnation {
             host: settings.host.clone(),
             incarnation: rand::rng().random(),
         };
@@ -623,7 +623,7 @@
             recent_demand: RefCell::default(),
             adapters: RefCell::default(),
             adapter_requests: RefCell::default(),
-            quotas: QuotaClient::new(QuotaHolder::new(life, clock::monotonic_ms())),
+            quotas: QuotaClient::new(QuotaHolder::new(incarnation, clock::monotonic_ms())),
             congestion_seen: Notify::new(),
             limit_changed: Notify::new(),
             active: Cell::new(0),
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -105,7 +105,7 @@
                 let per_s = state.rate.map(|rate| rate.per_s());
                 tracing::info!(replica = %state.replica, per_s, "rate limit of a replica changed");
                 replicas
-                    .permit_pace_mut()
+                    .permit_throttle_mut()
                     .update_rate(&state.replica.id, state.rate);
             }
         }
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -51,7 +51,7 @@
         let request = self.permit_request(sent_ms, record);
         self.replicas
             .borrow_mut()
-            .permit_pace_mut()
+            .permit_throttle_mut()
             .record_request(sent_ms, &record.id);
         let reply = self
             .link()
@@ -85,19 +85,19 @@
         if reply.is_ok() {
             replicas.limits_mut().acknowledge_limit(sent_ms, replica);
         }
-        let pace = replicas.permit_pace_mut();
+        let throttle = replicas.permit_throttle_mut();
         let (answer, granted) = match reply {
             Ok(PermitReply::Granted(stamp)) => {
-                pace.record_grant(sent_ms, &replica.id);
+                throttle.record_grant(sent_ms, &replica.id);
                 ("granted", Some(stamp))
             }
             Ok(PermitReply::Refused(refusal)) => {
-                pace.record_refusal(now_ms, sent_ms, &replica.id, refusal);
+                throttle.record_refusal(now_ms, sent_ms, &replica.id, refusal);
                 ("wait", None)
             }
             Err(error) => {
                 tracing::debug!(%error, %replica, "permit request failed");
-                pace.record_refusal(now_ms, sent_ms, &replica.id, NO_REPLY);
+                throttle.record_refusal(now_ms, sent_ms, &replica.id, NO_REPLY);
                 ("none", None)
             }
         };
--- a/src/forward/replica_table.rs
+++ b/src/forward/replica_table.rs
@@ -148,7 +148,7 @@
     /// Which replicas advertise a rate limit.
     limits: LimitedPeers,
     /// When permits for rate-limited replicas may be requested.
-    permit_pace: PermitThrottle<ReplicaId>,
+    permit_throttle: PermitThrottle<ReplicaId>,
     /// Services whose replicas take fewer requests while they warm up.
     warm_up_specs: BTreeMap<ServiceName, WarmupSpec>,
     /// Data halls to whose replicas nothing is sent.
@@ -169,7 +169,7 @@
             backoffs: BackoffTracker::default(),
             warm_ups: WarmupTracker::default(),
             limits: LimitedPeers::default(),
-            permit_pace: PermitThrottle::default(),
+            permit_throttle: PermitThrottle::default(),
             warm_up_specs: BTreeMap::new(),
             evacuated: BTreeSet::new(),
         }
--- a/src/forward/replica_table/blocks.rs
+++ b/src/forward/replica_table/blocks.rs
@@ -109,8 +109,8 @@
     }
 
     /// Returns the limiter of permit requests, mutably.
-    pub fn permit_pace_mut(&mut self) -> &mut PermitThrottle<ReplicaId> {
-        &mut self.permit_pace
+    pub fn permit_throttle_mut(&mut self) -> &mut PermitThrottle<ReplicaId> {
+        &mut self.permit_throttle
     }
 
     /// Records that a replica could not be reached or lost the connection: it may have restarted
@@ -132,7 +132,7 @@
     pub fn prune(&mut self, now_ms: u64) {
         self.backoffs.prune(now_ms);
         self.warm_ups.prune(now_ms);
-        self.permit_pace.prune(now_ms);
+        self.permit_throttle.prune(now_ms);
         let states = &self.states;
         let is_over = |incarnation: &ReplicaIncarnation| {
             let known = states.get(&incarnation.id);
@@ -151,7 +151,7 @@
             _ if self.is_evacuated(record) => Some(SendBlock::Evacuated),
             Some(block) => Some(SendBlock::Asked(block)),
             None if self.is_rate_limited(now_ms, record) => {
-                let left_ms = self.permit_pace.wait_ms(now_ms, &record.id)?;
+                let left_ms = self.permit_throttle.wait_ms(now_ms, &record.id)?;
                 Some(SendBlock::RateLimited { left_ms })
             }
             None => None,
--- a/src/forward/suspect_leases.rs
+++ b/src/forward/suspect_leases.rs
@@ -67,21 +67,21 @@
 
 impl EntryCore {
     /// Requests a lease to run a content on a replica, if the content is suspect.
-    pub async fn request_suspect_lease(self: &Rc<Self>, ask: SuspectLeaseRequest) -> Clearance {
-        match self.crashes.standing(&ask.content) {
+    pub async fn request_suspect_lease(self: &Rc<Self>, request: SuspectLeaseRequest) -> Clearance {
+        match self.crashes.standing(&request.content) {
             ContentStanding::Harmless => return Clearance::Go(None),
             ContentStanding::Barred => return Clearance::Quarantined,
             ContentStanding::Suspect(_) => {}
         }
         let end = SuspectLeaseRelease {
-            content: ask.content,
-            ticket: ask.ticket,
+            content: request.content,
+            ticket: request.ticket,
         };
         let reply = self
             .link()
             .call_leader("turn", LEASE_TIMEOUT, |client, context| {
-                let ask = ask.clone();
-                async move { client.turn(context, ask).await }
+                let request = request.clone();
+                async move { client.turn(context, request).await }
             })
             .await;
         let lease = || SuspectLeaseGuard {
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -505,10 +505,10 @@
             let (id, model) = (placement.replica, placement.model);
             commands.push(Command::ReplicaAdapterSettled(id, model, placement.adapter));
         }
-        self.fenced.retain(|life| {
+        self.fenced.retain(|incarnation| {
             records
-                .get(&life.id)
-                .is_some_and(|record| record.incarnation() == *life)
+                .get(&incarnation.id)
+                .is_some_and(|record| record.incarnation() == *incarnation)
         });
         commands
     }
--- a/src/process/follow.rs
+++ b/src/process/follow.rs
@@ -125,19 +125,19 @@
         }
     }
 
-    fn on_update(self: &Arc<Self>, notice: &PositionUpdate, asked_ms: u64) {
-        for host in &notice.hosts {
+    fn on_update(self: &Arc<Self>, update: &PositionUpdate, requested_ms: u64) {
+        for host in &update.hosts {
             self.watch(host.as_str());
         }
-        if notice.hall == self.hall && notice.position >= self.position() {
+        if update.hall == self.hall && update.position >= self.position() {
             let now_ms = clock::monotonic_ms();
             self.local_hall_seen_ms.fetch_max(now_ms, Ordering::SeqCst);
         }
-        let leader_seen_ms = asked_ms.saturating_sub(notice.leaderless_ms);
+        let leader_seen_ms = requested_ms.saturating_sub(update.leaderless_ms);
         self.leader_seen_ms
             .fetch_max(leader_seen_ms, Ordering::SeqCst);
-        if let Some(proof) = notice.proof {
-            peers::lock(&self.proofs).record(proof, asked_ms);
+        if let Some(proof) = update.proof {
+            peers::lock(&self.proofs).record(proof, requested_ms);
             self.proof_received.notify_waiters();
         }
     }
@@ -183,7 +183,7 @@
     let mut reached = None;
     loop {
         let cursor = follower.position();
-        let asked_ms = clock::monotonic_ms();
+        let requested_ms = clock::monotonic_ms();
         let answer = query_update(&follower, &address, cursor).await;
         let answered = matches!(answer, Ok(Ok(_)));
         if reached != Some(answered) {
@@ -191,12 +191,12 @@
             reached = Some(answered);
         }
         match answer {
-            Ok(Ok(notice)) => {
+            Ok(Ok(update)) => {
                 pause = MIN_RETRY_DELAY;
-                follower.on_update(&notice, asked_ms);
-                if notice.position > cursor {
+                follower.on_update(&update, requested_ms);
+                if update.position > cursor {
                     follower
-                        .catch_up(&address, &notice.hall, notice.position)
+                        .catch_up(&address, &update.hall, update.position)
                         .await;
                 }
             }
--- a/src/routing/limited_peers.rs
+++ b/src/routing/limited_peers.rs
@@ -130,7 +130,8 @@
             Some(last) => !last.acknowledged,
             None => false,
         });
-        let named = unacknowledged.filter_map(|(replica, _)| self.latest_limit(now_ms, replica));
+        let observations =
+            unacknowledged.filter_map(|(replica, _)| self.latest_limit(now_ms, replica));
         let ended = self.peers.iter().filter_map(|(replica, peer)| {
             Some(LimitEnd {
                 replica: replica.clone(),
@@ -138,7 +139,7 @@
             })
         });
         LimitReport {
-            observed: named.collect(),
+            observed: observations.collect(),
             ended: ended.collect(),
             cursor: self.cursor,
         }
@@ -152,8 +153,8 @@
                 _ => {}
             }
         }
-        for notice in &report.observed {
-            self.acknowledge_limit(sent_ms, &notice.replica);
+        for observation in &report.observed {
+            self.acknowledge_limit(sent_ms, &observation.replica);
         }
     }
 
--- a/src/routing/view.rs
+++ b/src/routing/view.rs
@@ -104,12 +104,12 @@
         let homes = self.homes.get(model).into_iter().flatten();
         homes
             .filter(|(_, home)| home.phase == HomePhase::Ready)
-            .filter_map(|(target, _)| Some((target, self.agent_of(target)?)))
+            .filter_map(|(target, _)| Some((target, self.member_of(target)?)))
             .filter(|(_, member)| !member.leaving && !self.evacuated.contains(&member.hall))
     }
 
-    /// Returns the agent of `target`.
-    pub fn agent_of(&self, target: &TargetName) -> Option<&MemberInfo> {
+    /// Returns the member on the host of the same name as `target`, whatever its role.
+    pub fn member_of(&self, target: &TargetName) -> Option<&MemberInfo> {
         self.members.get(&HostName(target.0.clone()))
     }
 
--- a/tests/full_disk.rs
+++ b/tests/full_disk.rs
@@ -93,7 +93,7 @@
     let mut voter = ControlLoop::open(settings).unwrap();
     let full = Arc::new(AtomicU32::new(0));
     let left = full.clone();
-    voter.check_writes(Box::new(move |_| {
+    voter.set_write_check(Box::new(move |_| {
         let refuse = left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1));
         match refuse {
             Ok(_) => Err(ErrorKind::StorageFull.into()),
@@ -118,7 +118,7 @@
     let slow = Duration::from_millis(3 * settings.timing.election_ms);
     bootstrap::bootstrap(&settings).unwrap();
     let mut voter = ControlLoop::open(settings).unwrap();
-    voter.check_writes(Box::new(move |_| {
+    voter.set_write_check(Box::new(move |_| {
         thread::sleep(slow);
         Ok(())
     }));
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -153,7 +153,7 @@
     ];
     for refused in 0..records.len() {
         let mut writes = 0;
-        journal.check_writes(Box::new(move |_| {
+        journal.set_write_check(Box::new(move |_| {
             writes += 1;
             match writes > 1 {
                 true => Ok(()),
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -212,7 +212,7 @@
     let blocked = table.claim(1_100, &incarnation(), None);
     assert_eq!(blocked, Err(SendBlock::RateLimited { left_ms: 0 }));
     table
-        .permit_pace_mut()
+        .permit_throttle_mut()
         .record_refusal(1_100, 1_100, &id, wait(140));
     assert_eq!(choose(&table, 1_200), Choice::RateLimited(40));
     assert_eq!(table.capacity_in_ms(1_200, &need()), Some(40));
@@ -233,7 +233,7 @@
     assert!(table.is_cold(60_000, &id));
     // After a refusal it gets nothing for the refusal's wait time, as with other replicas.
     table
-        .permit_pace_mut()
+        .permit_throttle_mut()
         .record_refusal(60_000, 60_000, &id, wait(300));
     assert_eq!(choose(&table, 60_299), Choice::RateLimited(1));
     table.prune(60_100);
