--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -1,5 +1,5 @@
-//! Decisions of an agent: which attempts run, what each entry is told of its attempt, and which
-//! orders the engine receives. Pure; the agent's shell moves the messages.
+//! Decisions of an agent: which attempts run, what is reported to each entry about its attempt,
+//! and which orders the engine receives. Pure; the agent's shell moves the messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -48,7 +48,7 @@
 /// Maximum time that a stopping agent waits for work in flight.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(120);
 /// Time that a stopping agent keeps serving before and after the drain: entries learn from
-/// control that it is leaving, and read the last pages.
+/// control that it is draining, and read the last pages.
 const DRAIN_NOTICE: Duration = Duration::from_millis(500);
 
 struct AgentShared {
@@ -164,7 +164,7 @@
         let shared = &self.shared;
         shared.admission().drain();
         let drained = async {
-            // Meanwhile entries learn from control that this agent is leaving.
+            // Meanwhile entries learn from control that this agent is draining.
             tokio::time::sleep(DRAIN_NOTICE).await;
             while !shared.admission().is_idle() {
                 tokio::time::sleep(DISPATCH_INTERVAL).await;
--- a/src/cli/contents.rs
+++ b/src/cli/contents.rs
@@ -1,5 +1,5 @@
-//! The `contents` command: lists contents whose requests crashed replicas, and lifts the
-//! quarantine of a content.
+//! The `contents` command: lists contents whose requests were running when replicas crashed, and
+//! lifts the quarantine of a content.
 
 use crate::cli::{commands, control};
 use crate::consensus::crashes::{ContentRecord, ContentStanding, CrashStore};
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -42,7 +42,7 @@
     pub address: String,
     /// Data hall of the process.
     pub hall: HallName,
-    /// Whether it is shutting down and takes no new work.
+    /// Whether it is draining and takes no new work.
     pub leaving: bool,
 }
 
--- a/src/control/bootstrap.rs
+++ b/src/control/bootstrap.rs
@@ -1,11 +1,11 @@
 //! Bootstrap of a site: which hosts create its first log.
 //!
-//! Used where the settings of all hosts name the same few control hosts, and not all
+//! Used where the settings of all hosts list the same few control hosts, and not all
 //! of these have a disk.
 //!
-//! The named hosts with a disk bootstrap the site together.
+//! The configured hosts with a disk bootstrap the site together.
 //! Whether a host has a disk never changes, so that all bootstrap hosts come to the same
-//! set, in whatever order they start. Where none of the named hosts has one, these
+//! set, in whatever order they start. Where none of the configured hosts has one, these
 //! agree on a single bootstrap host among the hosts that request it, and the others join that
 //! one: see [`crate::consensus::paxos`].
 
@@ -30,9 +30,9 @@
 /// Timeout of a request to have the bootstrap host chosen. The callee makes three rounds of
 /// calls at most: the two phases of the agreement, and a search for a site that exists already.
 const APPOINT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause before the hosts that did not answer are asked again.
+/// Pause before the hosts that did not reply are queried again.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Rounds without all answers between two log lines.
+/// Rounds without all replies between two log lines.
 const ROUNDS_PER_LOG_LINE: u32 = 25;
 
 /// Returns the disk identity of a voter that takes part in the bootstrap.
@@ -47,8 +47,8 @@
 /// settings name. To be done once, on each of them, and never again after a disk
 /// was lost.
 pub fn bootstrap(settings: &ControlSettings) -> Result<(), JournalError> {
-    let named = settings.common.control.iter();
-    init_voter(settings, named.map(|voter| &voter.host))
+    let configured = settings.common.control.iter();
+    init_voter(settings, configured.map(|voter| &voter.host))
 }
 
 /// Bootstraps the voter of this host in an empty data folder, as one of `founders`.
@@ -66,8 +66,8 @@
     journal.save(&[DiskRecord::Install(image.snapshot)])
 }
 
-/// Returns the hosts that were named at this host's first start, if its process ended before it
-/// had bootstrapped the site or joined it. The disk has not voted then, under any identity.
+/// Returns the hosts that were configured at this host's first start, if its process ended before
+/// it had bootstrapped the site or joined it. The disk has not voted then, under any identity.
 pub fn unfinished_first_start(
     settings: &ControlSettings,
 ) -> Result<Option<Vec<VoterSettings>>, JournalError> {
@@ -83,28 +83,28 @@
     Joins,
 }
 
-/// Replies of the named hosts so far: whether each keeps the log.
+/// Replies of the configured hosts so far: whether each keeps the log.
 #[derive(Default)]
-struct NamedHosts {
+struct ConfiguredHosts {
     with_disk: BTreeSet<HostName>,
     without: BTreeSet<HostName>,
 }
 
-/// Queries the named hosts until the role of this host is known. A host that is not named joins
-/// as soon as one named host has a disk. Otherwise the replies of all named hosts are awaited,
+/// Queries the configured hosts until the role of this host is known. A host that is not among
+/// them joins as soon as one of them has a disk. Otherwise the replies of all are awaited,
 /// however long they take: a bootstrap host that is left out would be lost.
 pub async fn determine_role(
     link: &ControlLink,
     own: &HostName,
-    named: &[VoterSettings],
+    configured: &[VoterSettings],
 ) -> InitialRole {
-    let is_named = named.iter().any(|voter| voter.host == *own);
-    let mut hosts = NamedHosts::default();
-    if is_named {
+    let is_configured = configured.iter().any(|voter| voter.host == *own);
+    let mut hosts = ConfiguredHosts::default();
+    if is_configured {
         hosts.with_disk.insert(own.clone());
     }
     for round in 1.. {
-        for voter in named {
+        for voter in configured {
             let known =
                 hosts.with_disk.contains(&voter.host) || hosts.without.contains(&voter.host);
             if !known {
@@ -115,11 +115,11 @@
                 };
             }
         }
-        let all = hosts.with_disk.len() + hosts.without.len() == named.len();
+        let all = hosts.with_disk.len() + hosts.without.len() == configured.len();
         match hosts.with_disk.is_empty() {
-            false if !is_named => return InitialRole::Joins,
+            false if !is_configured => return InitialRole::Joins,
             false if all => return InitialRole::Founds(hosts.with_disk),
-            true if all => return request_appointment(link, own, named).await,
+            true if all => return request_appointment(link, own, configured).await,
             _ => {}
         }
         if round % ROUNDS_PER_LOG_LINE == 0 {
@@ -127,8 +127,8 @@
             tracing::warn!(
                 with_disk,
                 without,
-                named = named.len(),
-                "bootstrap waits for named hosts"
+                named = configured.len(),
+                "bootstrap waits for configured hosts"
             );
         }
         tokio::time::sleep(RETRY_DELAY).await;
@@ -141,7 +141,7 @@
     let call = |client: ControlWireClient| async move { client.keeps_log(context).await };
     let reply = link.call_at(address, "keeps_log", call).await;
     reply
-        .inspect_err(|error| tracing::debug!(%error, "no reply of a named host"))
+        .inspect_err(|error| tracing::debug!(%error, "no reply of a configured host"))
         .ok()
 }
 
@@ -163,9 +163,9 @@
     !status.voters.is_empty()
 }
 
-/// Sends the same request to all other named hosts. A host that does not reply counts as
+/// Sends the same request to all other configured hosts. A host that does not reply counts as
 /// abstaining.
-pub async fn query_named_hosts(
+pub async fn query_configured_hosts(
     link: &ControlLink,
     others: &[String],
     request: &PaxosRequest,
@@ -182,14 +182,14 @@
         .collect()
 }
 
-/// Has the named hosts, none of which has a disk, choose the bootstrap host. One after the other
-/// is asked, always in the same order, so that they seldom try at the same time.
+/// Has the configured hosts, none of which has a disk, choose the bootstrap host. They are called
+/// one after the other, always in the same order, so that their attempts seldom overlap.
 async fn request_appointment(
     link: &ControlLink,
     own: &HostName,
-    named: &[VoterSettings],
+    configured: &[VoterSettings],
 ) -> InitialRole {
-    let mut relays: Vec<SocketAddr> = named.iter().map(|voter| voter.address).collect();
+    let mut relays: Vec<SocketAddr> = configured.iter().map(|voter| voter.address).collect();
     relays.sort_unstable();
     loop {
         for relay in &relays {
@@ -201,7 +201,7 @@
     }
 }
 
-/// Returns the role of this host, if one named host knows the bootstrap host or reaches
+/// Returns the role of this host, if one configured host knows the bootstrap host or reaches
 /// agreement on it.
 async fn request_appointment_from(
     link: &ControlLink,
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -35,7 +35,7 @@
 pub enum ControlEvent {
     /// A Raft message from another voter.
     Raft(NodeId, HostName, RaftMessage),
-    /// A process with a blank disk asks to become a voter.
+    /// A process with a blank disk requests to become a voter.
     Enroll(NodeId, HostName, ReplySender<PositionUpdate>),
     /// Commits a command.
     Propose(Command, ReplySender<(Position, Reply)>),
--- a/src/control/journal.rs
+++ b/src/control/journal.rs
@@ -116,18 +116,18 @@
 }
 
 /// Records in a blank folder that its host takes part in the site's first start, with the
-/// control hosts that were named to it. After a restart the host can no longer tell that this
-/// was the first start, and may be given other names.
-pub fn begin_first_start(folder: &Path, named: &[VoterSettings]) -> Result<()> {
+/// control hosts that were configured then. After a restart the host can no longer tell that this
+/// was the first start, and may have other hosts in its settings.
+pub fn begin_first_start(folder: &Path, configured: &[VoterSettings]) -> Result<()> {
     make_folder(folder)?;
     let mut frame = Vec::new();
-    push_frame(&mut frame, &named);
+    push_frame(&mut frame, &configured);
     replace(folder, FIRST_START_FILE, &frame)
 }
 
 /// Returns what [`begin_first_start`] recorded, as long as the folder holds no log and no
 /// identity other than `bootstrap_id`. A log means that the host has bootstrapped the site;
-/// another identity, that it has asked to join it.
+/// another identity, that it has requested to join it.
 pub fn unfinished_first_start(
     folder: &Path,
     bootstrap_id: NodeId,
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -265,8 +265,8 @@
         match &self.access {
             LogAccess::Local(handle) => {
                 let record = Box::new(record.clone());
-                let reply = handle.request(|answer| ControlEvent::Compare(record, answer));
-                let waited = tokio::time::timeout(HEARTBEAT_TIMEOUT, reply).await;
+                let request = handle.request(|answer| ControlEvent::Compare(record, answer));
+                let waited = tokio::time::timeout(HEARTBEAT_TIMEOUT, request).await;
                 let answered = waited.map_err(|_| RegistryError::NoQuorum)?;
                 answered.map_err(|_| RegistryError::NoQuorum)
             }
@@ -304,8 +304,8 @@
                     let call = |client: ControlWireClient| async move {
                         client.propose(context, command).await
                     };
-                    let reply = self.request_leader(&leader, "propose", call);
-                    match tokio::time::timeout_at(deadline.into(), reply).await {
+                    let request = self.request_leader(&leader, "propose", call);
+                    match tokio::time::timeout_at(deadline.into(), request).await {
                         Ok(answer) => answer,
                         Err(_) => return Err(RegistryError::NoQuorum),
                     }
--- a/src/control/relay.rs
+++ b/src/control/relay.rs
@@ -99,10 +99,11 @@
         settings: CommonSettings,
         secret: SiteSecret,
     ) -> Result<Self, DaemonError> {
-        let named = settings.control.iter().map(|voter| voter.host.clone());
-        let named: BTreeSet<HostName> = named.collect();
-        let is_named = named.contains(&settings.host);
-        let acceptor = is_named.then(|| PaxosAcceptor::new(named, Incarnation(rand::random())));
+        let configured = settings.control.iter().map(|voter| voter.host.clone());
+        let configured: BTreeSet<HostName> = configured.collect();
+        let is_configured = configured.contains(&settings.host);
+        let acceptor =
+            is_configured.then(|| PaxosAcceptor::new(configured, Incarnation(rand::random())));
         Self::open(listener, settings, secret, acceptor).await
     }
 
@@ -113,8 +114,8 @@
         acceptor: Option<PaxosAcceptor>,
     ) -> Result<Self, DaemonError> {
         let address = daemon::address_of("listen", &listener)?;
-        let named = settings.control.iter();
-        let others = named.filter(|voter| voter.host != settings.host);
+        let configured = settings.control.iter();
+        let others = configured.filter(|voter| voter.host != settings.host);
         let others: Vec<String> = others.map(|voter| voter.address.to_string()).collect();
         let link = Arc::new(ControlLink::new(secret.clone(), Vec::new()));
         let hosts = Arc::new(HostRegistry {
@@ -258,12 +259,12 @@
     agreement: Arc<BootstrapAgreement>,
 }
 
-/// Agreement of the named hosts on the bootstrap host, as far as this relay knows it.
+/// Agreement of the configured hosts on the bootstrap host, as far as this relay knows it.
 struct BootstrapAgreement {
-    /// Addresses of the other named hosts.
+    /// Addresses of the other configured hosts.
     others: Vec<String>,
     /// Paxos acceptor of this relay; `None` if this is not the site's first start, as an
-    /// earlier process may have accepted another host, or if this host is not named.
+    /// earlier process may have accepted another host, or if this host is not configured.
     acceptor: Option<Mutex<PaxosAcceptor>>,
     /// The chosen bootstrap host. Locked during the agreement, so that a second caller waits
     /// for the attempt of the first.
@@ -284,14 +285,14 @@
             .map(|_| founder)
     }
 
-    /// Returns the replies of all named hosts if a majority granted the request.
+    /// Returns the replies of all configured hosts if a majority granted the request.
     async fn query_all(
         &self,
         link: &ControlLink,
         acceptor: &Mutex<PaxosAcceptor>,
         request: &PaxosRequest,
     ) -> Option<Vec<PaxosReply>> {
-        let mut answers = bootstrap::query_named_hosts(link, &self.others, request).await;
+        let mut answers = bootstrap::query_configured_hosts(link, &self.others, request).await;
         let mut acceptor = peers::lock(acceptor);
         answers.push(acceptor.respond(request));
         acceptor.has_majority(&answers).then_some(answers)
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -85,8 +85,8 @@
         Self::start_on(listener, settings, secret).await
     }
 
-    /// Starts at the first start of the whole site: the named hosts that have a disk bootstrap
-    /// it, each through [`ControlDaemon::start_first`].
+    /// Starts at the first start of the whole site: the configured hosts that have a disk
+    /// bootstrap it, each through [`ControlDaemon::start_first`].
     pub async fn start_first(
         settings: ControlSettings,
         secret: SiteSecret,
@@ -122,12 +122,12 @@
         // The bootstrap hosts query each other before any of them has a log.
         serve(listener, secret.clone(), handle.clone());
         // Also resumes an interrupted first start, which only this disk still records.
-        if let Some(named) = bootstrap::unfinished_first_start(&settings)? {
-            bootstrap_site(secret, &settings, &named).await?;
+        if let Some(initial) = bootstrap::unfinished_first_start(&settings)? {
+            bootstrap_site(secret, &settings, &initial).await?;
             // Until there is a leader, the bootstrap hosts know each other only from these
             // names.
             let control = &mut settings.common.control;
-            let others = named.into_iter().filter(|voter| !control.contains(voter));
+            let others = initial.into_iter().filter(|voter| !control.contains(voter));
             let others: Vec<VoterSettings> = others.collect();
             control.extend(others);
         }
@@ -193,14 +193,14 @@
     }
 }
 
-/// Takes part in the site's first start, with the hosts that were named then.
+/// Takes part in the site's first start, with the hosts that were configured then.
 async fn bootstrap_site(
     secret: SiteSecret,
     settings: &ControlSettings,
-    named: &[VoterSettings],
+    configured: &[VoterSettings],
 ) -> Result<(), DaemonError> {
     let link = ControlLink::new(secret, Vec::new());
-    let part = bootstrap::determine_role(&link, &settings.common.host, named).await;
+    let part = bootstrap::determine_role(&link, &settings.common.host, configured).await;
     tracing::info!(?part, "the site starts for the first time");
     match part {
         InitialRole::Founds(hosts) => Ok(bootstrap::init_voter(settings, hosts.iter())?),
@@ -223,9 +223,9 @@
         runtime.spawn(send_messages(pool.clone(), from.clone(), peer, receiver));
         sender
     };
-    let named = settings.common.control.iter();
-    let named = named.filter(|voter| voter.host != own);
-    let senders = named.map(|voter| (voter.host.clone(), open(voter.address.to_string())));
+    let configured = settings.common.control.iter();
+    let configured = configured.filter(|voter| voter.host != own);
+    let senders = configured.map(|voter| (voter.host.clone(), open(voter.address.to_string())));
     PeerOutbox {
         senders: senders.collect(),
         open: settings
@@ -286,9 +286,9 @@
     node: NodeId,
     handle: ControlHandle,
 ) {
-    let named = settings.common.control.iter();
-    let named = named.map(|voter| voter.address.to_string());
-    let known: Arc<Mutex<BTreeSet<String>>> = Arc::new(Mutex::new(named.collect()));
+    let configured = settings.common.control.iter();
+    let configured = configured.map(|voter| voter.address.to_string());
+    let known: Arc<Mutex<BTreeSet<String>>> = Arc::new(Mutex::new(configured.collect()));
     let own = settings.common.host.clone();
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -123,7 +123,8 @@
     since_ms: u64,
     answer: oneshot::Sender<()>,
     /// A successor has been asked to stand for election. Until then the handover is retried:
-    /// this voter may win an election in progress, or hear from its followers again.
+    /// this voter may win an election in progress, or receive replies of its
+    /// followers again.
     handed_over: bool,
 }
 
--- a/src/forward/crashes.rs
+++ b/src/forward/crashes.rs
@@ -145,7 +145,7 @@
 
 impl EntryCore {
     /// Starts or joins an investigation of a replica that lost the connection during a run. Returns
-    /// `None` if the replica is known to be shutting down.
+    /// `None` if the replica is known to be draining.
     pub fn investigate_crash(
         self: &Rc<Self>,
         at: &SentTo,
--- a/src/forward/dialect.rs
+++ b/src/forward/dialect.rs
@@ -16,7 +16,7 @@
     pub not_executed: &'static str,
     /// A replica's running and waiting requests, and its slots.
     pub load: &'static str,
-    /// Announces that a replica is shutting down; in all its responses from then on.
+    /// Announces that a replica is draining; in all its responses from then on.
     pub leaving: &'static str,
     /// Requests per second that a replica accepts from all entries together; in all its responses
     /// while the limit holds.
@@ -31,7 +31,7 @@
     pub priority: &'static str,
     /// The caller's key, after the word `Bearer`.
     pub key: &'static str,
-    /// Tells the replica which account holds the caller's key.
+    /// Reports to the replica which account holds the caller's key.
     pub account: &'static str,
     /// Id of the last event that the caller received.
     pub last_event: &'static str,
--- a/src/forward/own_answer.rs
+++ b/src/forward/own_answer.rs
@@ -18,7 +18,7 @@
 pub(super) enum Refusal {
     /// All replicas are full.
     Full,
-    /// All replicas asked for a backoff that is longer than the request can wait.
+    /// All replicas requested a backoff that is longer than the request can wait.
     BackingOff,
     /// All replicas are in evacuated halls.
     Evacuated,
--- a/src/forward/replica_table.rs
+++ b/src/forward/replica_table.rs
@@ -36,7 +36,7 @@
     Full,
     /// Replicas with free capacity hold the model, but none has the adapter or can load it now.
     NoAdapter,
-    /// All candidates asked for a backoff; the first one ends after this many milliseconds.
+    /// All candidates requested a backoff; the first one ends after this many milliseconds.
     BackingOff(u64),
     /// All candidates are rate limited and have used up their rate; the first one may take another
     /// request after this many milliseconds.
@@ -141,7 +141,7 @@
     prefill_times: BTreeMap<ServiceName, PrefillTime>,
     /// Until when the leader's figures on congested replicas are valid.
     congestion_until_ms: u64,
-    /// Backoff and shutdown that replicas announced in responses.
+    /// Backoff and draining that replicas announced in responses.
     backoffs: BackoffTracker<ReplicaId>,
     /// Which replicas are warming up.
     warm_ups: WarmupTracker<ReplicaId>,
--- a/src/forward/replica_table/blocks.rs
+++ b/src/forward/replica_table/blocks.rs
@@ -1,5 +1,5 @@
 //! Whether a request may be sent to a replica: checked when the replica is chosen, and again right
-//! before the request is written. Considers backoff and shutdown announced by the replica, rate
+//! before the request is written. Considers backoff and draining announced by the replica, rate
 //! limits, and evacuated data halls.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,12 +30,12 @@
 }
 
 impl ReplicaTable {
-    /// Records that a replica asked for a backoff.
+    /// Records that a replica requested a backoff.
     pub fn back_off(&mut self, now_ms: u64, id: &ReplicaId, requested: RequestedBackoff) {
         self.backoffs.back_off(now_ms, id, requested);
     }
 
-    /// Records that a replica is shutting down. Returns whether this was not known before.
+    /// Records that a replica is draining. Returns whether this was not known before.
     pub fn record_draining(&mut self, now_ms: u64, incarnation: &ReplicaIncarnation) -> bool {
         let known = self.is_draining(incarnation);
         self.backoffs
@@ -43,7 +43,7 @@
         !known
     }
 
-    /// Whether a replica has announced its shutdown.
+    /// Whether a replica has announced that it is draining.
     pub fn is_draining(&self, incarnation: &ReplicaIncarnation) -> bool {
         self.backoffs
             .is_draining(&incarnation.id, incarnation.started_ms)
--- a/src/forward/request.rs
+++ b/src/forward/request.rs
@@ -460,7 +460,7 @@
             core.pool.borrow_mut().put(replica, connection);
             return AttemptOutcome::CallerRefused(refusal);
         }
-        // The replica may have asked for a backoff since it was chosen: waiting for a suspect
+        // The replica may have requested a backoff since it was chosen: waiting for a suspect
         // lease, a slow connection or a suspended process may lie between.
         let permit = self.permit.take();
         guard.permit = permit.as_ref().map(|permit| permit.stamp);
--- a/src/forward/request/answer_heads.rs
+++ b/src/forward/request/answer_heads.rs
@@ -1,5 +1,5 @@
 //! What replicas announce in the heads of their responses, independent of the outcome of the
-//! request: a backoff, their shutdown, or a rate limit.
+//! request: a backoff, that they are draining, or a rate limit.
 
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
     head::find(&head.headers, RETRY_AFTER)
 }
 
-/// Returns the backoff that a response asks for. Only 429 and 503 ask for one.
+/// Returns the backoff that a response requests. Only 429 and 503 request one.
 fn requested_backoff(head: &ResponseHead) -> Option<RequestedBackoff> {
     let turned_away = matches!(head.status, 429 | 503);
     let values = head::find_all(&head.headers, RETRY_AFTER).filter(|_| turned_away);
@@ -54,7 +54,7 @@
                 .back_off(now_ms, &incarnation.id, backoff);
             core.count("dunlinspring_pauses_asked_total", &[]);
             let (replica, status) = (&incarnation.id, head.status);
-            tracing::info!(%replica, request, status, pause_ms = backoff.ms, "replica asked for a backoff");
+            tracing::info!(%replica, request, status, pause_ms = backoff.ms, "replica requested a backoff");
         }
         if head::find(&head.headers, core.names.leaving).is_none() {
             return;
--- a/src/forward/upstream.rs
+++ b/src/forward/upstream.rs
@@ -159,7 +159,7 @@
         None
     }
 
-    /// Closes the idle connections to a replica that is shutting down.
+    /// Closes the idle connections to a replica that is draining.
     pub fn forget(&mut self, id: &ReplicaId) {
         self.idle.remove(id);
     }
--- a/src/placement/congestion.rs
+++ b/src/placement/congestion.rs
@@ -5,7 +5,7 @@
 //! 31 entries share a home that responds to eight requests a second, each entry gets such a report
 //! about once in four seconds. Together they keep a queue at the home that none of them sees.
 //!
-//! A queue that drains by itself is left alone: at worst its requests are served late. A standing
+//! A queue that empties by itself is left alone: at worst its requests are served late. A standing
 //! queue delays all requests and increases throughput for none, so entries are notified of it. The
 //! distinction and the minimum duration follow CoDel (Nichols and Jacobson, "Controlling Queue
 //! Delay", ACM Queue 10(5), 2012).
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -50,7 +50,7 @@
     /// before entries learn of it.
     pub crowded_tokens: u64,
     /// Time for which the queue must stand without interruption, in milliseconds. A queue that
-    /// stands for less drains by itself.
+    /// stands for less empties by itself.
     pub crowded_ms: u64,
 }
 
--- a/src/placement/moves.rs
+++ b/src/placement/moves.rs
@@ -124,7 +124,7 @@
 }
 
 impl<'a> PlacementSnapshot<'a> {
-    /// Includes only targets in open halls whose agent is alive and not leaving.
+    /// Includes only targets in open halls whose agent is alive and not draining.
     fn new(state: &'a SiteState) -> Self {
         let mut targets = BTreeMap::new();
         for (target, spec) in &state.site.targets {
--- a/src/process/peers.rs
+++ b/src/process/peers.rs
@@ -341,7 +341,7 @@
     }
 }
 
-/// Returns the context of a call that must be answered within `time`.
+/// Returns the context of a call whose reply must arrive within `time`.
 pub fn within(time: Duration) -> tarpc::context::Context {
     let mut context = tarpc::context::current();
     context.deadline = Instant::now() + time;
@@ -563,7 +563,7 @@
         known[number % known.len()].clone()
     }
 
-    /// Calls the control host with that index, for calls that any of them can answer.
+    /// Calls the control host with that index, for calls that any of them can handle.
     pub async fn call_any<T, F>(
         &self,
         number: usize,
--- a/src/process/wire.rs
+++ b/src/process/wire.rs
@@ -239,12 +239,12 @@
     async fn keeps_log() -> bool;
     /// Announces a host that keeps the log, to hosts that keep none and only know each other.
     async fn announce(host: HostName);
-    /// Requests that a named host without a disk has the caller chosen as the only bootstrap
-    /// host, used if none of the named hosts has a disk. The first host that is chosen remains
+    /// Requests that a configured host without a disk has the caller chosen as the only bootstrap
+    /// host, used if none of the configured hosts has a disk. The first host that is chosen remains
     /// the bootstrap host.
     async fn appoint(host: HostName) -> Result<HostName, ControlRefusal>;
-    /// Sends a Paxos request of the agreement on the bootstrap host to a named host without a
-    /// disk.
+    /// Sends a Paxos request of the agreement on the bootstrap host to a configured host without
+    /// a disk.
     async fn naming(request: PaxosRequest) -> PaxosReply;
 }
 
--- a/src/table/quota.rs
+++ b/src/table/quota.rs
@@ -163,7 +163,7 @@
     }
 
     /// Returns whether a request may be paid for without the leader, `silent_ms` after the last
-    /// answered request to it.
+    /// request to it that got a reply.
     fn may_borrow(&self, cost: u64, silent_ms: u64) -> bool {
         let window_s = silent_ms as f64 / 1_000.0 + BORROW_S;
         self.borrowed == 0 || (self.borrowed + cost) as f64 <= self.lent_per_s as f64 * window_s
@@ -208,7 +208,7 @@
     short: BTreeSet<AccountName>,
     number: u64,
     requested_ms: u64,
-    /// Time at which the last answered request was made.
+    /// Time at which the last request that got a reply was made.
     answered_ms: Option<u64>,
     /// Whether the last request got no reply.
     unanswered: bool,
