--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -421,7 +421,7 @@
         Some(EngineOrder { seq, boot, act })
     }
 
-    /// Records that the connection of an order closed, with or without a reply.
+    /// Records that the connection of an order closed, with or without a response.
     pub fn order_closed(&mut self, now_ms: u64, order: &EngineOrder) {
         self.order_in_flight = false;
         match &order.act {
--- a/src/admission/ledger.rs
+++ b/src/admission/ledger.rs
@@ -1,7 +1,7 @@
 //! Accounting of the memory of an agent's target.
 //!
-//! An order without a reply is counted for both possible outcomes until a later report proves one
-//! of them. The accounted sum is therefore never less than what the engine may hold.
+//! An order without a response is counted for both possible outcomes until a later report proves
+//! one of them. The accounted sum is therefore never less than what the engine may hold.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Records that the connection of a load or unload order closed, with or without a reply.
+    /// Records that the connection of a load or unload order closed, with or without a response.
     pub fn close_order(&mut self, model: &ModelName, now_ms: u64) {
         if let Some(used) = self.models.get_mut(model) {
             used.stamp.open_ms = now_ms;
--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -14,7 +14,7 @@
 use crate::ids::{AttemptId, ModelName};
 use crate::table::rows::Urgency;
 
-/// Timeout of an order. The engine replies to a load when it begins, not when it is done.
+/// Timeout of an order. The engine responds to a load when it begins, not when it is done.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Timeout of a report request.
 pub const REPORT_TIMEOUT: Duration = Duration::from_millis(1000);
--- a/src/placement/adapters.rs
+++ b/src/placement/adapters.rs
@@ -30,13 +30,13 @@
 /// in milliseconds. Longer than the time for which the directory ranks the order above heartbeats.
 const UNLOAD_EFFECT_MS: u64 = 6_000;
 /// Time for which an adapter is left alone when the outcome of its order is unknown, in
-/// milliseconds: after an unload without a reply, and before a load of the previous leader is sent
-/// again. Heartbeats usually show the outcome within this time. The slot stays occupied until the
-/// outcome is known.
+/// milliseconds: after an unload without a response, and before a load of the previous leader is
+/// sent again. Heartbeats usually show the outcome within this time. The slot stays occupied until
+/// the outcome is known.
 const UNKNOWN_OUTCOME_MS: u64 = 13_000;
 /// Time for which no load is started at a replica that did not accept an order, in milliseconds.
 const BUSY_BACKOFF_MS: u64 = 500;
-/// Delay before a load without a reply is sent again, in milliseconds.
+/// Delay before a load without a response is sent again, in milliseconds.
 const RESEND_DELAY_MS: u64 = 1_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -44,10 +44,10 @@
     kind: OrderKind,
     /// When the order is forgotten; `None` while its outcome is open.
     expires_ms: Option<u64>,
-    /// When the order is to be sent; `None` while a reply or its effect is awaited.
+    /// When the order is to be sent; `None` while a response or its effect is awaited.
     send_at_ms: Option<u64>,
-    /// The order was sent without a reply, by this leader or the previous one, and may still take
-    /// effect.
+    /// The order was sent without a response, by this leader or the previous one, and may still
+    /// take effect.
     may_be_running: bool,
 }
 
@@ -180,7 +180,7 @@
                 order.expires_ms = Some(now_ms + UNKNOWN_OUTCOME_MS);
                 false
             }
-            // The slot stays occupied until a reply shows that the earlier attempt is over. An
+            // The slot stays occupied until a response shows that the earlier attempt is over. An
             // engine that counts orders carries out at most one of the attempts.
             OrderOutcome::Unknown => {
                 order.may_be_running = true;
@@ -245,7 +245,7 @@
         settled
     }
 
-    /// Takes over the loads of the previous leader as loads without a reply.
+    /// Takes over the loads of the previous leader as loads without a response.
     fn adopt(&mut self, replicas: &ReplicaDirectory, now_ms: u64) {
         if std::mem::replace(&mut self.adopted, true) {
             return;
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -89,7 +89,7 @@
     /// The log has shown the order's command as committed.
     committed: bool,
     since_ms: u64,
-    /// When the order is to be sent; `None` while a reply is awaited.
+    /// When the order is to be sent; `None` while a response is awaited.
     send_ms: Option<u64>,
     /// The engine refused the order and the log has not settled it yet. Until then the order is
     /// neither sent again nor taken over from the log anew.
@@ -148,7 +148,7 @@
 const DEMAND_SAMPLE_INTERVAL_MS: u64 = 500;
 /// Time for which an entry's report counts, in milliseconds.
 const ENTRY_REPORT_TTL_MS: u64 = 2_500;
-/// Delay before an order is sent again to an engine that was busy or did not reply, in
+/// Delay before an order is sent again to an engine that was busy or did not respond, in
 /// milliseconds.
 const RESEND_DELAY_MS: u64 = 1_000;
 /// Time within which a command is expected to be committed, in milliseconds.
@@ -349,9 +349,10 @@
         let Some(pending) = self.pending.get_mut(id) else {
             return Vec::new();
         };
-        // No order is settled by time alone: one without a reply may be carried out much later, and
-        // an accepted one may wait for running requests. It occupies memory until its effect shows,
-        // and is sent again meanwhile. The engine's order count lets only one attempt take effect.
+        // No order is settled by time alone: one without a response may be carried out much later,
+        // and an accepted one may wait for running requests. It occupies memory until its effect
+        // shows, and is sent again meanwhile. The engine's order count lets only one attempt take
+        // effect.
         match outcome {
             OrderOutcome::Taken | OrderOutcome::Held => {
                 pending.send_ms = Some(now_ms + self.policy.order_ms);
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -85,7 +85,7 @@
     Fenced,
     /// The engine refused the order, or is not the replica that the order names.
     Refused,
-    /// No reply: the order may be carried out or not.
+    /// No response: the order may be carried out or not.
     Unknown,
 }
 
