--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -1,5 +1,5 @@
-//! Decisions of an agent: which attempts run, what each entry is told of its attempt, and which
-//! orders the engine receives. Pure; the agent's shell moves the messages.
+//! Decisions of an agent: which attempts run, what is reported to each entry about its attempt,
+//! and which orders the engine receives. Pure; the agent's shell moves the messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -421,7 +421,7 @@
         Some(EngineOrder { seq, boot, act })
     }
 
-    /// Records that the connection of an order closed, with or without a reply.
+    /// Records that the connection of an order closed, with or without a response.
     pub fn order_closed(&mut self, now_ms: u64, order: &EngineOrder) {
         self.order_in_flight = false;
         match &order.act {
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -11,9 +11,9 @@
 use crate::consensus::raft::RaftMessage;
 use crate::consensus::state::{Command, Reply};
 use crate::ids::{HostName, NodeId, Position, ReplicaId, Term};
+use crate::placement::advertised_limits::{LimitPage, LimitReport};
 use crate::placement::congestion::{QueueReport, QueuedTokens};
-use crate::placement::named_limits::{LimitPage, LimitReport};
-use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
+use crate::placement::order::{AdapterPlacement, OrderOutcome, ReplicaOrder};
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::suspect_leases::{
@@ -35,7 +35,7 @@
 pub enum ControlEvent {
     /// A Raft message from another voter.
     Raft(NodeId, HostName, RaftMessage),
-    /// A process with a blank disk asks to become a voter.
+    /// A process with a blank disk requests to become a voter.
     Enroll(NodeId, HostName, ReplySender<PositionUpdate>),
     /// Commits a command.
     Propose(Command, ReplySender<(Position, Reply)>),
@@ -80,7 +80,7 @@
         /// The version; 0 for none.
         version: u64,
         /// When the leader was queried, in milliseconds of this host's monotonic clock.
-        asked_ms: u64,
+        sent_ms: u64,
     },
     /// An entry draws from quotas; for the leader.
     Quota(QuotaRequest, ReplySender<QuotaGrants>),
@@ -108,7 +108,7 @@
     /// Requests a permit to send an order of that term.
     OrderPermit(Term, ReplySender<SendPermit>),
     /// An order of this leader has ended with that outcome.
-    OrderDone(EngineOrder, OrderOutcome),
+    OrderDone(ReplicaOrder, OrderOutcome),
     /// Compares a replica's heartbeat with the state that is committed here.
     Compare(Box<ReplicaRecord>, ReplySender<HeartbeatStatus>),
     /// Hands over the leadership and stops.
@@ -118,7 +118,7 @@
 impl ControlEvent {
     /// Returns whether the event reads or checks the newest state. Such an event waits until
     /// this voter has applied all that is committed.
-    pub(super) fn is_linearizable(&self) -> bool {
+    pub(super) fn needs_newest(&self) -> bool {
         match self {
             Self::Configuration(_)
             | Self::Table(_)
--- a/src/control/shell.rs
+++ b/src/control/shell.rs
@@ -25,9 +25,9 @@
 use crate::control::outbox::{OpenPeer, PeerOutbox};
 use crate::control::voter::ControlLoop;
 use crate::ids::{HostName, NodeId, Position, ReplicaId};
+use crate::placement::advertised_limits::{LimitPage, LimitReport};
 use crate::placement::congestion::{QueueReport, QueuedTokens};
-use crate::placement::named_limits::{LimitPage, LimitReport};
-use crate::placement::order::{AdapterPlacement, EngineOrder};
+use crate::placement::order::{AdapterPlacement, ReplicaOrder};
 use crate::placement::replica_rates::{PermitReply, PermitRequest};
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::suspect_leases::{
@@ -74,7 +74,7 @@
     /// Address that serves metrics and health.
     pub watch: SocketAddr,
     handle: ControlHandle,
-    orders: Option<mpsc::UnboundedReceiver<EngineOrder>>,
+    orders: Option<mpsc::UnboundedReceiver<ReplicaOrder>>,
     ended: oneshot::Receiver<Result<(), DaemonError>>,
 }
 
@@ -85,8 +85,8 @@
         Self::start_on(listener, settings, secret).await
     }
 
-    /// Starts at the first start of the whole site: the named hosts that have a disk bootstrap
-    /// it, each through [`ControlDaemon::start_first`].
+    /// Starts at the first start of the whole site: the configured hosts that have a disk
+    /// bootstrap it, each through [`ControlDaemon::start_first`].
     pub async fn start_first(
         settings: ControlSettings,
         secret: SiteSecret,
@@ -122,12 +122,12 @@
         // The bootstrap hosts query each other before any of them has a log.
         serve(listener, secret.clone(), handle.clone());
         // Also resumes an interrupted first start, which only this disk still records.
-        if let Some(named) = bootstrap::unfinished_first_start(&settings)? {
-            bootstrap_site(secret, &settings, &named).await?;
+        if let Some(initial) = bootstrap::unfinished_first_start(&settings)? {
+            bootstrap_site(secret, &settings, &initial).await?;
             // Until there is a leader, the bootstrap hosts know each other only from these
             // names.
             let control = &mut settings.common.control;
-            let others = named.into_iter().filter(|voter| !control.contains(voter));
+            let others = initial.into_iter().filter(|voter| !control.contains(voter));
             let others: Vec<VoterSettings> = others.collect();
             control.extend(others);
         }
@@ -171,7 +171,7 @@
 
     /// Takes the channel of the orders that this host issues to engines while it leads; `None`
     /// after the first call.
-    pub fn take_orders(&mut self) -> Option<mpsc::UnboundedReceiver<EngineOrder>> {
+    pub fn take_orders(&mut self) -> Option<mpsc::UnboundedReceiver<ReplicaOrder>> {
         self.orders.take()
     }
 
@@ -193,14 +193,14 @@
     }
 }
 
-/// Takes part in the site's first start, with the hosts that were named then.
+/// Takes part in the site's first start, with the hosts that were configured then.
 async fn bootstrap_site(
     secret: SiteSecret,
     settings: &ControlSettings,
-    named: &[VoterSettings],
+    configured: &[VoterSettings],
 ) -> Result<(), DaemonError> {
     let link = ControlLink::new(secret, Vec::new());
-    let part = bootstrap::determine_role(&link, &settings.common.host, named).await;
+    let part = bootstrap::determine_role(&link, &settings.common.host, configured).await;
     tracing::info!(?part, "the site starts for the first time");
     match part {
         InitialRole::Founds(hosts) => Ok(bootstrap::init_voter(settings, hosts.iter())?),
@@ -223,9 +223,9 @@
         runtime.spawn(send_messages(pool.clone(), from.clone(), peer, receiver));
         sender
     };
-    let named = settings.common.control.iter();
-    let named = named.filter(|voter| voter.host != own);
-    let senders = named.map(|voter| (voter.host.clone(), open(voter.address.to_string())));
+    let configured = settings.common.control.iter();
+    let configured = configured.filter(|voter| voter.host != own);
+    let senders = configured.map(|voter| (voter.host.clone(), open(voter.address.to_string())));
     PeerOutbox {
         senders: senders.collect(),
         open: settings
@@ -286,9 +286,9 @@
     node: NodeId,
     handle: ControlHandle,
 ) {
-    let named = settings.common.control.iter();
-    let named = named.map(|voter| voter.address.to_string());
-    let known: Arc<Mutex<BTreeSet<String>>> = Arc::new(Mutex::new(named.collect()));
+    let configured = settings.common.control.iter();
+    let configured = configured.map(|voter| voter.address.to_string());
+    let known: Arc<Mutex<BTreeSet<String>>> = Arc::new(Mutex::new(configured.collect()));
     let own = settings.common.host.clone();
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -308,8 +308,8 @@
                     client.enroll(context, node, own).await
                 };
                 let answer = pool.call(&peer, "enroll", call).await;
-                if let (Ok(Ok(notice)), true) = (answer, open) {
-                    let hosts = notice.hosts.into_iter();
+                if let (Ok(Ok(update)), true) = (answer, open) {
+                    let hosts = update.hosts.into_iter();
                     peers::lock(&known).extend(hosts.map(|host| host.0));
                 }
             });
@@ -327,11 +327,11 @@
         else {
             continue;
         };
-        let asked_ms = clock::monotonic_ms();
+        let sent_ms = clock::monotonic_ms();
         let context = peers::within(MESSAGE_TIMEOUT);
         let call = |client: ControlWireClient| async move { client.confirm(context).await };
         match pool.call(&leader, "confirm", call).await {
-            Ok(Ok(version)) => handle.notify(ControlEvent::Confirmed { version, asked_ms }),
+            Ok(Ok(version)) => handle.notify(ControlEvent::Confirmed { version, sent_ms }),
             Ok(Err(refusal)) => tracing::debug!(?refusal, peer = %leader, "version not confirmed"),
             Err(error) => tracing::debug!(%error, "version not confirmed"),
         }
--- a/src/control/voter.rs
+++ b/src/control/voter.rs
@@ -17,9 +17,9 @@
 use crate::control::journal::{DiskJournal, JournalError, WriteCheck};
 use crate::control::outbox::PeerOutbox;
 use crate::ids::{HostName, NodeId, Position, ReplicaIncarnation, TargetName, Term};
+use crate::placement::advertised_limits::{IncarnationState, LimitPage, LimitReport};
 use crate::placement::fleet::FleetController;
-use crate::placement::named_limits::{IncarnationState, LimitPage, LimitReport};
-use crate::placement::order::{AdapterPlacement, EngineOrder, OrderOutcome};
+use crate::placement::order::{AdapterPlacement, OrderOutcome, ReplicaOrder};
 use crate::placement::replica_rates::{PermitReply, PermitRequest, ReplicaRateLimits};
 use crate::placement::report::{EntryReport, ReportReply};
 use crate::placement::suspect_leases::{SuspectLeaseReply, SuspectLeaseRequest, SuspectLeases};
@@ -102,7 +102,7 @@
     /// Version of the newest configuration that a leader confirmed, and when this host queried
     /// it.
     confirmed: Option<(u64, u64)>,
-    orders: Option<mpsc::UnboundedSender<EngineOrder>>,
+    orders: Option<mpsc::UnboundedSender<ReplicaOrder>>,
     pending_proposals: BTreeMap<Position, (Term, ReplySender<(Position, Reply)>)>,
     waiters: Vec<SyncWaiter>,
     /// When members were last notified of a change.
@@ -123,7 +123,8 @@
     since_ms: u64,
     answer: oneshot::Sender<()>,
     /// A successor has been asked to stand for election. Until then the handover is retried:
-    /// this voter may win an election in progress, or hear from its followers again.
+    /// this voter may win an election in progress, or receive replies of its
+    /// followers again.
     handed_over: bool,
 }
 
@@ -175,13 +176,13 @@
     }
 
     /// Sets the channel for the orders of this leader.
-    pub fn send_orders(&mut self, orders: mpsc::UnboundedSender<EngineOrder>) {
+    pub fn send_orders(&mut self, orders: mpsc::UnboundedSender<ReplicaOrder>) {
         self.orders = Some(orders);
     }
 
     /// Installs a check before each write to the disk, for tests of failing disks.
-    pub fn check_writes(&mut self, check: WriteCheck) {
-        self.journal.check_writes(check);
+    pub fn set_write_check(&mut self, check: WriteCheck) {
+        self.journal.set_write_check(check);
     }
 
     /// Returns the identity of this voter's disk.
@@ -221,9 +222,7 @@
     fn handle(&mut self, event: ControlEvent) {
         let now_ms = clock::monotonic_ms();
         match event {
-            event if event.is_linearizable() && self.replica.is_behind() => {
-                self.deferred.push(event)
-            }
+            event if event.needs_newest() && self.replica.is_behind() => self.deferred.push(event),
             ControlEvent::Raft(from, host, message) => {
                 self.hosts.insert(from, host);
                 self.replica.receive(now_ms, from, message);
@@ -239,8 +238,8 @@
                 fresh,
                 answer,
             } => self.on_sync(now_ms, cursor, wait_ms, fresh, answer),
-            ControlEvent::AgentHeartbeat(beat, answer) => self.on_agent(now_ms, &beat, answer),
-            ControlEvent::EntryHeartbeat(beat, answer) => self.on_entry(now_ms, &beat, answer),
+            ControlEvent::AgentHeartbeat(agent, answer) => self.on_agent(now_ms, &agent, answer),
+            ControlEvent::EntryHeartbeat(entry, answer) => self.on_entry(now_ms, &entry, answer),
             ControlEvent::Table(answer) => {
                 let _ = answer.send(self.read_table(now_ms));
             }
@@ -276,8 +275,8 @@
                 let version = newest.map(configured_version);
                 let _ = answer.send(version.ok_or_else(|| self.not_leader()));
             }
-            ControlEvent::Confirmed { version, asked_ms } => {
-                self.confirmed = Some((version, asked_ms));
+            ControlEvent::Confirmed { version, sent_ms } => {
+                self.confirmed = Some((version, sent_ms));
             }
             ControlEvent::Accounts(answer) => {
                 let _ = answer.send(self.account_statuses(now_ms));
@@ -558,7 +557,7 @@
         }
     }
 
-    fn send_order(&self, now_ms: u64, order: EngineOrder) {
+    fn send_order(&self, now_ms: u64, order: ReplicaOrder) {
         let lease_left_ms = self
             .replica
             .raft()
@@ -573,7 +572,7 @@
         }
     }
 
-    fn on_order_done(&mut self, now_ms: u64, order: &EngineOrder, outcome: OrderOutcome) {
+    fn on_order_done(&mut self, now_ms: u64, order: &ReplicaOrder, outcome: OrderOutcome) {
         let Some(fleet) = &mut self.fleet else {
             return;
         };
@@ -605,19 +604,19 @@
     fn on_agent(
         &mut self,
         now_ms: u64,
-        beat: &AgentHeartbeat,
+        heartbeat: &AgentHeartbeat,
         answer: ReplySender<AgentHeartbeatReply>,
     ) {
         let (Some(state), Some(targets)) = (self.replica.newest(now_ms), &mut self.targets) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let commands = targets.on_agent_heartbeat(state, now_ms, beat);
-        let target = TargetName(beat.host.0.clone());
-        let member = state.members.get(&beat.host);
-        let current = member.is_some_and(|member| member.incarnation == beat.incarnation);
+        let commands = targets.on_agent_heartbeat(state, now_ms, heartbeat);
+        let target = TargetName(heartbeat.host.0.clone());
+        let member = state.members.get(&heartbeat.host);
+        let current = member.is_some_and(|member| member.incarnation == heartbeat.incarnation);
         let orders = AgentHeartbeatReply {
-            plan: current.then(|| targets.target_plan(state, &target, beat)),
+            plan: current.then(|| targets.target_plan(state, &target, heartbeat)),
             position: state.changed(),
         };
         let _ = answer.send(Ok(orders));
@@ -629,18 +628,18 @@
     fn on_entry(
         &mut self,
         now_ms: u64,
-        beat: &EntryHeartbeat,
+        heartbeat: &EntryHeartbeat,
         answer: ReplySender<EntryHeartbeatReply>,
     ) {
         let (Some(state), Some(targets)) = (self.replica.newest(now_ms), &mut self.targets) else {
             let _ = answer.send(Err(self.not_leader()));
             return;
         };
-        let (grants, commands) = targets.on_entry_heartbeat(state, now_ms, beat);
-        let member = state.members.get(&beat.host);
+        let (grants, commands) = targets.on_entry_heartbeat(state, now_ms, heartbeat);
+        let member = state.members.get(&heartbeat.host);
         let orders = EntryHeartbeatReply {
             grants,
-            rejoin: member.is_none_or(|member| member.incarnation != beat.incarnation),
+            rejoin: member.is_none_or(|member| member.incarnation != heartbeat.incarnation),
             position: state.changed(),
         };
         let _ = answer.send(Ok(orders));
@@ -867,9 +866,9 @@
                 version: configured_version(state),
                 age_ms: 0,
             }),
-            (_, Some((version, asked_ms))) => Some(FreshnessProof {
+            (_, Some((version, sent_ms))) => Some(FreshnessProof {
                 version,
-                age_ms: now_ms.saturating_sub(asked_ms),
+                age_ms: now_ms.saturating_sub(sent_ms),
             }),
             _ => None,
         }
--- a/src/forward/crashes.rs
+++ b/src/forward/crashes.rs
@@ -145,7 +145,7 @@
 
 impl EntryCore {
     /// Starts or joins an investigation of a replica that lost the connection during a run. Returns
-    /// `None` if the replica is known to be shutting down.
+    /// `None` if the replica is known to be draining.
     pub fn investigate_crash(
         self: &Rc<Self>,
         at: &SentTo,
@@ -213,9 +213,7 @@
         Some(record) if record.incarnation() == at.incarnation => false,
         _ => {
             let mut others = view.replicas.values();
-            others.any(|record| {
-                record.address == at.address && record.incarnation() != at.incarnation
-            })
+            others.any(|other| other.address == at.address && other.incarnation() != at.incarnation)
         }
     }
 }
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -7,8 +7,8 @@
 use crate::clock;
 use crate::forward::daemon::EntryCore;
 use crate::ids::ReplicaIncarnation;
-use crate::placement::named_limits::{LimitPage, PermitStamp};
-use crate::placement::named_rate::AdvertisedRate;
+use crate::placement::advertised_limits::{LimitPage, PermitStamp};
+use crate::placement::advertised_rate::AdvertisedRate;
 
 /// Shortest time between two reports.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
@@ -105,7 +105,7 @@
                 let per_s = state.rate.map(|rate| rate.per_s());
                 tracing::info!(replica = %state.replica, per_s, "rate limit of a replica changed");
                 replicas
-                    .permit_pace_mut()
+                    .permit_throttle_mut()
                     .update_rate(&state.replica.id, state.rate);
             }
         }
--- a/src/forward/replica_table.rs
+++ b/src/forward/replica_table.rs
@@ -36,7 +36,7 @@
     Full,
     /// Replicas with free capacity hold the model, but none has the adapter or can load it now.
     NoAdapter,
-    /// All candidates asked for a backoff; the first one ends after this many milliseconds.
+    /// All candidates requested a backoff; the first one ends after this many milliseconds.
     BackingOff(u64),
     /// All candidates are rate limited and have used up their rate; the first one may take another
     /// request after this many milliseconds.
@@ -141,14 +141,14 @@
     prefill_times: BTreeMap<ServiceName, PrefillTime>,
     /// Until when the leader's figures on congested replicas are valid.
     congestion_until_ms: u64,
-    /// Backoff and shutdown that replicas announced in responses.
+    /// Backoff and draining that replicas announced in responses.
     backoffs: BackoffTracker<ReplicaId>,
     /// Which replicas are warming up.
     warm_ups: WarmupTracker<ReplicaId>,
     /// Which replicas advertise a rate limit.
     limits: LimitedPeers,
     /// When permits for rate-limited replicas may be requested.
-    permit_pace: PermitThrottle<ReplicaId>,
+    permit_throttle: PermitThrottle<ReplicaId>,
     /// Services whose replicas take fewer requests while they warm up.
     warm_up_specs: BTreeMap<ServiceName, WarmupSpec>,
     /// Data halls to whose replicas nothing is sent.
@@ -169,7 +169,7 @@
             backoffs: BackoffTracker::default(),
             warm_ups: WarmupTracker::default(),
             limits: LimitedPeers::default(),
-            permit_pace: PermitThrottle::default(),
+            permit_throttle: PermitThrottle::default(),
             warm_up_specs: BTreeMap::new(),
             evacuated: BTreeSet::new(),
         }
@@ -194,9 +194,7 @@
                 self.warm_ups.record_report(now_ms, id, record.cold_ms);
             }
             match state {
-                Some(state) if state.record.started_ms != record.started_ms => {
-                    state.restart(record)
-                }
+                Some(state) if state.record.started_ms != record.started_ms => state.reset(record),
                 Some(state) => state.record = record.clone(),
                 None => {
                     let state = ReplicaState::new(record.clone());
--- a/src/forward/replica_table/blocks.rs
+++ b/src/forward/replica_table/blocks.rs
@@ -1,5 +1,5 @@
 //! Whether a request may be sent to a replica: checked when the replica is chosen, and again right
-//! before the request is written. Considers backoff and shutdown announced by the replica, rate
+//! before the request is written. Considers backoff and draining announced by the replica, rate
 //! limits, and evacuated data halls.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,12 +30,12 @@
 }
 
 impl ReplicaTable {
-    /// Records that a replica asked for a backoff.
+    /// Records that a replica requested a backoff.
     pub fn back_off(&mut self, now_ms: u64, id: &ReplicaId, requested: RequestedBackoff) {
         self.backoffs.back_off(now_ms, id, requested);
     }
 
-    /// Records that a replica is shutting down. Returns whether this was not known before.
+    /// Records that a replica is draining. Returns whether this was not known before.
     pub fn record_draining(&mut self, now_ms: u64, incarnation: &ReplicaIncarnation) -> bool {
         let known = self.is_draining(incarnation);
         self.backoffs
@@ -43,7 +43,7 @@
         !known
     }
 
-    /// Whether a replica has announced its shutdown.
+    /// Whether a replica has announced that it is draining.
     pub fn is_draining(&self, incarnation: &ReplicaIncarnation) -> bool {
         self.backoffs
             .is_draining(&incarnation.id, incarnation.started_ms)
@@ -109,8 +109,8 @@
     }
 
     /// Returns the limiter of permit requests, mutably.
-    pub fn permit_pace_mut(&mut self) -> &mut PermitThrottle<ReplicaId> {
-        &mut self.permit_pace
+    pub fn permit_throttle_mut(&mut self) -> &mut PermitThrottle<ReplicaId> {
+        &mut self.permit_throttle
     }
 
     /// Records that a replica could not be reached or lost the connection: it may have restarted
@@ -132,7 +132,7 @@
     pub fn prune(&mut self, now_ms: u64) {
         self.backoffs.prune(now_ms);
         self.warm_ups.prune(now_ms);
-        self.permit_pace.prune(now_ms);
+        self.permit_throttle.prune(now_ms);
         let states = &self.states;
         let is_over = |incarnation: &ReplicaIncarnation| {
             let known = states.get(&incarnation.id);
@@ -151,7 +151,7 @@
             _ if self.is_evacuated(record) => Some(SendBlock::Evacuated),
             Some(block) => Some(SendBlock::Asked(block)),
             None if self.is_rate_limited(now_ms, record) => {
-                let left_ms = self.permit_pace.wait_ms(now_ms, &record.id)?;
+                let left_ms = self.permit_throttle.wait_ms(now_ms, &record.id)?;
                 Some(SendBlock::RateLimited { left_ms })
             }
             None => None,
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -17,7 +17,7 @@
 use crate::placement::congestion::{CongestionThreshold, QueueReport, QueueTotals, QueuedTokens};
 use crate::placement::demand::DemandTracker;
 use crate::placement::fleet_plan::{self, PlanModel, PlanReplica, PlanStep};
-use crate::placement::order::{AdapterPlacement, EngineOrder, OrderKind, OrderOutcome};
+use crate::placement::order::{AdapterPlacement, OrderKind, OrderOutcome, ReplicaOrder};
 use crate::placement::report::EntryReport;
 use crate::table::configuration::EngineSpec;
 
@@ -50,7 +50,7 @@
     /// before entries learn of it.
     pub crowded_tokens: u64,
     /// Time for which the queue must stand without interruption, in milliseconds. A queue that
-    /// stands for less drains by itself.
+    /// stands for less empties by itself.
     pub crowded_ms: u64,
 }
 
@@ -77,7 +77,7 @@
     /// Commands to propose.
     pub commands: Vec<Command>,
     /// Orders to send to engines.
-    pub orders: Vec<EngineOrder>,
+    pub orders: Vec<ReplicaOrder>,
 }
 
 #[derive(Clone, Debug)]
@@ -89,7 +89,7 @@
     /// The log has shown the order's command as committed.
     committed: bool,
     since_ms: u64,
-    /// When the order is to be sent; `None` while a reply is awaited.
+    /// When the order is to be sent; `None` while a response is awaited.
     send_ms: Option<u64>,
     /// The engine refused the order and the log has not settled it yet. Until then the order is
     /// neither sent again nor taken over from the log anew.
@@ -148,7 +148,7 @@
 const DEMAND_SAMPLE_INTERVAL_MS: u64 = 500;
 /// Time for which an entry's report counts, in milliseconds.
 const ENTRY_REPORT_TTL_MS: u64 = 2_500;
-/// Delay before an order is sent again to an engine that was busy or did not reply, in
+/// Delay before an order is sent again to an engine that was busy or did not respond, in
 /// milliseconds.
 const RESEND_DELAY_MS: u64 = 1_000;
 /// Time within which a command is expected to be committed, in milliseconds.
@@ -266,7 +266,7 @@
         state: &SiteState,
         now_ms: u64,
         request: &AdapterPlacement,
-    ) -> (bool, Option<EngineOrder>) {
+    ) -> (bool, Option<ReplicaOrder>) {
         let record = state.replicas.records().get(&request.replica);
         let configuration = state.configuration.as_ref().map(|held| &held.configuration);
         let (Some(record), Some(configuration)) = (record, configuration) else {
@@ -306,7 +306,7 @@
     pub fn on_outcome(
         &mut self,
         now_ms: u64,
-        order: &EngineOrder,
+        order: &ReplicaOrder,
         outcome: OrderOutcome,
     ) -> Vec<Command> {
         if outcome == OrderOutcome::Fenced {
@@ -342,16 +342,17 @@
     fn on_model_outcome(
         &mut self,
         now_ms: u64,
-        order: &EngineOrder,
+        order: &ReplicaOrder,
         outcome: OrderOutcome,
     ) -> Vec<Command> {
         let id = &order.replica;
         let Some(pending) = self.pending.get_mut(id) else {
             return Vec::new();
         };
-        // No order is settled by time alone: one without a reply may be carried out much later, and
-        // an accepted one may wait for running requests. It occupies memory until its effect shows,
-        // and is sent again meanwhile. The engine's order count lets only one attempt take effect.
+        // No order is settled by time alone: one without a response may be carried out much later,
+        // and an accepted one may wait for running requests. It occupies memory until its effect
+        // shows, and is sent again meanwhile. The engine's order count lets only one attempt take
+        // effect.
         match outcome {
             OrderOutcome::Taken | OrderOutcome::Held => {
                 pending.send_ms = Some(now_ms + self.policy.order_ms);
@@ -505,16 +506,16 @@
             let (id, model) = (placement.replica, placement.model);
             commands.push(Command::ReplicaAdapterSettled(id, model, placement.adapter));
         }
-        self.fenced.retain(|life| {
+        self.fenced.retain(|incarnation| {
             records
-                .get(&life.id)
-                .is_some_and(|record| record.incarnation() == *life)
+                .get(&incarnation.id)
+                .is_some_and(|record| record.incarnation() == *incarnation)
         });
         commands
     }
 
     /// Returns the orders that are due and whose commands are committed.
-    fn send_due(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<EngineOrder> {
+    fn send_due(&mut self, replicas: &ReplicaDirectory, now_ms: u64) -> Vec<ReplicaOrder> {
         let mut due = Vec::new();
         for (id, order) in &mut self.pending {
             let is_due = order.send_ms.is_some_and(|at_ms| at_ms <= now_ms);
@@ -544,9 +545,9 @@
         kind: OrderKind,
         model: &ModelName,
         adapter: Option<&str>,
-    ) -> EngineOrder {
+    ) -> ReplicaOrder {
         self.orders_issued += 1;
-        EngineOrder {
+        ReplicaOrder {
             number: self.orders_issued,
             replica: record.id.clone(),
             started_ms: record.started_ms,
