--- a/src/table/accounts.rs
+++ b/src/table/accounts.rs
@@ -96,14 +96,14 @@
 pub enum AccountError {
     /// A name is empty, too long or not allowed in a header.
     #[snafu(display(
-        "field accounts[{index}].name: must have 1 to {MAX_NAME_BYTES} printable ASCII bytes"
+        "field accounts[{index}].name: not a name of 1 to {MAX_NAME_BYTES} printable bytes"
     ))]
     Name {
         /// Index of the account.
         index: usize,
     },
     /// Two accounts have the same name.
-    #[snafu(display("field accounts[{index}].name: {name} is a duplicate"))]
+    #[snafu(display("field accounts[{index}].name: {name} stands twice"))]
     DuplicateName {
         /// Index of the later account.
         index: usize,
