--- a/src/admission/ledger.rs
+++ b/src/admission/ledger.rs
@@ -116,8 +116,8 @@
     check: OrderCheck,
     models: BTreeMap<ModelName, ModelUsage>,
     runs: BTreeMap<AttemptId, RunUsage>,
-    /// Whether a report has shown what the target holds, under this incarnation's fence if the engine
-    /// checks orders. Until then all memory counts as used.
+    /// Whether a report has shown what the target holds, under this incarnation's fence if the
+    /// engine checks orders. Until then all memory counts as used.
     initialized: bool,
     open_after_ms: u64,
     /// Boot ID of the engine incarnation that the account describes.
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -93,8 +93,8 @@
         (queued + running) / slots.max(1) as u64
     }
 
-    /// Adds a run. Refuses it if the queue is full or, with `refuse_early`, if waiting would make it
-    /// miss its deadline.
+    /// Adds a run. Refuses it if the queue is full or, with `refuse_early`, if waiting would make
+    /// it miss its deadline.
     pub fn push(
         &mut self,
         now_ms: u64,
--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -269,7 +269,7 @@
                 Ok(Some(Ok(bytes))) => self.buffer.extend_from_slice(&bytes),
                 Ok(Some(Err(error))) => return Err(self.lost(error.to_string())),
                 Ok(None) => return Err(self.lost("stream ended without its end marker".to_owned())),
-                Err(_) => return Err(self.lost("stream idle for 10 s".to_owned())),
+                Err(_) => return Err(self.lost("stream idle past its timeout".to_owned())),
             }
         }
     }
@@ -290,7 +290,7 @@
             };
         }
         match self.buffer.len() > MAX_LINE_BYTES {
-            true => Err(self.lost("stream line longer than 1 MiB".to_owned())),
+            true => Err(self.lost("stream line exceeds the length limit".to_owned())),
             false => Ok(None),
         }
     }
--- a/src/consensus/raft.rs
+++ b/src/consensus/raft.rs
@@ -107,9 +107,9 @@
     heartbeat_due_ms: u64,
     /// Time at which this voter last became leader.
     leader_since_ms: u64,
-    /// Time until which this voter neither votes nor starts an election, except on a handover. Set after a restart,
-    /// since the voter may have confirmed a lease just before, and after stepping down, since
-    /// the voter belongs to the quorum behind its own lease.
+    /// Time until which this voter neither votes nor starts an election, except on a handover.
+    /// Set after a restart, since the voter may have confirmed a lease just before, and after
+    /// stepping down, since the voter belongs to the quorum behind its own lease.
     no_vote_until_ms: u64,
     granted: BTreeSet<NodeId>,
     progress: BTreeMap<NodeId, Progress>,
--- a/src/forward/daemon.rs
+++ b/src/forward/daemon.rs
@@ -43,7 +43,7 @@
 /// Time between two reports to the leader.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time limit of a report or an adapter request.
-const REPORT_TIME: Duration = Duration::from_millis(1_000);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Shortest time between two requests for the same adapter, in milliseconds.
 const ADAPTER_REQUEST_INTERVAL_MS: u64 = 150;
 /// Time between two checks whether a configuration whose proof has arrived is present.
@@ -732,7 +732,7 @@
         let reply = core
             .follower
             .link()
-            .call_leader("report", REPORT_TIME, |client, context| {
+            .call_leader("report", REPORT_TIMEOUT, |client, context| {
                 let report = report.clone();
                 async move { client.report(context, report).await }
             })
@@ -758,7 +758,7 @@
 async fn send_adapter_request(core: Rc<EntryCore>, request: AdapterPlacement) {
     let link = core.follower.link();
     let reply = link
-        .call_leader("wish", REPORT_TIME, |client, context| {
+        .call_leader("wish", REPORT_TIMEOUT, |client, context| {
             let request = request.clone();
             async move { client.wish(context, request).await }
         })
